--- a/benchmarks/placement.py
+++ b/benchmarks/placement.py
@@ -71,7 +71,7 @@
         constants = {name: float(value) for name, value in (one.split("=") for one in setting.split(","))}
         found[setting] = (text, constants)
     if len(found) == 1:
-        found["HOPELESS=1.5"] = (text, {"HOPELESS": 1.5})
+        found["REFUSE_ABOVE_OBJECTIVES=1.5"] = (text, {"REFUSE_ABOVE_OBJECTIVES": 1.5})
     return found
 
 
--- a/benchmarks/pools.py
+++ b/benchmarks/pools.py
@@ -61,10 +61,10 @@
     asking: bool | None = None  # side of the request that is placed now
     fee = 0.0
 
-    def wait(self, replica: Replica, now: float, failing: bool = False) -> float:
+    def predict_wait(self, replica: Replica, now: float, with_failures: bool = False) -> float:
         """With the fee where the cost is weighed, not where it is asked whether the fleet is full."""
-        found = super().wait(replica, now, failing)
-        other = failing and self.asking is not None and self.side_of(replica.id) is not self.asking
+        found = super().predict_wait(replica, now, with_failures)
+        other = with_failures and self.asking is not None and self.side_of(replica.id) is not self.asking
         return found + self.fee if other else found
 
 
@@ -78,29 +78,29 @@
         self.sides: dict[str, bool] = {}  # of open requests
         self.side: Callable[[i.RequestArrived], bool | None] = lambda event: None
 
-    def _arrived(self, event: i.RequestArrived) -> None:
+    def _on_request(self, event: i.RequestArrived) -> None:
         side = self.side(event)
         pool = self.pool
         if side is None:
-            return super()._arrived(event)
+            return super()._on_request(event)
         self.sides[event.request] = side
-        whole = pool.near, pool.local
+        whole = pool.local_ring, pool.local
         near = [replica for replica in pool.local if pool.side_of(replica.id) is side]
         if near:
             # Homes are on the own side; its loads are looked at more often than the other's.
-            pool.near = HashRing()
-            pool.near.change(near, near)
+            pool.local_ring = HashRing()
+            pool.local_ring.update(near, near)
             if self.rng.random() < OWN_PROBES:
                 pool.local = [r for r in pool.local if pool.side_of(r.id) is side]
         try:
-            super()._arrived(event)
+            super()._on_request(event)
         finally:
-            pool.near, pool.local = whole
+            pool.local_ring, pool.local = whole
 
-    def _least(self, request: Request, *told: Any, **named: Any) -> Any:
+    def _cheapest(self, request: Request, *told: Any, **named: Any) -> Any:
         self.pool.asking = self.sides.get(request.id)
-        self.pool.fee = (FEE_READ if self.pool.asking else FEE_WRITE) * request.aim
-        return super()._least(request, *told, **named)
+        self.pool.fee = (FEE_READ if self.pool.asking else FEE_WRITE) * request.objective_ms
+        return super()._cheapest(request, *told, **named)
 
     def _close(self, request: Request) -> None:
         super()._close(request)
--- a/benchmarks/sessions.py
+++ b/benchmarks/sessions.py
@@ -283,21 +283,21 @@
             usual = [home, *(one for one in usual if one is not home)]
         return usual
 
-    def reading(self, request: r.Request, rank: int) -> float:
+    def predict_prefill(self, request: r.Request, rank: int) -> float:
         """Tokens to read: at the home, what is not kept there."""
         told = self.facts.get(request.id)
-        self.read = super().reading(request, rank)
+        self.read = super().predict_prefill(request, rank)
         if told is not None and told.home:
-            self.read = float(request.prompt - (told.kept if rank == 0 else 0))
+            self.read = float(request.prompt_tokens - (told.kept if rank == 0 else 0))
         return self.read
 
-    def wait(self, replica: r.Replica, now: float, failing: bool = False) -> float:
+    def predict_wait(self, replica: r.Replica, now: float, with_failures: bool = False) -> float:
         """Weighing a choice, also what it would push out."""
-        found = super().wait(replica, now, failing)
-        if not failing or self.part.moving > MOVING:
+        found = super().predict_wait(replica, now, with_failures)
+        if not with_failures or self.part.moving > MOVING:
             return found
         density = self.part.keeps(now, replica.id).density
-        return found + PUSH * r.READ_PRICE / r.READ_RATE * density * self.read
+        return found + PUSH * r.PREFILL_COST_FACTOR / r.PREFILL_TOKENS_PER_MS * density * self.read
 
 
 class Knowing(Sessions):
@@ -326,7 +326,7 @@
         self.facts: dict[str, Facts] = {}
         self.router = r.Router(settings, seed)
         self.router.pool = Engines(settings, self.router.rng, self.part, self.facts)
-        self.router.pool.full_ms = self.router.full_ms
+        self.router.pool.full_wait_ms = self.router.full_wait_ms
         self.told_at = 0.0
         self.asked: dict[str, i.RequestArrived] = {}
 
--- a/benchmarks/told.py
+++ b/benchmarks/told.py
@@ -23,15 +23,15 @@
 ROOT = Path(__file__).resolve().parent.parent
 sys.path[:0] = [str(ROOT)]
 
-from spoolbarrow.fleet.pacing import CLOCK_MS  # noqa: E402
+from spoolbarrow.fleet.pacing import LIST_DEADLINE_MS  # noqa: E402
 from spoolbarrow.lab import cluster  # noqa: E402
 from spoolbarrow.lab.callers import BEGINNINGS, heard  # noqa: E402
 from spoolbarrow.lab.cluster import Cluster, Load  # noqa: E402
 from spoolbarrow.lab.process import end_all_at_sigterm  # noqa: E402
 from spoolbarrow.lab.told import CASES, play, take_back  # noqa: E402
 
-BOUND_S = CLOCK_MS / 1000 + 0.25  # and a drain's grace
-FITS_S = CLOCK_MS / 1000 - 0.5
+BOUND_S = LIST_DEADLINE_MS / 1000 + 0.25  # and a drain's grace
+FITS_S = LIST_DEADLINE_MS / 1000 - 0.5
 FITS = {1: 10.0, 40: 20.0, 200: 75.0}  # calls a second
 RATES = (10.0, 20.0, 30.0, 45.0, 60.0, 75.0, 100.0)
 A_ROUTER_S = 20.0  # calls a second for each of real routers: the fleet's part is virtual
--- a/spoolbarrow/admin/state.py
+++ b/spoolbarrow/admin/state.py
@@ -17,31 +17,43 @@
 
 VERSION = 2  # 1 told what was learnt by positions of classes, tenants and zones
 MOST_HEAT = 2000  # prefixes whose counts are passed on, the most used ones
-OF_ROUTER = ("hedges",)
-OF_POOL = (
-    "heat_sum",
-    "heat_at",
-    "seen",
-    "once",
-    "request_tokens",
-    "lateness",
-)
-OF_CLASS = ("answer_ms", "home_read", "missed")
-OF_REPLICA = (
-    "report_at",
-    "heard_at",
-    "reports",
-    "memory",
-    "load",
-    "slow",
-    "slow_at",
-    "failing",
-    "failed_at",
-    "suspect_until",
-    "strikes",
-    "silent",
-)
-OF_ENTITLEMENT = ("burst", "debt", "used", "used_at", "saved", "saved_at")  # not what is in flight there
+# Keys in the state, with the attributes of the decisions that they hold.
+OF_ROUTER = {"hedges": "hedge_budget"}
+OF_POOL = {
+    "heat_sum": "keyed_count",
+    "heat_at": "counts_halved_at",
+    "seen": "prefix_count_sum",
+    "once": "prefixes_seen_once",
+    "request_tokens": "mean_request_tokens",
+    "lateness": "late_factor",
+}
+OF_CLASS = {
+    "answer_ms": "mean_answer_ms",
+    "home_read": "preferred_prefill_tokens",
+    "missed": "prefix_miss_share",
+}
+OF_REPLICA = {
+    "report_at": "report_at",
+    "heard_at": "last_response_at",
+    "reports": "sends_reports",
+    "memory": "memory_share",
+    "load": "load_ms",
+    "slow": "slow_factor",
+    "slow_at": "slow_factor_at",
+    "failing": "failing_level",
+    "failed_at": "failed_at",
+    "suspect_until": "suspect_until",
+    "strikes": "suspect_count",
+    "silent": "unresponsive",
+}
+OF_ENTITLEMENT = {  # not what is in flight there
+    "burst": "burst",
+    "debt": "debt",
+    "used": "used_tokens",
+    "used_at": "used_at",
+    "saved": "bucket_tokens",
+    "saved_at": "bucket_at",
+}
 
 
 class State(Struct):
@@ -61,14 +73,14 @@
     entitlements: dict[str, dict[str, float]]
 
 
-def _of(thing: object, names: tuple[str, ...]) -> dict[str, Any]:
-    return {name: getattr(thing, name) for name in names}
+def _of(thing: object, names: dict[str, str]) -> dict[str, Any]:
+    return {key: getattr(thing, name) for key, name in names.items()}
 
 
 def write(name: str, known: HostList, resumed: dict[str, float], router: Router) -> bytes:
     """The text of a state."""
     pool = router.pool
-    hottest = sorted(pool.heat.items(), key=lambda item: -item[1])[:MOST_HEAT]
+    hottest = sorted(pool.prefix_counts.items(), key=lambda item: -item[1])[:MOST_HEAT]
     return msgspec.json.encode(
         State(
             VERSION,
@@ -79,10 +91,10 @@
             _of(pool, OF_POOL),
             {str(prefix): heat for prefix, heat in hottest},
             {replica.id: _of(replica, OF_REPLICA) for replica in pool.replicas.values()},
-            {str(cls): _of(learnt, OF_CLASS) for cls, learnt in router.learnt.items()},
+            {str(cls): _of(learnt, OF_CLASS) for cls, learnt in router.class_stats.items()},
             {
-                str(zone): (pool.zone_load[n], pool.zone_memory[n], pool.zone_at[n])
-                for n, zone in enumerate(pool.zones)
+                str(zone): (pool.zone_load_ms[n], pool.zone_memory_share[n], pool.zone_updated_at[n])
+                for n, zone in enumerate(pool.zone_keys)
             },
             {str(tenant): _of(e, OF_ENTITLEMENT) for tenant, e in router.entitlements.items()},
         )
@@ -105,26 +117,26 @@
     pool = router.pool
     _put(router, OF_ROUTER, state.router)
     _put(pool, OF_POOL, state.pool)
-    pool.heat = {int(prefix): heat for prefix, heat in state.heat.items()}
+    pool.prefix_counts = {int(prefix): heat for prefix, heat in state.heat.items()}
     for id, told in state.replicas.items():
         replica = pool.replicas.get(id)
         if replica is not None:
             _put(replica, OF_REPLICA, told)
-    for cls, learnt in router.learnt.items():
+    for cls, learnt in router.class_stats.items():
         _put(learnt, OF_CLASS, state.classes.get(str(cls), {}))
-    for n, zone in enumerate(pool.zones):
+    for n, zone in enumerate(pool.zone_keys):
         if str(zone) in state.zones:
-            pool.zone_load[n], pool.zone_memory[n], pool.zone_at[n] = state.zones[str(zone)]
+            pool.zone_load_ms[n], pool.zone_memory_share[n], pool.zone_updated_at[n] = state.zones[str(zone)]
     for tenant in router.settings.tenant_keys():
         if str(tenant) in state.entitlements:
             entitlement = router.entitlements.setdefault(tenant, Entitlement())
             _put(entitlement, OF_ENTITLEMENT, state.entitlements[str(tenant)])
 
 
-def _put(thing: object, names: tuple[str, ...], told: dict[str, Any]) -> None:
+def _put(thing: object, names: dict[str, str], told: dict[str, Any]) -> None:
     """Take over values of the type and, for tables, the size that is there: others are another program's."""
-    for name in names:
-        old, new = getattr(thing, name), told.get(name)
+    for key, name in names.items():
+        old, new = getattr(thing, name), told.get(key)
         if isinstance(old, float) and isinstance(new, int) and not isinstance(new, bool):
             new = float(new)
         same_size = not isinstance(old, list) or (isinstance(new, list) and len(new) == len(old))
--- a/spoolbarrow/config.py
+++ b/spoolbarrow/config.py
@@ -20,7 +20,7 @@
 from spoolbarrow import interface as i
 from spoolbarrow import wire
 from spoolbarrow.errors import Problem
-from spoolbarrow.fleet.pacing import CLOCK_MS, SILENT_SPREAD_MS
+from spoolbarrow.fleet.pacing import LIST_DEADLINE_MS, SILENT_SPREAD_MS
 
 Address = tuple[str, int]
 MISSING = "Object missing required field "  # msgspec's words
@@ -247,14 +247,14 @@
 def _fits_clock(options: Options) -> None:
     """Guards against time-outs with which the list comes too late by themselves (`fleet/pacing.py`)."""
     silence, call = options.watch_silence_ms, options.call_timeout_ms
-    if silence + SILENT_SPREAD_MS + call <= CLOCK_MS:
+    if silence + SILENT_SPREAD_MS + call <= LIST_DEADLINE_MS:
         return
     plain = Options()
     key = "watch_silence_ms" if call <= plain.call_timeout_ms else "call_timeout_ms"
     raise ConfigError(
         f"options.{key}",
-        f"{silence:g} ms of silence, {SILENT_SPREAD_MS:g} and a call of {call:g} are over {CLOCK_MS:g}",
-        f"Let `watch_silence_ms` and `call_timeout_ms` be {CLOCK_MS - SILENT_SPREAD_MS:g} together at most.",
+        f"{silence:g} ms of silence, {SILENT_SPREAD_MS:g} and a call of {call:g} are over {LIST_DEADLINE_MS:g}",
+        f"Let `watch_silence_ms` and `call_timeout_ms` be {LIST_DEADLINE_MS - SILENT_SPREAD_MS:g} together at most.",
     )
 
 
--- a/spoolbarrow/door/gate.py
+++ b/spoolbarrow/door/gate.py
@@ -13,7 +13,7 @@
 
 from spoolbarrow import interface as i
 from spoolbarrow.door import door as d
-from spoolbarrow.router import ZONE_MS, Router
+from spoolbarrow.router import ZONE_MEAN_VALID_MS, Router
 
 TIMER = "door"
 OURS = frozenset({i.RequestArrived, i.AttemptEnded, i.RequestGone})
@@ -191,9 +191,9 @@
     def _fullness(self, now: float) -> float:
         """The mean wait in the own zone, as a share of what counts as full; 0 where nothing is known."""
         pool, zone = self.router.pool, self.router.settings.zone
-        if now - pool.zone_at[zone] > ZONE_MS:
+        if now - pool.zone_updated_at[zone] > ZONE_MEAN_VALID_MS:
             return 0.0
-        return pool.zone_load[zone] * pool.lateness / self.router.full_ms
+        return pool.zone_load_ms[zone] * pool.late_factor / self.router.full_wait_ms
 
     def _arrived(self, event: i.RequestArrived) -> d.Arrived:
         caller = self._who(event)
--- a/spoolbarrow/lab/callers.py
+++ b/spoolbarrow/lab/callers.py
@@ -15,7 +15,7 @@
 from typing import Literal, NamedTuple, Protocol, get_args
 
 from spoolbarrow.config import Options
-from spoolbarrow.fleet.pacing import WAITED_MS, Pacing, hangs_ms, silent_ms
+from spoolbarrow.fleet.pacing import QUEUED_CALL_MS, Pacing, hung_retry_ms, silent_retry_ms
 from spoolbarrow.interface import RequestClass, Settings
 
 TIMEOUT = 3000.0
@@ -32,16 +32,16 @@
 class Way(Protocol):
     """One router's part; times in ms."""
 
-    def first(self) -> float:
+    def first_call_ms(self) -> float:
         """From the start to the first call."""
 
-    def answered(self) -> None:
+    def call_answered(self) -> None:
         """A call was answered."""
 
-    def broke(self) -> float:
+    def watch_ended_ms(self) -> float:
         """To the next call after a watch ended."""
 
-    def failed(self, waited: float) -> float:
+    def call_failed_ms(self, waited: float) -> float:
         """To the next call after one that failed."""
 
     def hangs(self, full: bool) -> float:
@@ -55,19 +55,19 @@
         self._spread, self._rng, self._most, self._decorrelated = spread, rng, most, decorrelated
         self._last = BASE_MS
 
-    def first(self) -> float:
+    def first_call_ms(self) -> float:
         """Anywhere within the spread."""
         return self._rng.random() * self._spread
 
-    def answered(self) -> None:
+    def call_answered(self) -> None:
         """The back-off begins anew."""
         self._last = BASE_MS
 
-    def broke(self) -> float:
+    def watch_ended_ms(self) -> float:
         """As after a call that failed."""
-        return self.failed(0.0)
+        return self.call_failed_ms(0.0)
 
-    def failed(self, waited: float) -> float:
+    def call_failed_ms(self, waited: float) -> float:
         """Whatever it waited."""
         if self._decorrelated:
             self._last = min(self._most, self._rng.uniform(BASE_MS / 2, 3.0 * self._last))
@@ -86,7 +86,7 @@
 
     def hangs(self, full: bool) -> float:
         """As its watch does."""
-        return hangs_ms(self.settings, self._rng, full)
+        return hung_retry_ms(self.settings, self._rng, full)
 
 
 def paced(nodes: int, node: int, must_ask: float, rate: float, rng: Random) -> Paced:
@@ -130,10 +130,10 @@
     turn = (1.0 if known else WHOLE) * 1000.0 / rate
     ways = [make(routers, me, 1000.0 / turn, Random(rng.getrandbits(32))) for me in range(routers)]
     found = Callers(ways, turn, rng)
-    found.run([START_MS * rng.random() + way.first() for way in ways])
+    found.run([START_MS * rng.random() + way.first_call_ms() for way in ways])
     if down:
         found = Callers(ways, turn, rng, down * 1000.0, "refuses")
-        found.run([way.broke() for way in ways])
+        found.run([way.watch_ended_ms() for way in ways])
     least, waits = routers * turn, found.told
     return Result(
         found.calls / routers,
@@ -162,13 +162,13 @@
     ways = [paced(routers, me, MUST_ASK_MS, 0.0, Random(rng.getrandbits(32))) for me in range(routers)]
     if beginning in get_args(Fault):
         found = Callers(ways, 1000.0 / rate, rng, DOWN_MS, beginning)  # type: ignore[arg-type]
-        found.run([way.broke() for way in ways])
+        found.run([way.watch_ended_ms() for way in ways])
         return found
     first = []
     for way in ways:
         last = 0.0 if beginning == "silent at once" else -ALIVE_MS * rng.random()
-        silent = last + options.watch_silence_ms + silent_ms(0, rng)
-        first.append({"starts": way.first, "reset": way.broke}.get(beginning, lambda silent=silent: silent)())
+        silent = last + options.watch_silence_ms + silent_retry_ms(0, rng)
+        first.append({"starts": way.first_call_ms, "reset": way.watch_ended_ms}.get(beginning, lambda silent=silent: silent)())
     found = Callers(ways, 1000.0 / rate, rng)
     found.run(first)
     return found
@@ -212,7 +212,7 @@
                 self._due(now, me)
             elif what == "answered":
                 self.told[me] = now - self._down
-                self._ways[me].answered()
+                self._ways[me].call_answered()
             else:
                 self._ended(now, me, what)
 
@@ -248,14 +248,14 @@
     def _ended(self, now: float, me: int, why: str) -> None:
         one = self._askers[me]
         one.open -= 1
-        one.headed, one.full = False, why != "silent" and now - one.since >= WAITED_MS
+        one.headed, one.full = False, why != "silent" and now - one.since >= QUEUED_CALL_MS
         if one.open:
             return self._due(now, me)
         one.round += 1  # what was due beside it is not
         one.due = 0.0
         if why == "silent":
             one.mute += 1
-            pause = silent_ms(one.mute, self._rng)
+            pause = silent_retry_ms(one.mute, self._rng)
         else:
-            pause = self._ways[me].failed(now - one.since)
+            pause = self._ways[me].call_failed_ms(now - one.since)
         self._push(now + pause, me, "due")
--- a/spoolbarrow/lab/experiment.py
+++ b/spoolbarrow/lab/experiment.py
@@ -35,6 +35,71 @@
     "probes_a_request",
     "requests",
 )
+CONSTANTS = {  # keys of `[constants]` with the numbers of the decision module that they set
+    "ALPHA_SLO": "ALPHA_SLO",
+    "ALPHA_BURST": "ALPHA_BURST",
+    "ALPHA_DEBT": "ALPHA_DEBT",
+    "GAMMA": "GAMMA",
+    "DEBT_FLOOR": "DEBT_FLOOR",
+    "USAGE_MS": "USAGE_WINDOW_MS",
+    "SLICE_DEPTH_MS": "QUOTA_BURST_MS",
+    "SLICE_MIN": "QUOTA_BURST_MIN_REQUESTS",
+    "FULL_STEPS": "FULL_WAIT_TOKEN_OBJECTIVES",
+    "FULL_SHARE": "FULL_WAIT_OBJECTIVE_SHARE",
+    "HOPELESS": "REFUSE_ABOVE_OBJECTIVES",
+    "CUT_SAMPLE": "PRIORITY_CUT_SAMPLE",
+    "CUT_SPAN": "PRIORITY_CUT_SPAN",
+    "MEMORY_FULL": "MEMORY_FULL_SHARE",
+    "MEMORY_MS": "MEMORY_FULL_WAIT_MS",
+    "QUEUED_MS": "QUEUED_REQUEST_MS",
+    "TRUST": "FRESH_REPORT_WEIGHT",
+    "ZONE_LEARN": "ZONE_MEAN_WEIGHT",
+    "ZONE_MS": "ZONE_MEAN_VALID_MS",
+    "FADE_MS": "REPORT_FADE_MS",
+    "REPORT_LAG_MS": "REPORT_LAG_MS",
+    "POOL_MS": "PROBE_POOL_MS",
+    "POOL_SIZE": "PROBE_POOL_SIZE",
+    "FRESH_MS": "PREFERRED_REPORT_FRESH_MS",
+    "HOLD_MS": "PROBE_HOLD_MS",
+    "SILENT_MS": "UNANSWERED_PROBE_WAIT_MS",
+    "SILENT_AFTER": "UNANSWERED_PROBE_SHARE",
+    "FAR_PROBES": "CROSS_ZONE_PROBE_SHARE",
+    "READ_RATE": "PREFILL_TOKENS_PER_MS",
+    "RUNNING_PRICE": "RUNNING_STREAM_COST_MS",
+    "READ_PRICE": "PREFILL_COST_FACTOR",
+    "STEP_MS": "FIRST_TOKEN_OVERHEAD_MS",
+    "DECODE_MS": "DECODE_MS_PER_TOKEN",
+    "LEARN": "MEAN_WEIGHT",
+    "HOME_AIM": "PREFERRED_OBJECTIVE_SHARE",
+    "HOME_BUSY": "PREFERRED_FULLNESS_SHARE",
+    "SPREAD": "PREFERRED_REPLICAS_FACTOR",
+    "HOMES_TOLD": "PREFERRED_PER_PART",
+    "HEAT_MS": "PREFIX_COUNT_HALF_LIFE_MS",
+    "CROSS_AIMS": "CROSS_ZONE_FEE_OBJECTIVES",
+    "SUSPECT_MS": "SUSPECT_MS",
+    "SUSPECT_MAX_MS": "SUSPECT_MAX_MS",
+    "SILENCE_MS": "SILENCE_MS",
+    "OVERTAKEN_MS": "OVERTAKEN_MS",
+    "IDLE_TOKENS": "IDLE_UNREAD_TOKENS",
+    "LOST_FACTOR": "LOST_FACTOR",
+    "SLOW_MAX": "SLOW_FACTOR_MAX",
+    "SLOW_FADE_MS": "SLOW_FADE_MS",
+    "FAILING_MS": "FAILING_WAIT_MS",
+    "HEDGE_FACTOR": "HEDGE_FACTOR",
+    "HEDGE_MIN_MS": "HEDGE_MIN_MS",
+    "HEDGE_AIM": "HEDGE_OBJECTIVE_SHARE",
+    "HEDGE_COST": "HEDGE_WASTE_BUDGET",
+    "HEDGE_RATIO": "HEDGES_PER_REQUEST_MAX",
+    "HEDGE_DEPTH": "HEDGE_BUDGET_MAX",
+    "LATE_MAX": "LATE_FACTOR_MAX",
+    "SWEEP_MS": "SWEEP_INTERVAL_MS",
+    "COLD_SHARE": "SLOW_START_TOTAL_SHARE",
+    "COLD_HOME": "SLOW_START_PREFERRED_SHARE",
+    "COLD_LIGHT": "SLOW_START_WORK_MIN",
+    "COLD_MOVED": "SLOW_START_RESUMED_SHARE",
+    "ASK_LOST_MS": "LIST_CALL_LOST_MS",
+    "TIMER_MS": "TIMER_RESOLUTION_MS",
+}
 
 
 class Experiment(Struct, kw_only=True, forbid_unknown_fields=True):
@@ -92,7 +157,7 @@
         if policy not in POLICIES:
             raise ScenarioError(f"{path}: policies: there is no {policy!r}")
     for name in found.constants:
-        if not name.isupper() or not isinstance(getattr(router, name, None), (int, float)):
+        if not isinstance(getattr(router, CONSTANTS.get(name, ""), None), (int, float)):
             raise ScenarioError(f"{path}: constants: the decision module has no number {name!r}")
     return found
 
@@ -129,14 +194,14 @@
     from spoolbarrow import router
     from spoolbarrow.lab.simulate import simulate
 
-    usual = {name: getattr(router, name) for name in job.constants}
+    usual = {name: getattr(router, CONSTANTS[name]) for name in job.constants}
     try:
         for name, value in job.constants.items():
-            setattr(router, name, type(usual[name])(value))
+            setattr(router, CONSTANTS[name], type(usual[name])(value))
         report = simulate(convert(job.scenario), job.policy, job.seed)
     finally:
         for name, value in usual.items():
-            setattr(router, name, value)
+            setattr(router, CONSTANTS[name], value)
     return row(job, report)
 
 
--- a/spoolbarrow/lab/opened.py
+++ b/spoolbarrow/lab/opened.py
@@ -15,10 +15,10 @@
 from spoolbarrow.interface import ListKind, ReplicaEntry, ReplicaList, RequestArrived, RequestClass, Settings
 from spoolbarrow.lab.cold import bears
 from spoolbarrow.lab.scenario import ScenarioError
-from spoolbarrow.router import Learnt, ReplicaPool, Request
+from spoolbarrow.router import ClassStats, ReplicaPool, Request
 
 START = 10_000.0  # when the cold engines start
-NO_TERMS = (1.0, 0, Learnt())  # the only class: nothing here depends on them
+NO_TERMS = (1.0, 0, ClassStats())  # the only class: nothing here depends on them
 TOLD = 2.0 / 3.0  # a fall breaks the rule where more than this share came from routers told of the start
 
 
@@ -101,7 +101,7 @@
 
     def begun(known: ReplicaList) -> ReplicaPool:
         pool = ReplicaPool(settings, Random(rng.random()))
-        pool.take(known, START)
+        pool.apply_list(known, START)
         return pool
 
     pools = [begun(after if traffic.told_ms <= 0.0 else before) for _ in range(nodes)]
@@ -133,27 +133,27 @@
         pool = pools[number]
         if now >= told_at.get(number, now + 1.0):
             del told_at[number]
-            pool.take(after, now)
+            pool.apply_list(after, now)
         work = exp(rng.gauss(-(traffic.work_sigma**2) / 2.0, traffic.work_sigma))
         asked = RequestArrived("q", 0, 4000.0, session=rng.getrandbits(60) + 1, prefix=key, resumed=moved)
         request = Request(asked, settings, NO_TERMS, now)
-        request.tokens, request.draw = work * pool.mean_work, rng.getrandbits(63)
-        request.homes = homes = pool.homes(request, now)
-        pool.came(request, now)
+        request.expected_tokens, request.slow_start_draw = work * pool.mean_work, rng.getrandbits(63)
+        request.preferred_replicas = homes = pool.homes(request, now)
+        pool.count_arrival(request, now)
         if now < START:
             if warm.begins(now, (engines - cold) * per_warm_ms):
-                pool.capacity.begun(0)
+                pool.capacity.count_start(0)
             continue
         knows = number not in told_at
         if knows:
-            opened = [r.id for r in pool.cold if pool.cold_allows(r, request, now, r is homes[0])]
+            opened = [r.id for r in pool.slow_starting if pool.cold_allows(r, request, now, r is homes[0])]
             rng.shuffle(opened)
             opened.sort(key=lambda name: name != homes[0].id)
         else:
             opened = [homes[0].id] if homes[0].id in taken else []
         grown = rule.cold_from + (1.0 - rule.cold_from) * (now - START) / rule.cold_ms
         if not opened and warm.begins(now, (engines - cold) * per_warm_ms):
-            pool.capacity.begun(0)
+            pool.capacity.count_start(0)
         for name in opened[: traffic.attempts]:
             sent[name] += 1
             work_sent[name] += work
@@ -181,6 +181,6 @@
     """An opening whose first home is a cold engine."""
     for key in range(10**9, 10**9 + 1000):
         request = Request(RequestArrived("q", 0, 4000.0, session=1, prefix=key), settings, NO_TERMS, START)
-        if pool.near.walk(key, 1)[0].id in cold and request.prefix:
+        if pool.local_ring.walk(key, 1)[0].id in cold and request.prefix:
             return key
     raise ScenarioError("engines", "none of them is cold")
--- a/spoolbarrow/net/discovery_watch.py
+++ b/spoolbarrow/net/discovery_watch.py
@@ -18,7 +18,7 @@
 
 from spoolbarrow import interface as i
 from spoolbarrow.config import Config, HostList
-from spoolbarrow.fleet.pacing import CLOCK_MS, WAITED_MS, hangs_ms, refused_ms, silent_ms, spread_ms
+from spoolbarrow.fleet.pacing import LIST_DEADLINE_MS, QUEUED_CALL_MS, hung_retry_ms, stale_list_retry_ms, silent_retry_ms, call_spread_ms
 from spoolbarrow.net import discovery_client
 from spoolbarrow.net.log import log, unexpected
 
@@ -59,7 +59,7 @@
         self._agent_heard = Event()  # the agent's list has been taken
         self._heard_at = now()
         self._silence_timer: gevent.Greenlet[[], None] | None = None
-        self._unconfirmed = False  # discovery has been silent for CLOCK_MS
+        self._unconfirmed = False  # discovery has been silent for LIST_DEADLINE_MS
         self._refusal_timer: gevent.Greenlet[[], None] | None = None  # a list was refused as older
 
     def apply(self, config: Config) -> None:
@@ -73,7 +73,7 @@
             self._drop_version()
             # Mostly all routers are reloaded at once: calls to one service for all are spread, those to an
             # agent are not.
-            self.watch(self._rng.random() * spread_ms(config.settings) * config.settings.subscribe)
+            self.watch(self._rng.random() * call_spread_ms(config.settings) * config.settings.subscribe)
         elif config.settings.subscribe != old.settings.subscribe:
             self.watch()
 
@@ -145,7 +145,7 @@
             # Watches that never say anything cost the service a call each, so they are opened less often, but
             # still within the clock.
             mute = 0 if self._spoke else mute + 1
-            gevent.sleep(silent_ms(mute, self._rng) / 1000)
+            gevent.sleep(silent_retry_ms(mute, self._rng) / 1000)
 
     def _follow_agent(self) -> None:
         """Watch an agent, for ever."""
@@ -222,7 +222,7 @@
 
         def note(error: Exception) -> None:
             refused = isinstance(error, discovery_client.FAULTS) and not isinstance(error, TimeoutError)
-            self._full = refused and self._now() - begun >= WAITED_MS
+            self._full = refused and self._now() - begun >= QUEUED_CALL_MS
 
         def lost(error: Exception) -> None:
             self._take_part()
@@ -230,7 +230,7 @@
             log("watch_broken", why=self._why(error), index=self.index)
 
         def pause_ms() -> float:
-            return hangs_ms(self._config.settings, self._rng, self._full)
+            return hung_retry_ms(self._config.settings, self._rng, self._full)
 
         try:
             found = discovery_client.first_of(call, pause_ms, self._now, lost, version)
@@ -300,7 +300,7 @@
         if not self._config.settings.subscribe:
             self._drop_version()
         elif self._refusal_timer is None:
-            pause = refused_ms(self._config.settings, self._rng)
+            pause = stale_list_retry_ms(self._config.settings, self._rng)
             self._refusal_timer = gevent.spawn_later(pause / 1000, self._ask_whole)
 
     def _ask_whole(self) -> None:
@@ -336,9 +336,9 @@
         self._count_silence()
 
     def _count_silence(self) -> None:
-        """Start the timer for CLOCK_MS since discovery's last answer, unless it runs."""
+        """Start the timer for LIST_DEADLINE_MS since discovery's last answer, unless it runs."""
         if self._silence_timer is None:
-            left = self._heard_at + CLOCK_MS - self._now()
+            left = self._heard_at + LIST_DEADLINE_MS - self._now()
             self._silence_timer = gevent.spawn_later(max(0.0, left) / 1000, self._silent_too_long)
 
     def _silent_too_long(self) -> None:
--- a/spoolbarrow/net/load_report.py
+++ b/spoolbarrow/net/load_report.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from spoolbarrow import interface as i
-from spoolbarrow.wire import load_report
+from spoolbarrow.wire import decode_load_report
 
 LOAD = b"x-backend-load"  # the header of an answer that tells it
 MAX_LOAD = 1e6  # nothing that is reported is larger
@@ -39,7 +39,7 @@
             continue
         if 0.0 <= number < MAX_LOAD:  # nor is a number of no size: it would spoil the means it goes into
             stats[SHORT_NAMES.get(name, name)] = number
-    return load_report(stats)
+    return decode_load_report(stats)
 
 
 def kept_tokens(tail: bytes) -> int:
--- a/spoolbarrow/wire.py
+++ b/spoolbarrow/wire.py
@@ -31,7 +31,7 @@
     "terminating": i.ReplicaState.DRAINING,
     "terminated": i.ReplicaState.GONE,
 }
-LISTS = {
+LIST_KINDS = {
     "update": i.ListKind.CHANGES,
     "replace": i.ListKind.WHOLE,
     "restored": i.ListKind.RESTORED,
@@ -173,7 +173,7 @@
         raise WireError(f"{what}: {text!r} is not hex") from None
 
 
-def load_report(stats: dict[str, float] | None) -> i.Report | None:
+def decode_load_report(stats: dict[str, float] | None) -> i.Report | None:
     """A load report by meaning; what this library has no use for is left out."""
     if not stats:
         return None
@@ -207,7 +207,7 @@
     if kind is Health:
         assert isinstance(message, Health)
         outcome = _word(OUTCOMES, message.Result, "Health.Result")
-        return i.ProbeAnswered(message.Engine, outcome, message.LagMs, load_report(message.Stats))
+        return i.ProbeAnswered(message.Engine, outcome, message.LagMs, decode_load_report(message.Stats))
     if kind is Finished:
         assert isinstance(message, Finished)
         return i.AttemptEnded(
@@ -218,7 +218,7 @@
             message.Last,
             message.LagMs,
             message.Note,
-            load_report(message.Stats),
+            decode_load_report(message.Stats),
         )
     if kind is Headers:
         assert isinstance(message, Headers)
@@ -243,7 +243,7 @@
             )
             for e in message.MembersList
         )
-        return i.ReplicaList(_word(LISTS, message.How, "View.How"), entries)
+        return i.ReplicaList(_word(LIST_KINDS, message.How, "View.How"), entries)
     return None
 
 
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -64,8 +64,8 @@
     for name, cls in (("a1", 1), ("a2", 0), ("a3", 0)):
         assert isinstance(ask(router, name, cls=cls), Send)
     router.handle(3.0, [StreamStarted(n, 0, "a", 1.0) for n in ("a1", "a2", "a3")])
-    router.pool.lateness = 1.0
-    router.handle(4.0, [ProbeAnswered("a", Outcome.SERVED, 1.0, Report(0.1, 12.0 * router.full_ms * 3.5))])
+    router.pool.late_factor = 1.0
+    router.handle(4.0, [ProbeAnswered("a", Outcome.SERVED, 1.0, Report(0.1, 12.0 * router.full_wait_ms * 3.5))])
     assert isinstance(ask(router, "again", now=5.0, cls=0, tenant=0), Refuse)
 
 
@@ -76,7 +76,7 @@
         for k in range(6):
             assert isinstance(ask(router, f"q{k}"), Send)
         router.handle(3.0, [StreamStarted(f"q{k}", 0, "a", 1.0) for k in range(6)])
-        router.entitlements[0].saved = 1e9  # the allowance is not what binds here
+        router.entitlements[0].bucket_tokens = 1e9  # the allowance is not what binds here
     assert isinstance(ask(roomy, "more", now=4.0), Send)
     full.handle(4.0, [ProbeAnswered("a", Outcome.SERVED, 1.0, Report(0.1, 9000.0))])
     assert isinstance(ask(full, "more", now=5.0), Refuse)
@@ -87,7 +87,7 @@
     for unread, kind in ((0.0, Send), (9000.0, Refuse)):
         router = started(unread, cfg)
         entitlement = router.entitlements.setdefault(0, Entitlement())
-        entitlement.saved, entitlement.saved_at = 0.0, 2.0
+        entitlement.bucket_tokens, entitlement.bucket_at = 0.0, 2.0
         assert isinstance(ask(router, "q"), kind)
 
 
@@ -127,11 +127,11 @@
         cls = RequestClass(aim_ms=aim, deadline_ms=60000.0, worth=1.0, token_aim_ms=1000.0)
         router = started(9000.0, make_settings(nodes=1, zones=1, classes=(cls,)))
         assert isinstance(ask(router, "q"), kind)
-        first = first or router.requests["q"].attempts[0].predicted
+        first = first or router.requests["q"].attempts[0].predicted_ms
 
 
 def weights(router: Router) -> list[float]:
-    return [weight for weight, _, _ in router.terms]
+    return [weight for weight, _, _ in router.class_terms]
 
 
 def test_class_weights_follow_worth_and_aims() -> None:
@@ -147,33 +147,33 @@
 
 def test_debt_and_burst_by_hand() -> None:
     e = Entitlement()
-    e.used, e.used_at, e.in_flight = 5000.0, 10.0, 3  # usage 5000 tokens / 5000 ms = 1 a ms
-    e.completed(10.0, slice_rate=2.0, concurrency=2.0, elastic=True)
+    e.used_tokens, e.used_at, e.in_flight = 5000.0, 10.0, 3  # usage 5000 tokens / 5000 ms = 1 a ms
+    e.settle(10.0, slice_rate=2.0, concurrency=2.0, elastic=True)
     # share 0.5: g = 0.5, d = 0.3 * 0.5 = 0.15; excess = 3/2 - 1 = 0.5, b = 0.3 * 0.5 = 0.15
     assert (e.debt, e.burst) == pytest.approx((0.15, 0.15))
-    e.used = 20000.0
-    e.completed(10.0, slice_rate=2.0, concurrency=3.0, elastic=True)
+    e.used_tokens = 20000.0
+    e.settle(10.0, slice_rate=2.0, concurrency=3.0, elastic=True)
     # share 2: g = -1, d = 0.7 * 0.15 - 0.3 = -0.195; excess = 2 * 1 + 0, b = 0.105 + 0.6 = 0.705
     assert (e.debt, e.burst) == pytest.approx((-0.195, 0.705))
-    e.completed(10.0, slice_rate=2.0, concurrency=3.0, elastic=True)
+    e.settle(10.0, slice_rate=2.0, concurrency=3.0, elastic=True)
     assert e.debt == -0.2  # -0.4365 is cut: the priority must stay positive
 
 
 def test_spot_keeps_no_debt() -> None:
     e = Entitlement()
-    e.completed(10.0, slice_rate=2.0, concurrency=2.0, elastic=False)
+    e.settle(10.0, slice_rate=2.0, concurrency=2.0, elastic=False)
     assert e.debt == 0.0
 
 
 def test_usage_fades_by_e_over_its_span() -> None:
     e = Entitlement()
-    e.used, e.used_at = 5000.0, 0.0
-    assert e.usage(5000.0) == pytest.approx(math.exp(-1.0))
+    e.used_tokens, e.used_at = 5000.0, 0.0
+    assert e.usage_rate(5000.0) == pytest.approx(math.exp(-1.0))
 
 
 def test_a_thin_slice_still_lets_requests_through() -> None:
     e = Entitlement()
-    assert e.save(1.0, slice_rate=0.001, request_tokens=2000.0) == 4000.0
+    assert e.refill(1.0, slice_rate=0.001, request_tokens=2000.0) == 4000.0
 
 
 def test_impossible_settings_are_refused() -> None:
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -311,7 +311,7 @@
                 scene.host._endpoints.probe(name)
             until(lambda: len(scene.heard(i.ProbeAnswered)) == 2)
             assert {event.outcome for event in scene.heard(i.ProbeAnswered)} == {i.Outcome.MOOT}
-            assert not any(replica.strikes or replica.load for replica in replicas)
+            assert not any(replica.suspect_count or replica.load_ms for replica in replicas)
         assert scene.client().send(ask(X_Correlation_Id="b")).answer().status == 200
         assert sum(len(engine.requests) for engine in engines) == 1
     lines = [json.loads(line) for line in capfd.readouterr().err.splitlines()]
--- a/tests/test_door_serving.py
+++ b/tests/test_door_serving.py
@@ -26,7 +26,7 @@
 def full(scene: Any, gate: Gate, fullness: float) -> None:
     """As if probes had told so, from now on."""
     pool, router = gate.router.pool, gate.router
-    pool.zone_at[0], pool.zone_load[0] = scene.host.now() + 60_000.0, fullness * router.full_ms
+    pool.zone_updated_at[0], pool.zone_load_ms[0] = scene.host.now() + 60_000.0, fullness * router.full_wait_ms
 
 
 @contextmanager
--- a/tests/test_final_answers.py
+++ b/tests/test_final_answers.py
@@ -62,7 +62,7 @@
         heard.append(event.token)
         host._router._timer(event.token, 60_000.0)
 
-    host._router.on[i.RequestGone], host._router.on[i.TimerFired] = broken, note
+    host._router.handlers[i.RequestGone], host._router.handlers[i.TimerFired] = broken, note
     return heard
 
 
--- a/tests/test_fleet_told.py
+++ b/tests/test_fleet_told.py
@@ -18,7 +18,7 @@
 import pytest
 from gevent import socket
 
-from spoolbarrow.fleet.pacing import CLOCK_MS
+from spoolbarrow.fleet.pacing import LIST_DEADLINE_MS
 from spoolbarrow.lab.cluster import Cluster, Load, cluster
 from spoolbarrow.lab.told import CASES, play, take_back
 from tests.stage import LISTEN, make_config, until
@@ -28,7 +28,7 @@
 RATE = 20.0  # calls a second
 SETTINGS = {"Balancers": 200}  # spreads and pauses are those of a large fleet
 DOWN_S = 12.0  # long enough for pauses to grow, where they do
-BOUND_S = CLOCK_MS / 1000 + 0.25  # and a drain's grace
+BOUND_S = LIST_DEADLINE_MS / 1000 + 0.25  # and a drain's grace
 GROUPS = ["watches fall silent", "watches and calls are silent", "resets", "503", "half answers"]
 
 
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -76,8 +76,8 @@
     router = Router(SETTINGS, 1)
     router.handle(0.0, [i.ReplicaList(i.ListKind.WHOLE, (i.ReplicaEntry("e0"), i.ReplicaEntry("e1")))])
     replica = router.pool.replicas["e0"]
-    replica.slow, replica.slow_at, replica.suspect_until = 2.5, 50.0, 4000.0
-    router.pool.heat, router.pool.request_tokens = {7: 3.0}, 4321.0
+    replica.slow_factor, replica.slow_factor_at, replica.suspect_until = 2.5, 50.0, 4000.0
+    router.pool.prefix_counts, router.pool.mean_request_tokens = {7: 3.0}, 4321.0
     router.handle(1.0, [i.RequestArrived("r", 0, 4000.0, prompt_tokens=100)])
     router.entitlements[0].debt = 0.4
     return router
@@ -92,8 +92,8 @@
     other.handle(2.0, [i.ReplicaList(i.ListKind.RESTORED, (i.ReplicaEntry("e0"),))])
     state.install(read, other)
     replica = other.pool.replicas["e0"]
-    assert (replica.slow, replica.slow_at, replica.suspect_until) == (2.5, 50.0, 4000.0)
-    assert (other.pool.heat, other.pool.request_tokens) == ({7: 3.0}, router.pool.request_tokens)
+    assert (replica.slow_factor, replica.slow_factor_at, replica.suspect_until) == (2.5, 50.0, 4000.0)
+    assert (other.pool.prefix_counts, other.pool.mean_request_tokens) == ({7: 3.0}, router.pool.mean_request_tokens)
     assert other.entitlements[0].debt == 0.4 and other.entitlements[0].in_flight == 0  # that ends there
     assert set(other.pool.replicas) == {"e0"}
 
@@ -105,10 +105,10 @@
     read.classes = {"0": {"answer_ms": "much", "missed": [0.1]}, "9": {"answer_ms": 7.0}}
     read.entitlements["9"] = {"debt": 1.0}
     other = Router(SETTINGS, 2)
-    guess = vars(Router(SETTINGS, 2).learnt[0])
+    guess = vars(Router(SETTINGS, 2).class_stats[0])
     state.install(read, other)
-    assert other.pool.zone_load == [0.0] and other.pool.heat_sum == 0.0 and list(other.learnt) == [0]
-    assert vars(other.learnt[0]) == guess and list(other.entitlements) == [0]
+    assert other.pool.zone_load_ms == [0.0] and other.pool.keyed_count == 0.0 and list(other.class_stats) == [0]
+    assert vars(other.class_stats[0]) == guess and list(other.entitlements) == [0]
     for text in (b"", b'{"v":1', state.write("n1", HostList(), {}, learned())):
         with pytest.raises(ValueError):
             state.read(text, "n0")
--- a/tests/test_lab_experiment.py
+++ b/tests/test_lab_experiment.py
@@ -67,12 +67,12 @@
 
 
 def test_another_constant_is_another_run(place: Path) -> None:
-    usual = router.READ_RATE
+    usual = router.PREFILL_TOKENS_PER_MS
     (place / "pairs.toml").write_text(
         'name = "c"\nscenarios = ["tiny.toml"]\nseeds = [1]\n[constants]\nREAD_RATE = [12.0, 3.0]\n'
     )
     rows = [perform(job) for job in jobs(read(place / "pairs.toml"), place)]
-    assert len({row["key"] for row in rows}) == 2 and usual == router.READ_RATE
+    assert len({row["key"] for row in rows}) == 2 and usual == router.PREFILL_TOKENS_PER_MS
     assert [orjson.loads(row["constants"])["READ_RATE"] for row in rows] == [12.0, 3.0]
 
 
--- a/tests/test_list_clock.py
+++ b/tests/test_list_clock.py
@@ -23,7 +23,7 @@
 from spoolbarrow import config
 from spoolbarrow import interface as i
 from spoolbarrow.config import Options
-from spoolbarrow.fleet.pacing import MUTE_MS, SILENT_SPREAD_MS, Pacing
+from spoolbarrow.fleet.pacing import MUTE_RETRY_MAX_MS, SILENT_SPREAD_MS, Pacing
 from spoolbarrow.lab.wire import PLAIN
 from spoolbarrow.net import discovery_client
 from spoolbarrow.net.destinations import DestinationSet
@@ -103,7 +103,7 @@
     options = Options()
     assert options.watch_silence_ms >= 2000 + 400
     assert options.watch_silence_ms + SILENT_SPREAD_MS + options.call_timeout_ms < CLOCK_S * 1000
-    assert options.watch_silence_ms + MUTE_MS < CLOCK_S * 1000 - 1000  # watches that are mute
+    assert options.watch_silence_ms + MUTE_RETRY_MAX_MS < CLOCK_S * 1000 - 1000  # watches that are mute
 
 
 class Scripted:
@@ -137,7 +137,7 @@
             self.heard = self.heard or time.monotonic()
         if event.kind is i.ListKind.FAILED:  # as the decisions do where many routers share the service
             pacing = Pacing(replace(self.config.settings, nodes=200), Random(len(self.kinds)))
-            gevent.spawn_later(pacing.failed(0.0) / 1000, self.set.watch)
+            gevent.spawn_later(pacing.call_failed_ms(0.0) / 1000, self.set.watch)
 
     def quiet(self) -> None:
         self.silent.append(time.monotonic())
@@ -285,7 +285,7 @@
 def test_what_can_not_be_confirmed_is_told_once_and_taken_back(monkeypatch: pytest.MonkeyPatch) -> None:
     logged: list[str] = []
     monkeypatch.setattr("spoolbarrow.net.discovery_watch.log", lambda event, **fields: logged.append(event))
-    monkeypatch.setattr("spoolbarrow.net.discovery_watch.CLOCK_MS", 300.0)
+    monkeypatch.setattr("spoolbarrow.net.discovery_watch.LIST_DEADLINE_MS", 300.0)
 
     def turned_away(of: Scripted, sock: Sock) -> None:
         sock.sendall(TURNED_AWAY)
--- a/tests/test_pacing.py
+++ b/tests/test_pacing.py
@@ -10,7 +10,7 @@
 
 from spoolbarrow import interface as i
 from spoolbarrow.config import Options
-from spoolbarrow.fleet.pacing import CLOCK_MS, PATIENCE, Pacing, hangs_ms, silent_ms, spread_ms
+from spoolbarrow.fleet.pacing import LIST_DEADLINE_MS, FIRST_CALL_SHARE, Pacing, hung_retry_ms, silent_retry_ms, call_spread_ms
 from spoolbarrow.lab.callers import BEGINNINGS, CASES, CLASSES, RATES, WAYS, Beginning, Result, heard, play
 from spoolbarrow.router import Router
 
@@ -44,34 +44,34 @@
 ) -> None:
     """What was under way when the service came back is not the last chance: the next call fits the clock."""
     settings, rng = facts(nodes, node % nodes, must_ask, rate), Random(seed)
-    one, last = Pacing(settings, rng), CLOCK_MS - MARGIN_MS - QUEUE_MS
-    first = one.first()
-    for pause in (first, one.broke()):
-        assert pause >= 0.0 and (not must_ask or pause <= min(last, PATIENCE * must_ask))
+    one, last = Pacing(settings, rng), LIST_DEADLINE_MS - MARGIN_MS - QUEUE_MS
+    first = one.first_call_ms()
+    for pause in (first, one.watch_ended_ms()):
+        assert pause >= 0.0 and (not must_ask or pause <= min(last, FIRST_CALL_SHARE * must_ask))
     for wait in waits:
-        begun = min(wait, hangs_ms(settings, rng, False))  # of the call before, if none hung meanwhile
-        assert not must_ask or begun + one.failed(wait) <= last
+        begun = min(wait, hung_retry_ms(settings, rng, False))  # of the call before, if none hung meanwhile
+        assert not must_ask or begun + one.call_failed_ms(wait) <= last
     if not rate:
         assert first <= min(3_000.0, 40.0 * nodes)  # a start is as quick as it was
-        one.answered()
-        assert one.failed(0.0) <= 1_000.0  # and so is the first retry
+        one.call_answered()
+        assert one.call_failed_ms(0.0) <= 1_000.0  # and so is the first retry
 
 
 @settings(derandomize=True, max_examples=100, deadline=None)
 @given(some.integers(0, 5_000), some.integers(0, 999))
 def test_a_silent_watch_and_a_call_that_hangs_fit_the_clock(mute: int, seed: int) -> None:
     options, rng = Options(), Random(seed)
-    last = CLOCK_MS - MARGIN_MS - QUEUE_MS
-    assert options.watch_silence_ms + silent_ms(mute, rng) <= last
-    assert 1_500.0 <= hangs_ms(facts(200), rng, False) <= last  # two calls open at once at most: 3.2 s each
-    assert options.call_timeout_ms + silent_ms(0, rng) <= last < 3_400.0 + QUEUE_MS
-    assert hangs_ms(facts(200), rng, True) > options.call_timeout_ms  # none beside one that stands in a queue
+    last = LIST_DEADLINE_MS - MARGIN_MS - QUEUE_MS
+    assert options.watch_silence_ms + silent_retry_ms(mute, rng) <= last
+    assert 1_500.0 <= hung_retry_ms(facts(200), rng, False) <= last  # two calls open at once at most: 3.2 s each
+    assert options.call_timeout_ms + silent_retry_ms(0, rng) <= last < 3_400.0 + QUEUE_MS
+    assert hung_retry_ms(facts(200), rng, True) > options.call_timeout_ms  # none beside one that stands in a queue
 
 
 @pytest.mark.parametrize("among", [range(20), range(100, 120), range(0, 200, 10), range(3, 200, 4)])
 def test_whichever_routers_start_together_lie_evenly(among: range) -> None:
-    spread = spread_ms(facts(200, rate=10.0))
-    times = sorted(Pacing(facts(200, node, rate=10.0), Random(node)).first() for node in among)
+    spread = call_spread_ms(facts(200, rate=10.0))
+    times = sorted(Pacing(facts(200, node, rate=10.0), Random(node)).first_call_ms() for node in among)
     for tenth in range(10):
         part = [at for at in times if tenth <= 10 * at / spread < tenth + 1]
         assert 0.4 * len(times) / 10 <= len(part) <= 1.6 * len(times) / 10 + 1
@@ -105,7 +105,7 @@
         return  # calls come within 0.25 s, 2.5 s after: it takes 75 a second
     for seed in range(20):
         found = heard(beginning, routers, rate, seed)
-        assert max(found.told) <= CLOCK_MS - MARGIN_MS
+        assert max(found.told) <= LIST_DEADLINE_MS - MARGIN_MS
         assert found.calls <= 1.5 * routers and found.failed <= 0.01 * found.calls
 
 
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -32,8 +32,8 @@
 
 def know_homes(router: Router) -> None:
     """Have the decisions take a session's home to read little of a prompt, whatever its class."""
-    for learnt in router.learnt.values():
-        learnt.home_read = 60.0
+    for learnt in router.class_stats.values():
+        learnt.preferred_prefill_tokens = 60.0
 
 
 def sends(actions: list[Action]) -> list[Send]:
@@ -133,7 +133,7 @@
         router.handle(200.0 * k + 100, [AttemptEnded(f"q{k}", 0, "a", Outcome.SERVED, True)])
     pool = router.pool
     assert (
-        len(pool.heat) < 40 and pool.near.remembered() + pool.far.remembered() <= 500 and not router.requests
+        len(pool.prefix_counts) < 40 and pool.local_ring.cached_walks() + pool.remote_ring.cached_walks() <= 500 and not router.requests
     )
 
 
@@ -172,7 +172,7 @@
     router.handle(
         3.0,
         [
-            ProbeAnswered(home, Outcome.SERVED, 1.0, Report(0.2, 12.0 * 1.5 * router.full_ms / 0.6)),
+            ProbeAnswered(home, Outcome.SERVED, 1.0, Report(0.2, 12.0 * 1.5 * router.full_wait_ms / 0.6)),
             ProbeAnswered(other, Outcome.SERVED, 1.0, Report(0.2, 0.0)),
         ],
     )
@@ -193,13 +193,13 @@
     """Guards against reading a beginning anew all over a busy fleet: that is what made it full."""
     router, home, other = homed(prompt_tokens=6000)
     know_homes(router)
-    tokens = 12.0 * router.full_ms / 0.6  # a report is believed to 0.6
+    tokens = 12.0 * router.full_wait_ms / 0.6  # a report is believed to 0.6
     reports = ((home, at_home), (other, elsewhere))
     router.handle(
         3.0,
         [ProbeAnswered(name, Outcome.SERVED, 1.0, Report(0.0, tokens * share)) for name, share in reports],
     )
-    router.pool.zone_load = [0.0]
+    router.pool.zone_load_ms = [0.0]
     sent = sends(ask(router, 4.0, "q2", session=5, cls=1, prompt_tokens=6000))
     assert [send.replica for send in sent] == [home if goes_home else other]
 
@@ -213,12 +213,12 @@
     for load in (0.0, 0.05, 0.25, 0.5, 0.75, 1.0, 4.0):
         router, home, other = homed(prompt_tokens=6000)
         know_homes(router)
-        tokens = {home: 12.0 * 4.0 * router.full_ms, other: 0.0}
+        tokens = {home: 12.0 * 4.0 * router.full_wait_ms, other: 0.0}
         reports: list[Event] = [
             ProbeAnswered(name, Outcome.SERVED, 1.0, Report(0.0, unread)) for name, unread in tokens.items()
         ]
         router.handle(3.0, reports)
-        router.pool.zone_load = [load * router.full_ms]
+        router.pool.zone_load_ms = [load * router.full_wait_ms]
         # One that is resumed: whom to refuse is not the question.
         sent = sends(ask(router, 4.0, "q2", session=5, cls=1, prompt_tokens=6000, resumed=True))
         waits.append(sent[0].replica == home)
@@ -236,10 +236,10 @@
             break
     assert 1 < k < 29
     replica = router.pool.replicas[home]
-    assert replica.running == k
+    assert replica.running_streams == k
     ended = [AttemptEnded(f"q{n}", 0, home, Outcome.SERVED, True) for n in range(k)]
     router.handle(99.0, [*ended, ended[0]])
-    assert replica.running == 0
+    assert replica.running_streams == 0
 
 
 def test_a_full_zone_spills_into_one_with_room() -> None:
@@ -251,7 +251,7 @@
     router.handle(1.0, idle)
     assert sends(ask(router, 2.0, "q1"))[0].replica == "near"
     router.handle(3.0, [StreamStarted("q1", 0, "near", 1.0)])
-    router.handle(4.0, [ProbeAnswered("near", Outcome.SERVED, 1.0, Report(0.1, 12.0 * router.full_ms * 1.2))])
+    router.handle(4.0, [ProbeAnswered("near", Outcome.SERVED, 1.0, Report(0.1, 12.0 * router.full_wait_ms * 1.2))])
     assert sends(ask(router, 5.0, "q2"))[0].replica == "far"
 
 
@@ -259,7 +259,7 @@
     router = Router(make_settings(zones=1, nodes=1), 1)
     router.handle(0.0, [serving("a", "b")])
     for name in ("a", "b"):
-        router.pool.suspect(router.pool.replicas[name], 1.0)
+        router.pool.mark_suspect(router.pool.replicas[name], 1.0)
     assert sends(ask(router, 2.0, "q"))
     assert all(r.suspect_until < 10_000.0 for r in router.pool.serving)
     router.handle(3.0, [ProbeAnswered("a", Outcome.SERVED, 1.0, Report(0.1, 0.0))])
@@ -273,13 +273,13 @@
     for k in range(60):
         for name in ("a", "b"):
             router.handle(1.0 + k, [ProbeAnswered(name, Outcome.TIMEOUT, 150.0)])
-    assert router.pool.zone_load[0] >= 0.9 * router.full_ms
-    assert router.pool.wait(router.pool.replicas["a"], 61.0) >= 0.9 * router.full_ms
-    before = [r.strikes for r in router.pool.serving]
+    assert router.pool.zone_load_ms[0] >= 0.9 * router.full_wait_ms
+    assert router.pool.predict_wait(router.pool.replicas["a"], 61.0) >= 0.9 * router.full_wait_ms
+    before = [r.suspect_count for r in router.pool.serving]
     router.handle(62.0, [ProbeAnswered("a", Outcome.TIMEOUT, 500.0)])
-    router.pool.zone_load[0] = 2.0 * router.full_ms
+    router.pool.zone_load_ms[0] = 2.0 * router.full_wait_ms
     router.handle(63.0, [ProbeAnswered("a", Outcome.TIMEOUT, 500.0)])
-    assert router.pool.replicas["a"].strikes <= before[0] + 1
+    assert router.pool.replicas["a"].suspect_count <= before[0] + 1
 
 
 def test_stale_fullness_fades() -> None:
@@ -287,8 +287,8 @@
     router.handle(0.0, [serving("a")])
     router.handle(1.0, [ProbeAnswered("a", Outcome.SERVED, 1.0, Report(0.1, 50000.0))])
     replica = router.pool.replicas["a"]
-    assert router.pool.wait(replica, 2.0) > router.full_ms
-    assert router.pool.wait(replica, 9000.0) < router.full_ms
+    assert router.pool.predict_wait(replica, 2.0) > router.full_wait_ms
+    assert router.pool.predict_wait(replica, 9000.0) < router.full_wait_ms
 
 
 def late_timer(actions: list[Action], number: int = 0) -> SetTimer:
@@ -388,18 +388,18 @@
     assert {first, second} == {"a", "b"}
     last = router.handle(4.0, [AttemptEnded("q", 1, second, Outcome.MOOT)])
     assert [type(a).__name__ for a in last if not isinstance(a, SetTimer)] == ["Refuse"]
-    assert not any(replica.strikes for replica in router.pool.serving)
+    assert not any(replica.suspect_count for replica in router.pool.serving)
 
 
 def test_a_fast_failing_replica_loses_its_pull() -> None:
     router = Router(make_settings(zones=1), 1)
     router.handle(0.0, [serving("a")])
     replica = router.pool.replicas["a"]
-    before = router.pool.wait(replica, 2.0, True)
+    before = router.pool.predict_wait(replica, 2.0, True)
     ask(router, 1.0, "q")
     router.handle(2.0, [AttemptEnded("q", 0, "a", Outcome.ERROR)])
-    assert router.pool.wait(replica, 2.0, True) > before + 500.0
-    assert router.pool.wait(replica, 60_000.0, True) < before + 10.0
+    assert router.pool.predict_wait(replica, 2.0, True) > before + 500.0
+    assert router.pool.predict_wait(replica, 60_000.0, True) < before + 10.0
 
 
 def test_a_silent_replica_stays_out_and_what_waits_on_it_goes_elsewhere() -> None:
@@ -428,11 +428,11 @@
     home = sends(ask(router, 1.0, "q1", session=5))[0].replica
     other = "b" if home == "a" else "a"
     assert sends(ask(router, 700.0, "q2", session=5))[0].replica == home
-    router.hedges = 0.0  # no second attempt by lateness
+    router.hedge_budget = 0.0  # no second attempt by lateness
     actions = router.handle(750.0, [StreamStarted("q2", 0, home, 50.0)])
     assert sends(actions) == [Send("q1", other)]
     replica, pool = router.pool.replicas[home], router.pool
-    assert pool.wait(replica, 750.0, True) > pool.wait(replica, 750.0) + 500.0  # dearer, but not fuller
+    assert pool.predict_wait(replica, 750.0, True) > pool.predict_wait(replica, 750.0) + 500.0  # dearer, but not fuller
     assert not sends(router.handle(751.0, [StreamStarted("q2", 0, home, 51.0)]))  # once is enough
 
 
@@ -441,7 +441,7 @@
     router = Router(make_settings(zones=1), 1)
     router.handle(0.0, [serving("a", "b")])
     home = sends(ask(router, 1.0, "q1", session=5))[0].replica
-    router.hedges = 0.0
+    router.hedge_budget = 0.0
 
     def reported(now: float, unread: float) -> list[Send]:
         answer = ProbeAnswered(home, Outcome.SERVED, 1.0, Report(0.1, unread))
@@ -491,5 +491,5 @@
             prefix = 1 + rng.randrange(prefixes)
             ask(router, 10.0 * k, f"q{k}", session=node * 64 + k + 1, prefix=prefix)
         ask(router, 300.0, "last", session=node * 64 + 63, prefix=1)
-        used.add(router.requests["last"].homes[0].id)
+        used.add(router.requests["last"].preferred_replicas[0].id)
     assert least <= len(used) <= most
--- a/tests/test_reload_races.py
+++ b/tests/test_reload_races.py
@@ -108,7 +108,7 @@
         asked = scene.client().send(ask(X_Service_Class="once", X_Account="other"))
         assert asked.answer().status == 200
         until(lambda: scene.host.open_requests() == 0 and not scene.host.router().requests)
-        assert list(scene.host.router().learnt) == ["chat"]
+        assert list(scene.host.router().class_stats) == ["chat"]
         assert scene.client().send(ask(X_Service_Class="once")).answer().status == 400
 
 
@@ -201,18 +201,18 @@
         sock.sendall(chunk(EVENTS[1]) + b"0\r\n\r\n")
 
     with stage(wait, settings=settings(FIRST)) as (scene, _):
-        router, guess = scene.host.router(), Router(scene.config.settings, 1).learnt["chat"].answer_ms
+        router, guess = scene.host.router(), Router(scene.config.settings, 1).class_stats["chat"].mean_answer_ms
         asked = scene.client().send(ask(X_Service_Class="once"))
         until(lambda: scene.heard(i.StreamStarted))
-        router.learnt["chat"].home_read = 77.0
+        router.class_stats["chat"].preferred_prefill_tokens = 77.0
         apply(scene, {"Classes": [{**CHAT, "Name": "new"}, ONCE, CHAT], "Tenants": [ACME]})
         seen.set()
         assert asked.answer().status == 200
         until(lambda: not router.requests)
-        learnt = [of for _, _, of in router.terms]
-        assert [of.home_read == 77.0 for of in learnt] == [False, False, True]
-        assert [of.answer_ms == guess for of in learnt] == [True, False, True]
-        assert [router.learnt[name] for name in ("new", "once", "chat")] == learnt
+        learnt = [of for _, _, of in router.class_terms]
+        assert [of.preferred_prefill_tokens == 77.0 for of in learnt] == [False, False, True]
+        assert [of.mean_answer_ms == guess for of in learnt] == [True, False, True]
+        assert [router.class_stats[name] for name in ("new", "once", "chat")] == learnt
 
 
 def test_a_tenants_account_goes_by_its_name_while_its_request_is_out() -> None:
@@ -249,17 +249,17 @@
         pool = scene.host.router().pool
         until(lambda: [replica.id for replica in pool.local] == ["near"])
         far = pool.replicas["far"]
-        pool.zone_load[:], pool.zone_at[:] = [5.0, 9.0], [scene.host.now()] * 2
+        pool.zone_load_ms[:], pool.zone_updated_at[:] = [5.0, 9.0], [scene.host.now()] * 2
         apply(scene, FIRST | {"Zones": ["b", "a"], "MyZone": 1})
         assert [replica.id for replica in pool.local] == ["near"] and pool.remote == [far]
-        assert {one.id for one in pool.near.members()} == {"near"}
-        assert {one.id for one in pool.far.members()} == {"far"}
-        assert pool.zone_load == [9.0, 5.0]
+        assert {one.id for one in pool.local_ring.members()} == {"near"}
+        assert {one.id for one in pool.remote_ring.members()} == {"far"}
+        assert pool.zone_load_ms == [9.0, 5.0]
         apply(scene, FIRST | {"Zones": ["a"], "MyZone": 0})  # its zone is gone, and it is not local by that
         assert [replica.id for replica in pool.local] == ["near"] and pool.remote == [far]
-        assert pool.zone_load == [5.0, 9.0]
+        assert pool.zone_load_ms == [5.0, 9.0]
         apply(scene, FIRST | {"Zones": ["c", "b"], "MyZone": 1})
-        assert pool.local == [far] and pool.zone_load[:2] == [0.0, 9.0]
+        assert pool.local == [far] and pool.zone_load_ms[:2] == [0.0, 9.0]
 
 
 def test_news_of_the_list_that_is_not_decided_on_yet_is_not_read_by_new_numbers() -> None:
@@ -295,7 +295,7 @@
         seen.set()
         assert asked.answer().status == 503
         until(lambda: not router.requests)
-        assert router.pool.zones[0] == "b" and router.pool.zone_load[0] == 0.0
+        assert router.pool.zone_keys[0] == "b" and router.pool.zone_load_ms[0] == 0.0
 
 
 # The next process
@@ -388,16 +388,16 @@
         )
 
     old, new = of(FIRST | {"Zones": ["a", "b"]}), of(TURNED | {"Zones": ["b", "c"]})
-    old.learnt["once"].answer_ms, old.learnt["once"].missed = 5.0, [0.1, 0.2, 0.3]
-    old.learnt["chat"].home_read = 77.0
-    old.pool.zone_load[:] = [3.0, 4.0]
+    old.class_stats["once"].mean_answer_ms, old.class_stats["once"].prefix_miss_share = 5.0, [0.1, 0.2, 0.3]
+    old.class_stats["chat"].preferred_prefill_tokens = 77.0
+    old.pool.zone_load_ms[:] = [3.0, 4.0]
     old.handle(1.0, [i.ReplicaList(i.ListKind.WHOLE, (i.ReplicaEntry("e0"),))])
     old.handle(2.0, [i.RequestArrived("q", 0, 4000.0, tenant=1)])
     old.entitlements["other"].debt = 0.4
     state.install(state.read(state.write("n0", HostList(), {}, old), "n0"), new)
-    assert new.learnt["once"].answer_ms == 5.0 and new.terms[0][2].missed == [0.1, 0.2, 0.3]
-    assert new.terms[1][2].home_read == 77.0
-    assert new.pool.zone_load == [4.0, 0.0]
+    assert new.class_stats["once"].mean_answer_ms == 5.0 and new.class_terms[0][2].prefix_miss_share == [0.1, 0.2, 0.3]
+    assert new.class_terms[1][2].preferred_prefill_tokens == 77.0
+    assert new.pool.zone_load_ms == [4.0, 0.0]
     assert list(new.entitlements) == ["other"] and new.entitlements["other"].debt == 0.4
 
 
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -61,7 +61,7 @@
         assert scene.client().send(ask()).answer().status == 400
         assert sum(len(engine.requests) for engine in engines) == 1
         until(lambda: scene.host.open_requests() == 0)
-        assert all(replica.failing == 0.0 for replica in scene.host._router.pool.replicas.values())
+        assert all(replica.failing_level == 0.0 for replica in scene.host._router.pool.replicas.values())
 
 
 def test_the_name_of_an_open_request_is_not_taken_again() -> None:
@@ -287,9 +287,9 @@
     router = Router(i.Settings(nodes=1, classes=(i.RequestClass(1000.0, 4000.0, 1.0),)), 1)
     router.handle(0.0, [i.ReplicaList(i.ListKind.WHOLE, (i.ReplicaEntry("a"),))])
     router.handle(1.0, [i.ProbeAnswered("a", i.Outcome.SERVED, 1.0, i.Report(0.5, 9000.0))])
-    before = router.pool.replicas["a"].load
+    before = router.pool.replicas["a"].load_ms
     router.handle(2.0, [i.ProbeAnswered("a", i.Outcome.SERVED, 1.0, None)])
-    assert router.pool.replicas["a"].load == before > 0
+    assert router.pool.replicas["a"].load_ms == before > 0
 
 
 # Replaced endpoints
--- a/tests/test_serving.py
+++ b/tests/test_serving.py
@@ -439,9 +439,9 @@
 
 def test_an_exception_in_the_decisions_still_leaves_an_answer() -> None:
     with stage(serve_all) as (scene, _):
-        scene.host._router.on[i.RequestArrived] = lambda event: 1 / 0
+        scene.host._router.handlers[i.RequestArrived] = lambda event: 1 / 0
         assert scene.client().send(ask()).answer().status == 502
-        scene.host._router.on[i.RequestArrived] = scene.host._router._arrived
+        scene.host._router.handlers[i.RequestArrived] = scene.host._router._on_request
         assert scene.client().send(ask()).answer().status == 200
 
 
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -18,7 +18,7 @@
 from spoolbarrow.lab.cluster import Load, cluster
 from spoolbarrow.lab.cold import Figures
 from spoolbarrow.lab.opened import Rule, Traffic, play
-from spoolbarrow.router import Learnt, ReplicaPool, Request, Router
+from spoolbarrow.router import ClassStats, ReplicaPool, Request, Router
 from tests.world import make_settings, serving
 
 STARTED, COLD_MS = 5000.0, 10_000.0
@@ -34,11 +34,11 @@
     cfg = make_settings(nodes=nodes, zones=1, cold_from=0.2, cold_ms=COLD_MS, overload_factor=3.0)
     pool = ReplicaPool(cfg, Random(nodes))
     entries = [ReplicaEntry(f"e{n}", started_at_ms=STARTED * (n == 0)) for n in range(10)]
-    pool.take(ReplicaList(ListKind.WHOLE, tuple(entries)), STARTED)
-    (cold,) = pool.cold
-    request = Request(RequestArrived("q", 0, 4000.0, resumed=moved), cfg, (1.0, 0, Learnt()), STARTED)
-    request.tokens, found = work * pool.mean_work, set()
-    for number, request.draw in enumerate(DRAWS):
+    pool.apply_list(ReplicaList(ListKind.WHOLE, tuple(entries)), STARTED)
+    (cold,) = pool.slow_starting
+    request = Request(RequestArrived("q", 0, 4000.0, resumed=moved), cfg, (1.0, 0, ClassStats()), STARTED)
+    request.expected_tokens, found = work * pool.mean_work, set()
+    for number, request.slow_start_draw in enumerate(DRAWS):
         if pool.cold_allows(cold, request, STARTED + age, home):
             found.add(number)
     return found
--- a/tests/test_watch_races.py
+++ b/tests/test_watch_races.py
@@ -20,7 +20,7 @@
 from spoolbarrow import config
 from spoolbarrow import interface as i
 from spoolbarrow.config import Config, HostList, ListEntry
-from spoolbarrow.fleet.pacing import spread_ms
+from spoolbarrow.fleet.pacing import call_spread_ms
 from spoolbarrow.lab.wire import PLAIN
 from spoolbarrow.net import discovery_client, http1
 from spoolbarrow.net.destinations import DestinationSet
@@ -242,7 +242,7 @@
         fleet = msgspec.structs.replace(settings.settings, nodes=200)
         for kind in ("first", "second", "third"):
             one.set.apply(msgspec.structs.replace(settings, settings=fleet, kinds={kind: 1}))
-        spread = spread_ms(fleet) / 1000
+        spread = call_spread_ms(fleet) / 1000
         assert pauses == [0.25 * spread, 0.25 * spread, 0.125 * spread]  # sooner is fine, later is not
     finally:
         one.set.close()
@@ -321,7 +321,7 @@
     """A call that hung is answered in the same turn as the one beside it, with what it was asked for then."""
     service = Service(9)
     service.watch_begins = b""
-    monkeypatch.setattr("spoolbarrow.net.discovery_watch.hangs_ms", lambda *more: 20.0)
+    monkeypatch.setattr("spoolbarrow.net.discovery_watch.hung_retry_ms", lambda *more: 20.0)
     with following(service) as one:
         one.set.watch()
         until(lambda: len(service.watches) == 2)
@@ -344,7 +344,7 @@
     service = Service(9)
     asked: list[Sock] = []
     service.news = b""
-    monkeypatch.setattr("spoolbarrow.net.discovery_watch.hangs_ms", lambda *more: 20.0)
+    monkeypatch.setattr("spoolbarrow.net.discovery_watch.hung_retry_ms", lambda *more: 20.0)
     with following(service) as one:
         answer = service.party.script
 
--- a/tests/test_who_is_served.py
+++ b/tests/test_who_is_served.py
@@ -17,7 +17,7 @@
     Send,
     Tenant,
 )
-from spoolbarrow.router import DECODE_MS, Router
+from spoolbarrow.router import DECODE_MS_PER_TOKEN, Router
 from tests.world import make_settings, serving
 
 MEAN = 500  # prompt tokens of nearly all requests
@@ -57,8 +57,8 @@
         """It is full at this moment."""
         for _ in range(10):
             self.router.handle(self.now, [answered("a", 9000.0)])
-        wait = self.router.pool.wait(self.router.pool.replicas["a"], self.now)
-        assert wait > self.router.full_ms
+        wait = self.router.pool.predict_wait(self.router.pool.replicas["a"], self.now)
+        assert wait > self.router.full_wait_ms
 
     def ask(self, prompt: int, **fields: object) -> Send | Refuse:
         """A request that, if it is sent, is served at once."""
@@ -84,7 +84,7 @@
 def test_a_request_larger_than_its_slice_saves_up_passes_a_full_fleet() -> None:
     """Guards against a bound that the longest can never meet, however long their tenant waits."""
     full = Full()
-    depth = SAVED * full.router.pool.request_tokens
+    depth = SAVED * full.router.pool.mean_request_tokens
     full.now += 3_600_000.0
     full.report()
     assert isinstance(full.ask(round(2.0 * depth)), Send)
@@ -106,9 +106,9 @@
     """Guards against a tenant that gets more of a full fleet by asking in large pieces."""
     full = Full()
     large, steps = 12 * MEAN, 400
-    tokens = full.router.terms[0][2].answer_ms / DECODE_MS + large
+    tokens = full.router.class_terms[0][2].mean_answer_ms / DECODE_MS_PER_TOKEN + large
     served = full.served([large] * steps)
-    mean = full.router.pool.request_tokens  # it has grown to what is asked: the slice is so many of them
+    mean = full.router.pool.mean_request_tokens  # it has grown to what is asked: the slice is so many of them
     assert 0 < len(served) * tokens <= mean * (QUOTA_PER_S * steps * STEP_MS / 1000.0 + SAVED) + tokens
 
 
@@ -119,7 +119,7 @@
         router = Router(make_settings(nodes=1, zones=1, classes=(cls,)), 1)
         router.handle(0.0, [serving("a", "b")])
         router.handle(1.0, [answered("a", 0.0), answered("b", 0.0)])
-        router.pool.lateness = lateness
+        router.pool.late_factor = lateness
         for n, prompt in enumerate((500, 4000, 40_000)):
             event = RequestArrived(f"q{n}", 0, 15000.0, prompt_tokens=prompt)
             assert isinstance(first_answer(router.handle(2.0 + n, [event])), Send), (lateness, prompt)
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -14,7 +14,7 @@
 
 from spoolbarrow import interface as i
 from spoolbarrow import wire
-from spoolbarrow.wirehost import serve
+from spoolbarrow.simulator_host import serve
 
 ROOT = Path(__file__).resolve().parent.parent
 PARAMS: dict[str, Any] = {
@@ -94,7 +94,7 @@
     assert event({"type": "Vanished", "Xid": "c"}) == i.RequestGone("c")
     assert event({"type": "Due", "Nonce": "t"}) == i.TimerFired("t")
     assert event({"type": "NoteFrom", "Src": 1, "Msg": "00"}) is None
-    for how, kind in wire.LISTS.items():
+    for how, kind in wire.LIST_KINDS.items():
         entry = {
             "Engine": "e",
             "Area": 1,
@@ -215,7 +215,7 @@
 
     def play(names: list[str], seed: str) -> list[dict[str, Any]]:
         done = subprocess.run(
-            [sys.executable, "-m", "spoolbarrow.wirehost"],
+            [sys.executable, "-m", "spoolbarrow.simulator_host"],
             input=day(names),
             capture_output=True,
             text=True,
