--- a/benchmarks/failover.py
+++ b/benchmarks/failover.py
@@ -24,7 +24,7 @@
 ROOT = Path(__file__).resolve().parent.parent
 sys.path[:0] = [str(ROOT)]
 
-from spoolbarrow.failover import State  # noqa: E402
+from spoolbarrow.failover import ZoneState  # noqa: E402
 from spoolbarrow.lab import cluster  # noqa: E402
 from spoolbarrow.lab.cluster import Cluster, Load  # noqa: E402
 from spoolbarrow.lab.scenario import convert  # noqa: E402
@@ -167,10 +167,10 @@
                 now - LOST_MS
                 for its in changes
                 for now, zone, state in its
-                if zone == "0" and state is State.FAILED
+                if zone == "0" and state is ZoneState.FAILED
             ]
             told["failed_falsely"] = sum(
-                zone != "0" and state is State.FAILED for its in changes for _, zone, state in its
+                zone != "0" and state is ZoneState.FAILED for its in changes for _, zone, state in its
             )
             told |= {
                 "routers": len(changes),
--- a/benchmarks/pools.py
+++ b/benchmarks/pools.py
@@ -142,14 +142,14 @@
             new = pools.decide(now, list(self.bodies.values()), self.decision)
             self.took_s.append(time.perf_counter() - begin)
             if new is not None:
-                self._note(now, split.read(new), split.read(self.decision))
+                self._note(now, split.decode_plan(new), split.decode_plan(self.decision))
                 self.decision = new
         pools.adopt(now, self.decision)
 
     def _note(self, now: float, new: split.Plan | None, old: split.Plan | None) -> None:
         assert new is not None, "what was decided can be read"
-        self.history.append((now, len(new.readers), new.why))
-        if new.readers != (old.readers if old is not None else []):
+        self.history.append((now, len(new.prefill_engines), new.reason))
+        if new.prefill_engines != (old.prefill_engines if old is not None else []):
             self.moves.append(now)
 
 
@@ -161,8 +161,8 @@
         self.hub = hub
         total = sum(t.portion for t in settings.tenants)
         self.pools = Pools(0.0, settings.classes, [t.portion / total for t in settings.tenants])
-        self.pool.side_of = self.pools.engine_reads
-        self.side = lambda event: self.pools.request_reads(event.cls, event.prompt_tokens)
+        self.pool.side_of = self.pools.is_prefill_engine
+        self.side = lambda event: self.pools.is_prefill_request(event.cls, event.prompt_tokens)
         self.open: dict[str, tuple[i.RequestArrived, float, float]] = {}  # when it came, its first token
         self.armed = False
 
@@ -180,10 +180,10 @@
         for action in actions:
             if isinstance(action, (i.Refuse, i.Fail)) and action.request in self.open:
                 event, _, _ = self.open.pop(action.request)
-                self.pools.notes.answered(now_ms, event.cls, event.tenant, 0, False, True)
+                self.pools.recorder.record_answer(now_ms, event.cls, event.tenant, 0, False, True)
         if turned:
             self.armed = True
-            self.pools.listed({
+            self.pools.set_engines({
                 name: Engine(str(r.kind), r.zone, 0.0 < now_ms - r.started_at < self.settings.cold_ms
                              and r.started_at > 0.0)
                 for name, r in self.pool.replicas.items() if r.serving
@@ -193,7 +193,7 @@
         return actions
 
     def _note(self, now: float, event: i.Event) -> None:
-        notes = self.pools.notes
+        notes = self.pools.recorder
         if isinstance(event, i.RequestArrived):
             self.open[event.request] = (event, now, 0.0)
         elif isinstance(event, i.StreamStarted) and event.request in self.open:
@@ -202,11 +202,11 @@
         elif isinstance(event, i.ProbeAnswered) and event.report is not None:
             replica, report = self.pool.replicas.get(event.replica), event.report
             if replica is not None:
-                notes.report(now, str(replica.kind), report.busy_share, report.memory_share)
+                notes.record_load(now, str(replica.kind), report.busy_share, report.memory_share)
         elif isinstance(event, i.RequestGone) and event.request in self.open:
             one, _, first = self.open.pop(event.request)
             self._asked(now, one, -1.0)
-            notes.answered(now, one.cls, one.tenant, 0, False, first == 0.0)
+            notes.record_answer(now, one.cls, one.tenant, 0, False, first == 0.0)
         elif isinstance(event, i.AttemptEnded) and event.closed and event.request in self.open:
             one, came, first = self.open.pop(event.request)
             whole = event.outcome is i.Outcome.SERVED
@@ -220,17 +220,17 @@
                 or first - came > cls.aim(one.prompt_tokens)
                 or (0.0 < cls.token_aim_ms < pace and tokens > 1)
             )
-            notes.answered(now, one.cls, one.tenant, tokens, whole, late)
+            notes.record_answer(now, one.cls, one.tenant, tokens, whole, late)
             replica = self.pool.replicas.get(event.replica)
             if whole and replica is not None:
                 sent = event.lag_ms - (now - first)
-                notes.engine(now, str(replica.kind), unread, sent, tokens, now - first)
+                notes.record_timing(now, str(replica.kind), unread, sent, tokens, now - first)
 
     def _asked(self, now: float, event: i.RequestArrived, unread: float) -> None:
-        notes = self.pools.notes
+        notes = self.pools.recorder
         if unread < 0.0:
-            unread = notes.expected(event.cls, event.tenant, event.prompt_tokens)
-        notes.asked(now, event.cls, event.tenant, event.prompt_tokens, unread)
+            unread = notes.expected_unread(event.cls, event.tenant, event.prompt_tokens)
+        notes.record_request(now, event.cls, event.tenant, event.prompt_tokens, unread)
 
 
 # --- days
@@ -375,7 +375,7 @@
         trace.flush()
         made = msgspec.structs.replace(made, load=msgspec.structs.replace(made.load, trace=trace.name))
         none, own = play(made, seed, fixed(frozenset(), 0)), learnt(made, seed)
-    slack = max(1, engines // split.STEP)
+    slack = max(1, engines // split.ENGINES_PER_MOVE)
     follows, settled = [], []
     for n in range(len(phases)):
         begin, end = n * phase_s * 1000.0, (n + 1) * phase_s * 1000.0
@@ -415,10 +415,10 @@
         left = round(rng.expovariate(1 / 600.0))
         prompts.append(prompt)
         wholes.append(whole)
-        pools.notes.asked(at, 0, 0, prompt, prompt)
-        pools.notes.answered(at, 0, 0, min(whole, left), whole <= left, False)
-    cell = pools.notes.seen.cells[0, 0]
-    told = {"prompt": cell.prompts, "answer, a third cut": sketch.survived(cell.ended, cell.cut),
+        pools.recorder.record_request(at, 0, 0, prompt, prompt)
+        pools.recorder.record_answer(at, 0, 0, min(whole, left), whole <= left, False)
+    cell = pools.recorder.stats.cells[0, 0]
+    told = {"prompt": cell.prompts, "answer, a third cut": sketch.kaplan_meier(cell.ended, cell.cut),
             "answer, cut ones left out": cell.ended}  # fmt: skip
     found = {}
     for name, counts in told.items():
--- a/benchmarks/sessions.py
+++ b/benchmarks/sessions.py
@@ -41,7 +41,7 @@
 from spoolbarrow.lab.simulate import Simulation  # noqa: E402
 from spoolbarrow.sessions import cells  # noqa: E402
 from spoolbarrow.sessions.model import Prediction  # noqa: E402
-from spoolbarrow.sessions.part import MOVING, UNKNOWN, Facts, Sessions, Settings  # noqa: E402
+from spoolbarrow.sessions.part import MAX_MOVED_SHARE, UNKNOWN_HINT, CacheHint, Sessions, Settings  # noqa: E402
 
 TENTHS_WITHIN, LEFT_LESS, ANEW_LESS, WORTH_WITHIN, COST_SHARE = 0.05, 1 / 3, 0.25, 0.005, 0.1
 ALIKE_LEAST = 100  # turns of which the very same was stated, before its doubt is judged
@@ -164,7 +164,7 @@
     swept = 0.0
 
     def end(one: Turn, at: float) -> Prediction | None:
-        return part.ended(at, one.session, f"e{one.session % 8}", one.answer, max(0, one.prompt - 500))
+        return part.answer_ended(at, one.session, f"e{one.session % 8}", one.answer, max(0, one.prompt - 500))
 
     for count, one in enumerate(day):
         while ends and ends[0][0] <= one.at:
@@ -173,7 +173,7 @@
         if one.at - swept >= 1000.0:
             part.sweep(one.at)
             swept = one.at
-        part.arrived(one.at, one.session, one.cls, one.tenant, one.prompt, 0)
+        part.request_arrived(one.at, one.session, one.cls, one.tenant, one.prompt, 0)
         heappush(ends, (one.at + 30.0 * one.answer, count, one))
     while ends:
         at, _, before = heappop(ends)
@@ -204,13 +204,13 @@
         for _, (one, found) in played(part, turns(shape, classes, rate, length, seed)):
             assert found is not None
             returns = float(one.away <= cells.HORIZON_MS)
-            row = tenths[min(9, int(found.chance * 10.0))]
+            row = tenths[min(9, int(found.return_chance * 10.0))]
             row[0] += 1
-            row[1] += found.chance
+            row[1] += found.return_chance
             row[2] += returns
-            brier.append((found.chance - returns) ** 2)
+            brier.append((found.return_chance - returns) ** 2)
             blank.append((back - returns) ** 2)
-            guess = part.predictor.left(found, one.number)
+            guess = part.predictor.turns_left(found, one.number)
             known = known_kind((ONCE, LOOP, TALK, CASE)[one.kind], one.number)
             off["known"].append(abs(known - one.left))
             off["own"].append(abs(guess - one.left))
@@ -218,13 +218,13 @@
             off["own2"].append((guess - one.left) ** 2)
             off["class2"].append((usual[one.cls] - one.left) ** 2)
             if returns:
-                off["half"].append(float(one.away <= found.half_ms))
+                off["half"].append(float(one.away <= found.median_return_ms))
             if one.session in due:
                 off["next"].append(abs(due.pop(one.session) - one.prompt) / one.prompt)
             if one.left:
-                due[one.session] = one.prompt + one.answer + found.growth
+                due[one.session] = one.prompt + one.answer + found.growth_tokens
             names[found.cluster] = names.get(found.cluster, 0) + 1
-            of = alike.setdefault((found.low, found.high, found.chance), [0, 0])
+            of = alike.setdefault((found.low, found.high, found.return_chance), [0, 0])
             of[0] += 1
             of[1] += returns
     told = [{"turns": int(n), "stated": round(s / n, 4), "seen": round(k / n, 4)} for n, s, k in tenths if n]
@@ -269,7 +269,7 @@
 class Engines(r.ReplicaPool):
     """The pool of the decisions, told of homes and of what engines keep."""
 
-    def __init__(self, settings: i.Settings, rng: Random, part: Sessions, facts: dict[str, Facts]) -> None:
+    def __init__(self, settings: i.Settings, rng: Random, part: Sessions, facts: dict[str, CacheHint]) -> None:
         super().__init__(settings, rng)
         self.part, self.facts = part, facts
         self.read = 0.0
@@ -288,15 +288,15 @@
         told = self.facts.get(request.id)
         self.read = super().reading(request, rank)
         if told is not None and told.home:
-            self.read = float(request.prompt - (told.kept if rank == 0 else 0))
+            self.read = float(request.prompt - (told.cached_tokens if rank == 0 else 0))
         return self.read
 
     def wait(self, replica: r.Replica, now: float, failing: bool = False) -> float:
         """Weighing a choice, also what it would push out."""
         found = super().wait(replica, now, failing)
-        if not failing or self.part.moving > MOVING:
+        if not failing or self.part.moved_share > MAX_MOVED_SHARE:
             return found
-        density = self.part.keeps(now, replica.id).density
+        density = self.part.engine_reservations(now, replica.id).reuse_density
         return found + PUSH * r.READ_PRICE / r.READ_RATE * density * self.read
 
 
@@ -307,13 +307,13 @@
         super().__init__(settings, who)
         self.asks = asks
 
-    def predicted(self, now: float, key: int, cell: int) -> Prediction:
+    def predict(self, now: float, key: int, cell: int) -> Prediction:
         """What will be."""
-        found = super().predicted(now, key, cell)
+        found = super().predict(now, key, cell)
         at = next((at for at in self.asks[key] if at > now), None)
         if at is None:
-            return replace(found, chance=0.0)
-        return replace(found, chance=1.0, late_chance=1.0, late_ms=at - now + TELL_MS)
+            return replace(found, return_chance=0.0)
+        return replace(found, return_chance=1.0, p90_return_chance=1.0, p90_return_ms=at - now + TELL_MS)
 
 
 class Told:
@@ -323,7 +323,7 @@
         told = Settings(routers=settings.nodes, slots=32_768)
         self.part = Sessions(told, seed) if asks is None else Knowing(told, seed, asks)
         assert self.part.adopt(0.0, body)
-        self.facts: dict[str, Facts] = {}
+        self.facts: dict[str, CacheHint] = {}
         self.router = r.Router(settings, seed)
         self.router.pool = Engines(settings, self.router.rng, self.part, self.facts)
         self.router.pool.full_ms = self.router.full_ms
@@ -336,16 +336,16 @@
             if isinstance(event, i.RequestArrived):
                 self.asked[event.request] = event
                 part, e = self.part, event
-                told = part.arrived(now, e.session, e.cls, e.tenant, e.prompt_tokens, e.shared_tokens)
+                told = part.request_arrived(now, e.session, e.cls, e.tenant, e.prompt_tokens, e.shared_tokens)
                 self.facts[event.request] = told
             elif isinstance(event, i.AttemptEnded) and event.outcome is i.Outcome.SERVED:
                 one = self.asked.get(event.request)
                 if one is not None:
-                    self.part.ended(now, one.session, event.replica, one.max_answer_tokens, event.kept_tokens)
+                    self.part.answer_ended(now, one.session, event.replica, one.max_answer_tokens, event.kept_tokens)
             elif isinstance(event, i.ReplicaList):
                 for line in event.entries:
                     serving = line.state is i.ReplicaState.SERVING
-                    self.part.engine(now, line.replica, serving, line.started_at_ms)
+                    self.part.update_engine(now, line.replica, serving, line.started_at_ms)
         if now - self.told_at >= TELL_MS:
             self.part.sweep(now)
             self.told_at = now
@@ -451,7 +451,7 @@
         "anew": anew, "anew_share": round(anew / max(1, back), 4),
         "first_p95_ms": round(percentile(first, 95), 1),
         "decision_us": report["run"]["decision_us_a_request"],
-        "reserved": sum(t.part.ledger.total for t in told),
+        "reserved": sum(t.part.reservations.reserved_tokens for t in told),
     }  # fmt: skip
 
 
@@ -532,11 +532,11 @@
 class Idle(Sessions):
     """Does nothing: what the measuring itself costs."""
 
-    def arrived(self, now: float, key: int, cls: int, tenant: int, prompt: int, shared: int) -> Facts:
+    def request_arrived(self, now: float, key: int, cls: int, tenant: int, prompt: int, shared: int) -> CacheHint:
         """Nothing."""
-        return UNKNOWN
+        return UNKNOWN_HINT
 
-    def ended(self, now: float, key: int, engine: str, answer: int, kept: int) -> Prediction | None:
+    def answer_ended(self, now: float, key: int, engine: str, answer: int, kept: int) -> Prediction | None:
         """Nothing."""
         return None
 
@@ -566,14 +566,14 @@
     assert part.adopt(0.0, body)
     for n in range(64):
         for poured in (100.0, 5e4, 2e5):
-            part.rooms.observe(n % 50, poured, poured, 1000, 1000 if poured < 1e5 else 0)
+            part.retention.observe(n % 50, poured, poured, 1000, 1000 if poured < 1e5 else 0)
     for n in range(100_000):
         key = rng.getrandbits(62) | 1
-        part.arrived(n * 0.1, key, n % 2, n % 5, rng.randint(100, 3000), 0)
-        part.ended(n * 0.1, key, f"e{n % 50}", rng.randint(30, 300), 0)
+        part.request_arrived(n * 0.1, key, n % 2, n % 5, rng.randint(100, 3000), 0)
+        part.answer_ended(n * 0.1, key, f"e{n % 50}", rng.randint(30, 300), 0)
     return {
-        "bytes": resident() - before, "columns": part.table.bytes(), "sessions": part.table.count,
-        "reservations": len(part.ledger.book),
+        "bytes": resident() - before, "columns": part.table.size_bytes(), "sessions": part.table.count,
+        "reservations": len(part.reservations.by_key),
     }  # fmt: skip
 
 
@@ -595,7 +595,7 @@
     ours = Sessions(Settings(slots=32_768), 7)
     assert ours.adopt(0.0, body)
     got = [
-        (found.chance - (one.away <= cells.HORIZON_MS)) ** 2
+        (found.return_chance - (one.away <= cells.HORIZON_MS)) ** 2
         for _, (one, found) in played(ours, iter(days[1]))
         if found is not None
     ]
--- a/spoolbarrow/agree/__init__.py
+++ b/spoolbarrow/agree/__init__.py
@@ -1,5 +1,5 @@
 """Versions of what routers share, and where routers contradict each other; free of I/O and clock."""
 
-from spoolbarrow.agree.versions import COMPARED, Difference, Item, Ledger, Version, differences, digest, files
+from spoolbarrow.agree.versions import COMPARED_ITEMS, Difference, VersionedItem, VersionTracker, Version, find_differences, digest, files_digest
 
-__all__ = ["COMPARED", "Difference", "Item", "Ledger", "Version", "differences", "digest", "files"]
+__all__ = ["COMPARED_ITEMS", "Difference", "VersionedItem", "VersionTracker", "Version", "find_differences", "digest", "files_digest"]
--- a/spoolbarrow/agree/versions.py
+++ b/spoolbarrow/agree/versions.py
@@ -16,7 +16,7 @@
 from msgspec import Struct
 
 
-class Item(Enum):
+class VersionedItem(Enum):
     """What has a version."""
 
     SETTINGS = "settings"  # the platform's, less what is each router's own
@@ -32,8 +32,8 @@
     DRAIN = "drain"  # whether operators sent this router's clients away: each router's own
 
 
-COMPARED = tuple(item for item in Item if item is not Item.DRAIN)
-OF_FILES = (Item.SETTINGS, Item.SHARES, Item.OPERATOR)  # the items that a reload changes
+COMPARED_ITEMS = tuple(item for item in VersionedItem if item is not VersionedItem.DRAIN)
+OF_FILES = (VersionedItem.SETTINGS, VersionedItem.SHARES, VersionedItem.OPERATOR)  # the items that a reload changes
 _canonical = msgspec.json.Encoder(order="sorted")
 
 
@@ -50,18 +50,18 @@
     return blake2b(_canonical.encode(value), digest_size=8).hexdigest()
 
 
-def files(told: Mapping[Item, str]) -> str:
+def files_digest(told: Mapping[VersionedItem, str]) -> str:
     """One digest of all that files say: what a router is told to adopt, or nothing."""
     return digest([told[item] for item in OF_FILES])
 
 
-class Ledger:
+class VersionTracker:
     """The versions that one router acts on."""
 
     def __init__(self) -> None:
-        self.versions: dict[Item, Version] = {}
+        self.versions: dict[VersionedItem, Version] = {}
 
-    def note(self, now: float, item: Item, number: int, contents: str) -> bool:
+    def record(self, now: float, item: VersionedItem, number: int, contents: str) -> bool:
         """It acts on contents of this digest now; whether that is another version."""
         old = self.versions.get(item)
         if old is not None and (old.number, old.digest) == (number, contents):
@@ -71,9 +71,9 @@
         self.versions[item] = Version(number, contents, since)
         return True
 
-    def refused(self, revision: int, contents: Mapping[Item, str]) -> str:
+    def refusal_reason(self, revision: int, contents: Mapping[VersionedItem, str]) -> str:
         """Why files of this revision must not be acted on, beginning with the key; empty: they may be."""
-        old = self.versions.get(Item.OPERATOR)
+        old = self.versions.get(VersionedItem.OPERATOR)
         if old is None:
             return ""
         if revision < old.number:
@@ -87,15 +87,15 @@
 class Difference(Struct, frozen=True):
     """An item on which routers act on more than one version."""
 
-    item: Item
+    item: VersionedItem
     since_ms: float  # the second of the versions came into force
     routers: Mapping[str, tuple[int, tuple[str, ...]]]  # by digest: its highest number, and who acts on it
 
 
-def differences(told: Mapping[str, Mapping[Item, Version]]) -> list[Difference]:
+def find_differences(told: Mapping[str, Mapping[VersionedItem, Version]]) -> list[Difference]:
     """Where routers, by name, contradict each other; what a router does not tell is no contradiction."""
     found = []
-    for item in COMPARED:
+    for item in COMPARED_ITEMS:
         groups: dict[str, list[tuple[str, Version]]] = {}
         for router, versions in told.items():
             if item in versions:
--- a/spoolbarrow/cli/agree.py
+++ b/spoolbarrow/cli/agree.py
@@ -7,7 +7,7 @@
 import click
 from msgspec import Struct
 
-from spoolbarrow.agree import COMPARED, Item, Version, differences, digest
+from spoolbarrow.agree import COMPARED_ITEMS, VersionedItem, Version, find_differences, digest
 from spoolbarrow.cli import tell
 from spoolbarrow.cli.calls import call, understood
 from spoolbarrow.cli.faults import NoAnswer, Refused
@@ -28,7 +28,7 @@
     router: str
     now_ms: float
     within_s: float
-    versions: dict[Item, Version]
+    versions: dict[VersionedItem, Version]
 
 
 class Checked(Struct):
@@ -85,9 +85,9 @@
     told = {f"{its.router} ({router})": its.versions for router, its in answers.items()}
     now = max(its.now_ms for its in answers.values())
     within = min(its.within_s for its in answers.values()) if within_s is None else within_s
-    found = {one.item: one for one in differences(told)}
+    found = {one.item: one for one in find_differences(told)}
     status = 0 if whole else 1
-    for item in COMPARED:
+    for item in COMPARED_ITEMS:
         if item not in found:
             version = next((versions[item] for versions in told.values() if item in versions), None)
             if version is None:
@@ -102,7 +102,7 @@
         for contents, (number, names) in found[item].routers.items():
             click.echo(f"  {_short(Version(number, contents, 0.0))}: {', '.join(names)}")
     for name, versions in told.items():
-        if Item.DRAIN in versions and versions[Item.DRAIN].digest == DRAINED:
+        if VersionedItem.DRAIN in versions and versions[VersionedItem.DRAIN].digest == DRAINED:
             click.echo(f"drained by hand: {name}")
     return status
 
--- a/spoolbarrow/failover/verdicts.py
+++ b/spoolbarrow/failover/zone_health.py
@@ -6,7 +6,7 @@
 all routers read that list.
 
 Silence is no failure by itself: an endpoint that let a short probe or a request wait in vain is in doubt,
-since a slow or busy one does that too. Where most of a zone's endpoints are in doubt, `to_check` names some
+since a slow or busy one does that too. Where most of a zone's endpoints are in doubt, `endpoints_to_check` names some
 to be asked with patience, and what comes of that is their outcome. A failed zone is asked so as well, and
 not brought back on clients' requests before its endpoints answer; so is one that this router has no word of,
 so that routers which send nothing there reach the verdict of those that do.
@@ -31,7 +31,7 @@
 from msgspec import Struct, field
 
 
-class State(Enum):
+class ZoneState(Enum):
     """What a zone or region is taken for."""
 
     HEALTHY = "healthy"
@@ -59,7 +59,7 @@
     regions: Mapping[str, tuple[str, ...]] = field(default_factory=dict)  # region: its zones
 
 
-class Heard(Struct, frozen=True):
+class EndpointOutcome(Struct, frozen=True):
     """One outcome of an attempt, probe or check: `ok` for an answer, None for one not waited for to the end,
     else a failed connection or long silence."""
 
@@ -72,31 +72,31 @@
 class Evidence(Struct, frozen=True):
     """What a router has: the list (endpoint: zone, in service or not) and outcomes since the last call."""
 
-    listed: Mapping[str, tuple[str, bool]]
-    heard: tuple[Heard, ...] = ()
+    endpoints: Mapping[str, tuple[str, bool]]
+    outcomes: tuple[EndpointOutcome, ...] = ()
 
 
 class Verdict(Struct, frozen=True):
     """A zone's or region's verdict since `since_ms`, why, and the share of its fair load it may take."""
 
-    state: State
+    state: ZoneState
     reason: str
     since_ms: float
-    share: float = 1.0
+    load_share: float = 1.0
 
 
 class _Zone:
     __slots__ = ("state", "reason", "since", "sick_since", "hold", "healthy_since", "listed", "checked_at")
 
     def __init__(self, hold: float) -> None:
-        self.state, self.reason, self.since = State.HEALTHY, "no fault seen", 0.0
+        self.state, self.reason, self.since = ZoneState.HEALTHY, "no fault seen", 0.0
         self.sick_since: float | None = None
         self.checked_at = 0.0  # some of its endpoints were last named to be asked
         self.hold, self.healthy_since = hold, 0.0
         self.listed = False  # some endpoint of it has been in service: before that, none is no fault
 
 
-class Verdicts:
+class ZoneHealthTracker:
     """Verdicts of one router; its tables hold listed endpoints and configured or listed zones only.
 
     A call costs what was heard within the window, not the size of the fleet: a list that is the same object
@@ -107,21 +107,21 @@
         self.settings = settings
         self._listed: Mapping[str, tuple[str, bool]] = {}
         self._serving: dict[str, list[str]] = {}  # listed endpoints in service, by zone
-        self._last: dict[str, Heard] = {}  # each listed endpoint's last outcome; the latest heard is last
+        self._last: dict[str, EndpointOutcome] = {}  # each listed endpoint's last outcome; the latest heard is last
         self._doubted: set[str] = set()  # those that have let something wait in vain since they last answered
         self._checked: dict[str, float] = {}  # when each was last named to be asked
         self._zones: dict[str, _Zone] = {}
         for zone in (*zones, *(z for members in settings.regions.values() for z in members)):
             self._zones.setdefault(zone, _Zone(settings.hold_ms))
 
-    def handle(self, now: float, evidence: Evidence) -> dict[str, Verdict]:
+    def update(self, now: float, evidence: Evidence) -> dict[str, Verdict]:
         """Take new outcomes and the list as it is now; return the verdict of every zone and region by name.
 
         Outcomes of endpoints that are not listed are dropped, and so are older ones than an endpoint's last.
         """
-        if evidence.listed is not self._listed:
-            self._read_list(evidence.listed)
-        for heard in evidence.heard:
+        if evidence.endpoints is not self._listed:
+            self._read_list(evidence.endpoints)
+        for heard in evidence.outcomes:
             last = self._last.get(heard.endpoint)
             if heard.endpoint not in self._listed or (last is not None and heard.at_ms < last.at_ms):
                 continue
@@ -145,7 +145,7 @@
             verdicts[region] = self._region(members, verdicts)
         return verdicts
 
-    def to_check(self, now: float) -> list[str]:
+    def endpoints_to_check(self, now: float) -> list[str]:
         """Endpoints to be asked now whether they answer: of zones in doubt, failed, or not heard from.
 
         Named are those not asked for longest, once in `check_ms` for each zone: `check_most`, or as many as
@@ -161,7 +161,7 @@
             sure = sum(one.endpoint not in self._doubted for one in heard)
             doubt = doubts[zone] >= s.min_failing and doubts[zone] >= s.fail_share * (doubts[zone] + sure)
             unheard = len(heard) < min(s.min_failing, len(names))
-            many = s.check_most if doubt or its.state is State.FAILED else s.min_failing * unheard
+            many = s.check_most if doubt or its.state is ZoneState.FAILED else s.min_failing * unheard
             if many and now - its.checked_at >= s.check_ms:
                 its.checked_at = now
                 names.sort(key=lambda name: (self._checked.get(name, 0.0), name))
@@ -182,9 +182,9 @@
                 del table[name]
         self._doubted &= listed.keys()
 
-    def _recent(self, now: float) -> dict[str, list[Heard]]:
+    def _recent(self, now: float) -> dict[str, list[EndpointOutcome]]:
         """What was heard within the window, by zone."""
-        found: dict[str, list[Heard]] = {}
+        found: dict[str, list[EndpointOutcome]] = {}
         window = self.settings.window_ms
         for heard in reversed(self._last.values()):
             age = now - heard.at_ms
@@ -194,7 +194,7 @@
                 found.setdefault(self._listed[heard.endpoint][0], []).append(heard)
         return found
 
-    def _slow(self, recent: Mapping[str, list[Heard]]) -> set[str]:
+    def _slow(self, recent: Mapping[str, list[EndpointOutcome]]) -> set[str]:
         waits = {
             zone: [one.wait_ms for one in heard if one.ok and one.wait_ms >= 0]
             for zone, heard in recent.items()
@@ -209,7 +209,7 @@
     def _elsewhere(self, name: str) -> bool:
         """Whether another zone has endpoints in service and has not failed."""
         return any(
-            zone.state is not State.FAILED and self._serving.get(other)
+            zone.state is not ZoneState.FAILED and self._serving.get(other)
             for other, zone in self._zones.items()
             if other != name
         )
@@ -228,40 +228,40 @@
             zone.sick_since = now
         confirmed = zone.sick_since is not None and now - zone.sick_since >= s.confirm_ms
         answers = not s.checks or well >= min(s.min_failing, serving)
-        if empty and state in (State.HEALTHY, State.SUSPECT, State.RETURNING):
+        if empty and state in (ZoneState.HEALTHY, ZoneState.SUSPECT, ZoneState.RETURNING):
             self._fail(now, zone, "none of its endpoints in service")
-        elif sick and state is State.RETURNING and elsewhere:
+        elif sick and state is ZoneState.RETURNING and elsewhere:
             self._fail(now, zone, f"{failing} of {failing + well} endpoints heard from fail again")
-        elif confirmed and state is State.SUSPECT and elsewhere:
+        elif confirmed and state is ZoneState.SUSPECT and elsewhere:
             self._fail(now, zone, f"{failing} of {failing + well} endpoints heard from fail")
-        elif sick and state is State.HEALTHY:
-            self._set(now, zone, State.SUSPECT, f"{failing} of {failing + well} endpoints heard from fail")
-        elif not sick and state is State.SUSPECT and not slow:
-            self._set(now, zone, State.HEALTHY, "no fault seen")
-        elif slow and state is State.HEALTHY:
-            self._set(now, zone, State.SUSPECT, "slow: its waits several times the others'")
-        elif state is State.FAILED and not empty and not sick and answers and now - zone.since >= zone.hold:
-            self._set(now, zone, State.RETURNING, f"back after {zone.hold / 1000:g} s")
-        elif state is State.RETURNING and now - zone.since >= s.ramp_ms:
-            self._set(now, zone, State.HEALTHY, "returned")
+        elif sick and state is ZoneState.HEALTHY:
+            self._set(now, zone, ZoneState.SUSPECT, f"{failing} of {failing + well} endpoints heard from fail")
+        elif not sick and state is ZoneState.SUSPECT and not slow:
+            self._set(now, zone, ZoneState.HEALTHY, "no fault seen")
+        elif slow and state is ZoneState.HEALTHY:
+            self._set(now, zone, ZoneState.SUSPECT, "slow: its waits several times the others'")
+        elif state is ZoneState.FAILED and not empty and not sick and answers and now - zone.since >= zone.hold:
+            self._set(now, zone, ZoneState.RETURNING, f"back after {zone.hold / 1000:g} s")
+        elif state is ZoneState.RETURNING and now - zone.since >= s.ramp_ms:
+            self._set(now, zone, ZoneState.HEALTHY, "returned")
             zone.healthy_since = now
-        if zone.state is State.HEALTHY and now - zone.healthy_since >= s.hold_most_ms:
+        if zone.state is ZoneState.HEALTHY and now - zone.healthy_since >= s.hold_most_ms:
             zone.hold, zone.healthy_since = s.hold_ms, now
 
     def _fail(self, now: float, zone: _Zone, reason: str) -> None:
-        if zone.state is State.RETURNING:  # failed again before it was whole: wait longer next time
+        if zone.state is ZoneState.RETURNING:  # failed again before it was whole: wait longer next time
             zone.hold = min(self.settings.hold_most_ms, 2 * zone.hold)
-        self._set(now, zone, State.FAILED, reason)
+        self._set(now, zone, ZoneState.FAILED, reason)
 
     @staticmethod
-    def _set(now: float, zone: _Zone, state: State, reason: str) -> None:
+    def _set(now: float, zone: _Zone, state: ZoneState, reason: str) -> None:
         zone.state, zone.reason, zone.since = state, reason, now
 
     def _share(self, now: float, zone: _Zone) -> float:
         s = self.settings
-        if zone.state is State.FAILED:
+        if zone.state is ZoneState.FAILED:
             return 0.0
-        if zone.state is State.RETURNING:
+        if zone.state is ZoneState.RETURNING:
             return min(1.0, s.ramp_start + (1 - s.ramp_start) * (now - zone.since) / s.ramp_ms)
         return 1.0
 
@@ -269,38 +269,38 @@
     def _region(members: tuple[str, ...], verdicts: Mapping[str, Verdict]) -> Verdict:
         own = [verdicts[zone] for zone in members]
         states = {v.state for v in own}
-        if states == {State.FAILED}:
-            return Verdict(State.FAILED, "all its zones failed", max(v.since_ms for v in own), 0.0)
-        if states <= {State.FAILED, State.RETURNING}:
-            back = [v for v in own if v.state is State.RETURNING]
+        if states == {ZoneState.FAILED}:
+            return Verdict(ZoneState.FAILED, "all its zones failed", max(v.since_ms for v in own), 0.0)
+        if states <= {ZoneState.FAILED, ZoneState.RETURNING}:
+            back = [v for v in own if v.state is ZoneState.RETURNING]
             return Verdict(
-                State.RETURNING,
+                ZoneState.RETURNING,
                 "a zone returns",
                 min(v.since_ms for v in back),
-                sum(v.share for v in own) / len(own),
+                sum(v.load_share for v in own) / len(own),
             )
-        if states & {State.FAILED, State.SUSPECT, State.RETURNING}:
-            sick = [v for v in own if v.state is not State.HEALTHY]
+        if states & {ZoneState.FAILED, ZoneState.SUSPECT, ZoneState.RETURNING}:
+            sick = [v for v in own if v.state is not ZoneState.HEALTHY]
             return Verdict(
-                State.SUSPECT,
+                ZoneState.SUSPECT,
                 f"{len(sick)} of {len(own)} zones not healthy",
                 min(v.since_ms for v in sick),
-                sum(v.share for v in own) / len(own),
+                sum(v.load_share for v in own) / len(own),
             )
-        return Verdict(State.HEALTHY, "all its zones healthy", 0.0)
+        return Verdict(ZoneState.HEALTHY, "all its zones healthy", 0.0)
 
 
-def masks(
+def zones_to_mask(
     told: Mapping[str, Verdict], listed: Mapping[str, tuple[str, bool]]
 ) -> tuple[frozenset[str], dict[str, float]]:
     """Of the listed zones: those to take no new work, and those that began anew, with when (ms).
 
     Where nothing would be left in service, none is taken out: the decisions carry on as without failover.
     """
-    if all(one.state in (State.HEALTHY, State.SUSPECT) for one in told.values()):
+    if all(one.state in (ZoneState.HEALTHY, ZoneState.SUSPECT) for one in told.values()):
         return frozenset(), {}
     zones = {zone for zone, _ in listed.values()}
-    out = frozenset(zone for zone in zones if told[zone].state is State.FAILED)
+    out = frozenset(zone for zone in zones if told[zone].state is ZoneState.FAILED)
     if out and all(zone in out for zone, serves in listed.values() if serves):
         out = frozenset()
-    return out, {zone: told[zone].since_ms for zone in zones if told[zone].state is State.RETURNING}
+    return out, {zone: told[zone].since_ms for zone in zones if told[zone].state is ZoneState.RETURNING}
--- a/spoolbarrow/fleet/documents.py
+++ b/spoolbarrow/fleet/documents.py
@@ -15,15 +15,15 @@
 
 from spoolbarrow.errors import Problem
 
-MOST_BODY = 65_536  # bytes of a summary's or a decision's body
-MOST_NAME = 128  # characters of a router's name or an incarnation
+MAX_BODY_BYTES = 65_536  # bytes of a summary's or a decision's body
+MAX_NAME_CHARS = 128  # characters of a router's name or an incarnation
 MOST_NUMBER = 1 << 62  # of a sequence, an epoch: a hostile one must not end what counts upwards
-EVIDENCE, STANDING = "fleet/evidence/", "fleet/standing/"  # KIND/ROUTER, or KIND, follows
-SHARED = "shared/"  # what operators say to all routers: SUSPENSIONS, SHARES
-SUSPENSIONS, SHARES = SHARED + "suspensions", SHARED + "shares"
+EVIDENCE_PREFIX, STANDING_PREFIX = "fleet/evidence/", "fleet/standing/"  # KIND/ROUTER, or KIND, follows
+SHARED_PREFIX = "shared/"  # what operators say to all routers: SUSPENSIONS_KEY, SHARES_KEY
+SUSPENSIONS_KEY, SHARES_KEY = SHARED_PREFIX + "suspensions", SHARED_PREFIX + "shares"
 
 
-class Garbage(Problem):
+class InvalidDocument(Problem):
     """A document of the store that can't be read or says what can't be."""
 
     remedy = "Write the document anew with `spoolbarrow store put`; routers keep what they had meanwhile."
@@ -57,7 +57,7 @@
     body: bytes
 
 
-class Standing(Struct, frozen=True):
+class LeaseRecord(Struct, frozen=True):
     """Lease and decision in one document, under `fleet/standing/KIND`: taking over fences by itself.
 
     `epoch` is the revision that the document had when the lease was taken over: the store lets one
@@ -75,7 +75,7 @@
     kind: str  # a word; part of the keys above
 
     def summary(self, now: float) -> bytes:
-        """What this router has seen, at most MOST_BODY bytes; the whole of it each time, not what is new."""
+        """What this router has seen, at most MAX_BODY_BYTES bytes; the whole of it each time, not what is new."""
         ...
 
     def decide(self, now: float, bodies: Sequence[bytes], last: bytes | None) -> bytes | None:
@@ -91,20 +91,20 @@
         ...
 
 
-T = TypeVar("T", Summary, Standing)
+T = TypeVar("T", Summary, LeaseRecord)
 
 
-def write(document: Summary | Standing) -> bytes:
+def encode_document(document: Summary | LeaseRecord) -> bytes:
     """A document's text."""
     return msgspec.json.encode(document)
 
 
-def read(key: str, text: bytes | str, form: type[T]) -> T:
-    """The document in a text; Garbage where it is none, too long, or a number is out of all bounds."""
+def decode_document(key: str, text: bytes | str, form: type[T]) -> T:
+    """The document in a text; InvalidDocument where it is none, too long, or a number is out of all bounds."""
     try:
         document = msgspec.json.decode(text, type=form)
     except (msgspec.DecodeError, RecursionError) as error:
-        raise Garbage(key, str(error)) from None
+        raise InvalidDocument(key, str(error)) from None
     if isinstance(document, Summary):
         names, counts, bodies = [document.router, document.incarnation], [document.sequence], [document.body]
     else:
@@ -114,19 +114,19 @@
             counts += [decision.epoch, decision.number]
             bodies.append(decision.body)
             if not (0 < decision.ttl_ms < MOST_NUMBER and decision.epoch <= document.epoch):
-                raise Garbage(key, "a decision with an impossible time to live or epoch")
+                raise InvalidDocument(key, "a decision with an impossible time to live or epoch")
         if not 0 < lease.ttl_ms < MOST_NUMBER:
-            raise Garbage(key, "a lease with an impossible time to live")
-    if not all(0 < len(name) <= MOST_NAME for name in names):
-        raise Garbage(key, "a name that is empty or too long")
+            raise InvalidDocument(key, "a lease with an impossible time to live")
+    if not all(0 < len(name) <= MAX_NAME_CHARS for name in names):
+        raise InvalidDocument(key, "a name that is empty or too long")
     if not all(0 <= count < MOST_NUMBER for count in counts):
-        raise Garbage(key, "a count out of bounds")
-    if any(len(body) > MOST_BODY for body in bodies):
-        raise Garbage(key, f"a body of more than {MOST_BODY} bytes")
+        raise InvalidDocument(key, "a count out of bounds")
+    if any(len(body) > MAX_BODY_BYTES for body in bodies):
+        raise InvalidDocument(key, f"a body of more than {MAX_BODY_BYTES} bytes")
     return document
 
 
-class InCommon(Protocol):
+class SharedState(Protocol):
     """What this router knows together with others."""
 
     def versions(self) -> dict[str, tuple[int, str]]:
--- a/spoolbarrow/fleet/roll.py
+++ b/spoolbarrow/fleet/membership.py
@@ -12,15 +12,15 @@
 import msgspec
 from msgspec import Meta
 
-from spoolbarrow.fleet.documents import MOST_NAME
+from spoolbarrow.fleet.documents import MAX_NAME_CHARS
 
 MOST_ROUTERS = 256
-Name = Annotated[str, Meta(min_length=1, max_length=MOST_NAME)]
+Name = Annotated[str, Meta(min_length=1, max_length=MAX_NAME_CHARS)]
 _summary = msgspec.json.Decoder(Name)
 _decision = msgspec.json.Decoder(Annotated[list[Name], Meta(max_length=MOST_ROUTERS)])
 
 
-class Roll:
+class Membership:
     """One router's roll."""
 
     kind = "roll"
--- a/spoolbarrow/fleet/safer.py
+++ b/spoolbarrow/fleet/shared_document.py
@@ -20,7 +20,7 @@
 from msgspec import Meta, Struct
 from msgspec.structs import replace
 
-from spoolbarrow.fleet.documents import SHARES, SUSPENSIONS, Garbage
+from spoolbarrow.fleet.documents import SHARES_KEY, SUSPENSIONS_KEY, InvalidDocument
 from spoolbarrow.interface import Tenant
 
 MOST_NAMES = 4096
@@ -53,7 +53,7 @@
 def smaller(one: Shares, other: Shares) -> Shares:
     """For each tenant the smaller of both; what only one version names is as that one has it.
 
-    The router's own file stands beside a version that does not name a tenant: `lay` weighs it in.
+    The router's own file stands beside a version that does not name a tenant: `overlay_shares` weighs it in.
     """
     return {
         name: Share(
@@ -64,7 +64,7 @@
     }
 
 
-def lay(
+def overlay_shares(
     shares: Shares, names: dict[str, int], tenants: tuple[Tenant, ...], widen: bool
 ) -> tuple[Tenant, ...]:
     """The tenants of a router's own file with the shared figures; names that it does not have are left out.
@@ -93,9 +93,9 @@
     safer: Callable[[Any, Any], Any]
 
 
-KINDS = {
-    SUSPENSIONS: Kind(lambda text: frozenset(_suspensions.decode(text)), frozenset(), frozenset.union),
-    SHARES: Kind(_shares.decode, {}, smaller),
+DOCUMENT_KINDS = {
+    SUSPENSIONS_KEY: Kind(lambda text: frozenset(_suspensions.decode(text)), frozenset(), frozenset.union),
+    SHARES_KEY: Kind(_shares.decode, {}, smaller),
 }
 
 
@@ -114,20 +114,20 @@
     value: Any
 
 
-class Shared:
+class SharedDocument:
     """One document as one router knows it."""
 
     def __init__(self, key: str, within_ms: float) -> None:
         self.key, self.within_ms = key, within_ms
-        self._kind = KINDS[key]
+        self._kind = DOCUMENT_KINDS[key]
         self.newest: Version | None = None
         self.before: Version | None = None  # None: the change since is settled
         self._learnt_at = 0.0
         self._word_at = -1e18
-        self.garbage = 0  # revisions that could not be read: the one before stands
+        self.invalid_count = 0  # revisions that could not be read: the one before stands
 
     def learn(self, now: float, revision: int, text: str) -> None:
-        """A version that is committed; Garbage where it can't be read: what was known stands.
+        """A version that is committed; InvalidDocument where it can't be read: what was known stands.
 
         One that is not newer says nothing.
         """
@@ -136,13 +136,13 @@
         try:
             value = self._kind.read(text)
         except (msgspec.DecodeError, RecursionError) as error:
-            self.garbage += 1
-            raise Garbage(self.key, str(error)) from None
+            self.invalid_count += 1
+            raise InvalidDocument(self.key, str(error)) from None
         first = self.newest is None
         self.before = Version(0, self._kind.none) if first else self.newest
         self.newest, self._learnt_at = Version(revision, value), now
 
-    def word(self, now: float) -> None:
+    def confirm(self, now: float) -> None:
         """The store has just been heard, asked at `now`: what is known is what is committed."""
         self._word_at = now
         if now - self._learnt_at > self.within_ms:
@@ -154,15 +154,15 @@
             return Mode.NONE
         return Mode.COMMITTED if now - self._word_at <= self.within_ms else Mode.SAFER
 
-    def unsettled(self, now: float) -> bool:
+    def is_unsettled(self, now: float) -> bool:
         """Whether it goes by two versions now."""
         return self.mode(now) is Mode.SAFER and self.before is not None
 
-    def acts(self, now: float) -> Any:
+    def effective(self, now: float) -> Any:
         """The contents to act on now."""
         if self.newest is None:
             return self._kind.none
-        if not self.unsettled(now):
+        if not self.is_unsettled(now):
             return self.newest.value
         assert self.before is not None
         return self._kind.safer(self.before.value, self.newest.value)
--- a/spoolbarrow/fleet/evidence.py
+++ b/spoolbarrow/fleet/summary_table.py
@@ -13,9 +13,9 @@
 
 from msgspec import Struct
 
-from spoolbarrow.fleet.documents import EVIDENCE, MOST_NAME, Garbage, Summary, read
+from spoolbarrow.fleet.documents import EVIDENCE_PREFIX, MAX_NAME_CHARS, InvalidDocument, Summary, decode_document
 
-MOST_ROUTERS = 256  # with MOST_BODY each: 16 MiB at the worst, at the lease's holder alone
+MOST_ROUTERS = 256  # with MAX_BODY_BYTES each: 16 MiB at the worst, at the lease's holder alone
 
 
 class Entry(Struct, frozen=True):
@@ -27,26 +27,26 @@
     moved: bool
 
 
-class Table:
+class SummaryTable:
     """By router; `dropped` counts documents that were unreadable, foreign or beyond the bound."""
 
     def __init__(self, kind: str) -> None:
-        self._prefix = f"{EVIDENCE}{kind}/"
+        self._prefix = f"{EVIDENCE_PREFIX}{kind}/"
         self._entries: dict[str, Entry] = {}
         self.dropped = 0
 
-    def take(self, now: float, key: str, revision: int, text: bytes | str) -> None:
+    def add(self, now: float, key: str, revision: int, text: bytes | str) -> None:
         """A document of the store, perhaps told before or late."""
         router = key.removeprefix(self._prefix)
-        if router == key or not 0 < len(router) <= MOST_NAME:
+        if router == key or not 0 < len(router) <= MAX_NAME_CHARS:
             self.dropped += 1
             return
         old = self._entries.get(router)
         if old is not None and revision <= old.revision:
             return
         try:
-            summary: Summary | None = read(key, text, Summary)
-        except Garbage:
+            summary: Summary | None = decode_document(key, text, Summary)
+        except InvalidDocument:
             summary = None
         if summary is not None and summary.router != router:
             summary = None  # a router speaks for itself alone
@@ -60,7 +60,7 @@
         """What stands of each router: the same for all tables that were told the same."""
         return {name: (e.revision, e.summary) for name, e in sorted(self._entries.items())}
 
-    def bodies(self, now: float, age_ms: float) -> list[bytes]:
+    def live_bodies(self, now: float, age_ms: float) -> list[bytes]:
         """The bodies that count now, in one order whatever came first.
 
         Those count whose router wrote within `age_ms`, seen by this reader's own clock to have moved: a
@@ -73,13 +73,13 @@
         ]
         return [body for _, body in sorted(counting)]
 
-    def tidy(self, now: float, age_ms: float) -> None:
+    def remove_stale(self, now: float, age_ms: float) -> None:
         """Forget routers that have said nothing for four times the age: they have gone for good."""
         for router, entry in list(self._entries.items()):
             if now - entry.seen_at > 4 * age_ms:
                 del self._entries[router]
 
 
-def incarnation(entropy: bytes) -> str:
+def new_incarnation(entropy: bytes) -> str:
     """A process's name for its documents: no two are the same; their order is the store's."""
     return hashlib.blake2b(entropy, digest_size=8).hexdigest()
--- a/spoolbarrow/lab/followed.py
+++ b/spoolbarrow/lab/followed.py
@@ -13,7 +13,7 @@
 from urllib.parse import quote
 
 from spoolbarrow.agree import digest
-from spoolbarrow.fleet.documents import SUSPENSIONS
+from spoolbarrow.fleet.documents import SUSPENSIONS_KEY
 from spoolbarrow.lab.cluster import HOST, LIFE_S, Cluster, Process
 
 
@@ -77,7 +77,7 @@
         told: dict[str, Any] = self.fleet(number)["parts"][kind]
         return told
 
-    def mode(self, number: int, key: str = SUSPENSIONS) -> str:
+    def mode(self, number: int, key: str = SUSPENSIONS_KEY) -> str:
         """By what a router goes about a shared document."""
         return str(self.fleet(number)["documents"][key]["mode"])
 
@@ -98,7 +98,7 @@
         """Until these routers act on that version of the suspensions, and suspend these engines."""
         numbers = list(range(len(self.ports)) if routers is None else routers)
         wanted = {(revision, digest(sorted(engines)))}
-        until(lambda: {self.acts(n, SUSPENSIONS) for n in numbers} == wanted, seconds or self.bound_s)
+        until(lambda: {self.acts(n, SUSPENSIONS_KEY) for n in numbers} == wanted, seconds or self.bound_s)
 
     def wait_called(self, names: Sequence[str], routers: Iterable[int] | None = None) -> None:
         """Until these routers act on one decision of the roll, which names these."""
--- a/spoolbarrow/lab/leases.py
+++ b/spoolbarrow/lab/leases.py
@@ -15,8 +15,8 @@
 
 from msgspec import Struct
 
-from spoolbarrow.fleet.documents import Standing, read, write
-from spoolbarrow.fleet.lease import STANDS, Acting, Claim, Put, Seen, seen
+from spoolbarrow.fleet.documents import LeaseRecord, decode_document, encode_document
+from spoolbarrow.fleet.lease import DECISION_TTL_LEASES, ActiveDecision, LeaseClaim, ConditionalWrite, ObservedRecord, decode_record
 
 KEY = "fleet/standing/history"
 TTL_MS, PERIOD_MS = 4000.0, 500.0
@@ -42,8 +42,8 @@
     def begin(self) -> None:
         """A process that knows nothing."""
         self.processes += 1
-        self.claim = Claim(self.name, f"{self.name}.{self.processes}", TTL_MS)
-        self.acting = Acting(STANDS * TTL_MS)
+        self.claim = LeaseClaim(self.name, f"{self.name}.{self.processes}", TTL_MS)
+        self.acting = ActiveDecision(DECISION_TTL_LEASES * TTL_MS)
 
     def clock(self, now: float) -> float:
         """Its own."""
@@ -65,16 +65,16 @@
     def __init__(self, seed: int, routers: int, fenced: bool) -> None:
         self.random, self.fenced = Random(seed), fenced
         self.routers = [Router(f"r{n}", self.random) for n in range(routers)]
-        self.written: list[tuple[float, Seen]] = [(0.0, Seen(0))]
+        self.written: list[tuple[float, ObservedRecord]] = [(0.0, ObservedRecord(0))]
         self.revision = 0
         self.bodies: dict[tuple[int, int], bytes] = {}
         self.replaced: dict[tuple[int, int], float] = {}
         self.played = Played(0, 0, 0, 0)
         self.faulty = True
-        self._heap: list[tuple[float, int, int, Put | None]] = []
+        self._heap: list[tuple[float, int, int, ConditionalWrite | None]] = []
         self._order = count()
 
-    def at(self, when: float, router: int, put: Put | None = None) -> None:
+    def at(self, when: float, router: int, put: ConditionalWrite | None = None) -> None:
         """A router's turn, or a write of it that arrives."""
         heappush(self._heap, (when, next(self._order), router, put))
 
@@ -99,11 +99,11 @@
         if not self.faulty or chance() < 0.8:
             old = now - (self.random.uniform(0, LAG_MS) if self.faulty and chance() < 0.5 else 0.0)
             found = next(one for at, one in reversed(self.written) if at <= max(0.0, old))
-            router.claim.see(clock, found)
-            router.acting.see(clock, found)
+            router.claim.observe(clock, found)
+            router.acting.observe(clock, found)
         self.look(now, router)
         wish = b"%d by %s" % (now // 3000, router.name.encode()) if router.claim.holds() else None
-        put = router.claim.handle(clock, wish)
+        put = router.claim.next_write(clock, wish)
         fault = chance() if self.faulty else 1.0
         if fault < 0.02:
             router.begin()
@@ -116,18 +116,18 @@
             late = router.stopped_until - now  # it was stopped before the write left
         self.at(now + late, number, put)
 
-    def arrive(self, now: float, put: Put) -> None:
+    def arrive(self, now: float, put: ConditionalWrite) -> None:
         """The store's side of a write."""
-        if self.fenced and put.expect != self.revision:
+        if self.fenced and put.expected_revision != self.revision:
             self.played.refused += 1
             return
         self.revision += 1 + self.random.randrange(3)  # other documents are written in between
-        before = self.written[-1][1].standing
-        stands = seen(KEY, self.revision, write(put.standing).decode())
+        before = self.written[-1][1].record
+        stands = decode_record(KEY, self.revision, encode_document(put.record).decode())
         self.written.append((now, stands))
-        self.hold(now, before, read(KEY, write(put.standing), Standing))
+        self.hold(now, before, decode_document(KEY, encode_document(put.record), LeaseRecord))
 
-    def hold(self, now: float, before: Standing | None, after: Standing) -> None:
+    def hold(self, now: float, before: LeaseRecord | None, after: LeaseRecord) -> None:
         """What must hold of each write."""
         if before is not None and after.epoch < before.epoch:
             raise Broken(f"epoch {after.epoch} after {before.epoch}")
@@ -149,14 +149,14 @@
 
     def look(self, now: float, router: Router) -> None:
         """What must hold of what a router acts on."""
-        acts = router.acting.acts(router.clock(now))
+        acts = router.acting.current(router.clock(now))
         self.played.fallbacks += acts is None and router.acting.decision is not None
         if acts is None:
             return
         if self.bodies.get((acts.epoch, acts.number)) != acts.body:
             raise Broken("acts on what was never written")
         gone = self.replaced.get((acts.epoch, acts.number), now)
-        if now - gone > STANDS * TTL_MS * (1 + SKEW) / (1 - SKEW) + LAG_MS:
+        if now - gone > DECISION_TTL_LEASES * TTL_MS * (1 + SKEW) / (1 - SKEW) + LAG_MS:
             raise Broken(f"acts on a decision replaced {now - gone:.0f} ms ago")
 
 
@@ -166,8 +166,8 @@
     end = seconds * 1000
     history.run(end)
     awake = [router for router in history.routers if router.stopped_until < end - QUIET_MS]
-    acts = {router.acting.acts(router.clock(end)) for router in awake}
-    standing = history.written[-1][1].standing
+    acts = {router.acting.current(router.clock(end)) for router in awake}
+    standing = history.written[-1][1].record
     assert standing is not None
     numbers = {(one.epoch, one.number) if one is not None else None for one in acts}
     if None in numbers or len(numbers) > 2:  # a decision of the last moment may be known to some
--- a/spoolbarrow/lab/zoned.py
+++ b/spoolbarrow/lab/zoned.py
@@ -9,7 +9,7 @@
 from msgspec.structs import replace
 
 from spoolbarrow import interface as i
-from spoolbarrow.failover import Evidence, Heard, Settings, State, Verdict, Verdicts, masks
+from spoolbarrow.failover import Evidence, EndpointOutcome, Settings, ZoneState, Verdict, ZoneHealthTracker, zones_to_mask
 from spoolbarrow.router import Router
 
 PERIOD_MS = 100.0
@@ -24,17 +24,17 @@
 
     def __init__(self, settings: i.Settings, seed: int) -> None:
         self._router = Router(settings, seed)
-        self.verdicts = Verdicts(Settings(checks=settings.probing))
+        self.verdicts = ZoneHealthTracker(Settings(checks=settings.probing))
         self._lines: dict[str, i.ReplicaEntry] = {}
         self._listed: dict[str, tuple[str, bool]] = {}
         self._changed = False  # the lines, since they were last listed for the verdicts
-        self._heard: list[Heard] = []
+        self._heard: list[EndpointOutcome] = []
         self._checks: dict[str, int] = {}  # tries left, by replica
         self._out: frozenset[str] = frozenset()
         self._back: dict[str, float] = {}
         self._armed = False
         self._told: dict[str, Verdict] = {}
-        self.changes: list[tuple[float, str, State]] = []  # of each zone's verdict: when, which, to what
+        self.changes: list[tuple[float, str, ZoneState]] = []  # of each zone's verdict: when, which, to what
 
     def handle(self, now: float, events: list[i.Event]) -> list[i.Action]:
         """Decide on what happened."""
@@ -54,7 +54,7 @@
                     self._checks[event.replica] = left - 1
                     actions.append(i.Probe(event.replica))
                 elif left == 1 and event.outcome is i.Outcome.TIMEOUT:
-                    self._heard.append(Heard(event.replica, now, False))
+                    self._heard.append(EndpointOutcome(event.replica, now, False))
             elif isinstance(event, i.ReplicaList):
                 event = self._take_list(event)
             passed.append(event)
@@ -67,7 +67,7 @@
     def _hear(self, now: float, replica: str, outcome: i.Outcome) -> None:
         if outcome not in SAYS_NOTHING:
             well = None if outcome is i.Outcome.TIMEOUT else outcome not in FAILING
-            self._heard.append(Heard(replica, now, well))
+            self._heard.append(EndpointOutcome(replica, now, well))
 
     def _take_list(self, event: i.ReplicaList) -> i.ReplicaList:
         self._changed = True
@@ -94,16 +94,16 @@
                 name: (str(e.zone), e.state is i.ReplicaState.SERVING) for name, e in self._lines.items()
             }
         heard, self._heard = tuple(self._heard), []
-        told = self.verdicts.handle(now, Evidence(self._listed, heard))
+        told = self.verdicts.update(now, Evidence(self._listed, heard))
         for zone, verdict in told.items():
             if zone not in self._told or self._told[zone].state is not verdict.state:
                 self.changes.append((now, zone, verdict.state))
         self._told = told
-        for name in self.verdicts.to_check(now):
+        for name in self.verdicts.endpoints_to_check(now):
             if name not in self._checks:
                 self._checks[name] = TRIES
                 actions.append(i.Probe(name))
-        out, back = masks(told, self._listed)
+        out, back = zones_to_mask(told, self._listed)
         turned = {z for z in back.keys() | self._back.keys() if back.get(z) != self._back.get(z)}
         changed = (out ^ self._out) | turned
         self._out, self._back = out, back
--- a/spoolbarrow/net/agreement.py
+++ b/spoolbarrow/net/agreement.py
@@ -11,20 +11,20 @@
 import gevent
 from msgspec import to_builtins
 
-from spoolbarrow.agree import Item, Ledger, digest, files
+from spoolbarrow.agree import VersionedItem, VersionTracker, digest, files_digest
 from spoolbarrow.config import Config, ConfigError
 from spoolbarrow.errors import Problem
 from spoolbarrow.net.log import log, unexpected
 
 if TYPE_CHECKING:
-    from spoolbarrow.fleet.documents import InCommon
+    from spoolbarrow.fleet.documents import SharedState
     from spoolbarrow.operator import Operator
 
-IN_COMMON = tuple(item for item in Item if "/" in item.value)  # followed from the store
+IN_COMMON = tuple(item for item in VersionedItem if "/" in item.value)  # followed from the store
 OWN = ("node", "zone")  # of the settings: each router's own
 
 
-def of_files(config: Config, operator: Operator) -> dict[Item, str]:
+def of_files(config: Config, operator: Operator) -> dict[VersionedItem, str]:
     """The digests of what both files say, as it was understood."""
     settings: dict[str, Any] = to_builtins(config.settings)
     shares = settings.pop("tenants")
@@ -33,16 +33,16 @@
     names = {key: getattr(config, key) for key in ("classes", "zones", "kinds")}
     rest = [settings, names, to_builtins(config.options), config.resumes, config.load_probes]
     return {
-        Item.SETTINGS: digest(rest),
-        Item.SHARES: digest([shares, config.tenants]),
-        Item.OPERATOR: digest(to_builtins(operator)),
+        VersionedItem.SETTINGS: digest(rest),
+        VersionedItem.SHARES: digest([shares, config.tenants]),
+        VersionedItem.OPERATOR: digest(to_builtins(operator)),
     }
 
 
 class Files(Protocol):
     """Who reads both files, as at SIGHUP."""
 
-    def check(self) -> tuple[dict[Item, str], int]:
+    def check(self) -> tuple[dict[VersionedItem, str], int]:
         """The digests of what they say and their revision; ConfigError where they can't be acted on."""
         ...
 
@@ -73,7 +73,7 @@
     config: Config
 
     @property
-    def fleet(self) -> InCommon | None:
+    def fleet(self) -> SharedState | None:
         """Where the store is followed."""
         ...
 
@@ -107,7 +107,7 @@
 
     def __init__(self, host: Surroundings, gate: Gate, operator: Operator, files: Files) -> None:
         self._host, self._gate, self._files = host, gate, files
-        self.ledger = Ledger()
+        self.ledger = VersionTracker()
         self._listing: object = None
         self.apply(operator)
         self._loop = gevent.spawn(self._run)
@@ -115,7 +115,7 @@
     def refuse(self, config: Config, operator: Operator) -> None:
         """Outdated where these files must not be acted on after those that are."""
         assert operator.agree is not None
-        if why := self.ledger.refused(operator.agree.revision, of_files(config, operator)):
+        if why := self.ledger.refusal_reason(operator.agree.revision, of_files(config, operator)):
             raise Outdated(why)
 
     def apply(self, operator: Operator) -> None:
@@ -137,7 +137,7 @@
             "router": self._host.config.name,
             "revision": revision,
             "versions": versions,
-            "files": files(contents),
+            "files": files_digest(contents),
         }
 
     def adopt(self, wanted: str) -> None:
@@ -151,9 +151,9 @@
         if self._listing is not destinations.listing():
             self._listing = destinations.listing()
             index, lines = destinations.seen()
-            self._note(Item.LIST, index, digest(lines))
-            self._note(Item.SUSPENSIONS, 0, digest(destinations.all_suspended()))
-        self._note(Item.DRAIN, 0, digest(self._gate.drained()))
+            self._note(VersionedItem.LIST, index, digest(lines))
+            self._note(VersionedItem.SUSPENSIONS, 0, digest(destinations.all_suspended()))
+        self._note(VersionedItem.DRAIN, 0, digest(self._gate.drained()))
         told = {} if self._host.fleet is None else self._host.fleet.versions()
         for item in IN_COMMON:
             if item.value in told:
@@ -174,8 +174,8 @@
             "versions": {item.value: to_builtins(v) for item, v in self.ledger.versions.items()},
         }
 
-    def _note(self, item: Item, number: int, contents: str) -> None:
-        if self.ledger.note(self._host.now(), item, number, contents):
+    def _note(self, item: VersionedItem, number: int, contents: str) -> None:
+        if self.ledger.record(self._host.now(), item, number, contents):
             log("version", item=item.value, number=number, digest=contents)
 
     def _run(self) -> None:
--- a/spoolbarrow/net/failover.py
+++ b/spoolbarrow/net/failover.py
@@ -15,7 +15,7 @@
 
 from spoolbarrow import interface as i
 from spoolbarrow.config import Address
-from spoolbarrow.failover import Evidence, Heard, Settings, Verdict, Verdicts, masks
+from spoolbarrow.failover import Evidence, EndpointOutcome, Settings, Verdict, ZoneHealthTracker, zones_to_mask
 from spoolbarrow.net import http1
 from spoolbarrow.net.log import log, unexpected
 from spoolbarrow.net.taps import Observer
@@ -55,9 +55,9 @@
 
     def __init__(self, host: Host, table: FailoverTable) -> None:
         self._host, self._table = host, table
-        self._verdicts = Verdicts(settings(table, host.config.settings.probing), host.config.zones)
+        self._verdicts = ZoneHealthTracker(settings(table, host.config.settings.probing), host.config.zones)
         self._checks: set[gevent.Greenlet[..., None]] = set()
-        self._heard: list[Heard] = []
+        self._heard: list[EndpointOutcome] = []
         self.dropped = self._told_dropped = 0  # outcomes beyond MOST_HEARD in a period, and those logged
         self.told: dict[str, Verdict] = {}
         host.taps.add(self)
@@ -81,13 +81,13 @@
         if outcome is None or outcome in SAYS_NOTHING:
             return
         wait = attempt.first_at - attempt.sent_at if attempt.first_at else -1.0
-        self._hear(Heard(attempt.endpoint, attempt.ended_at, self._well(outcome), wait))
+        self._hear(EndpointOutcome(attempt.endpoint, attempt.ended_at, self._well(outcome), wait))
 
     def probe_ended(self, endpoint: str, outcome: i.Outcome, lag: float) -> None:
         """So is a probe's."""
         if outcome not in SAYS_NOTHING:
             ok = self._well(outcome)
-            self._hear(Heard(endpoint, self._host.now(), ok, lag if ok else -1.0))
+            self._hear(EndpointOutcome(endpoint, self._host.now(), ok, lag if ok else -1.0))
 
     def _well(self, outcome: i.Outcome) -> bool | None:
         """None where nothing came in time: a busy or slow endpoint does that, too, and can be asked."""
@@ -111,9 +111,9 @@
         except (OSError, http1.Fault, gevent.Timeout):
             pass
         now = self._host.now()
-        self._hear(Heard(endpoint, now, well, now - begun if well else -1.0))
+        self._hear(EndpointOutcome(endpoint, now, well, now - begun if well else -1.0))
 
-    def _hear(self, heard: Heard) -> None:
+    def _hear(self, heard: EndpointOutcome) -> None:
         if len(self._heard) < MOST_HEARD:
             self._heard.append(heard)
         else:
@@ -135,21 +135,21 @@
         if self.dropped > self._told_dropped:
             log("failover_dropped", outcomes=self.dropped - self._told_dropped, since_start=self.dropped)
             self._told_dropped = self.dropped
-        told = self._verdicts.handle(now, Evidence(listing, tuple(heard)))
-        for name in self._verdicts.to_check(now):
+        told = self._verdicts.update(now, Evidence(listing, tuple(heard)))
+        for name in self._verdicts.endpoints_to_check(now):
             where = destinations.address(name)
             if where is not None and len(self._checks) < MOST_CHECKS:
                 check = gevent.spawn(self._check, name, where)
                 self._checks.add(check)
                 check.link(self._checks.discard)
-        out, back = masks(told, listing)
+        out, back = zones_to_mask(told, listing)
         for name, verdict in told.items():
             last = self.told.get(name)
             if last is None or last.state is not verdict.state:
                 log("failover", place=name, state=verdict.state.value, reason=verdict.reason)
         self.told = told
         shown: dict[str, dict[str, object]] = {
-            name: {"state": v.state.value, "reason": v.reason, "since_ms": v.since_ms, "share": v.share}
+            name: {"state": v.state.value, "reason": v.reason, "since_ms": v.since_ms, "share": v.load_share}
             for name, v in told.items()
         }
         destinations.zones(out, back, shown)
--- a/spoolbarrow/net/fleet_part.py
+++ b/spoolbarrow/net/fleet_part.py
@@ -10,7 +10,7 @@
 from spoolbarrow.agree import digest
 from spoolbarrow.fleet import documents as d
 from spoolbarrow.fleet import lease
-from spoolbarrow.fleet.evidence import Table
+from spoolbarrow.fleet.summary_table import SummaryTable
 from spoolbarrow.net.log import log, unexpected
 
 if TYPE_CHECKING:
@@ -47,14 +47,14 @@
 
     def __init__(self, part: d.Part, router: str, incarnation: str, table: FleetTable) -> None:
         self.part = part
-        self.standing_key = d.STANDING + part.kind
-        self.summary_key = f"{d.EVIDENCE}{part.kind}/{router}"
-        self.claim = lease.Claim(router, incarnation, table.ttl_s * 1000 / lease.STANDS)
-        self._acting = lease.Acting(MAX_DECISION_TTL * table.ttl_s * 1000)
+        self.standing_key = d.STANDING_PREFIX + part.kind
+        self.summary_key = f"{d.EVIDENCE_PREFIX}{part.kind}/{router}"
+        self.claim = lease.LeaseClaim(router, incarnation, table.ttl_s * 1000 / lease.DECISION_TTL_LEASES)
+        self._acting = lease.ActiveDecision(MAX_DECISION_TTL * table.ttl_s * 1000)
         self._adopted: d.Decision | None = None
         self._rejected: d.Decision | None = None  # one that the part can't act on
         self._logged_holding = False
-        self.evidence: Table | None = None  # the lease's holder alone has one
+        self.evidence: SummaryTable | None = None  # the lease's holder alone has one
         self.evidence_upto = 0
         self.sequence = 0
         self.summary_revision: int | None = None  # None: to be read
@@ -63,7 +63,7 @@
 
     def set_ttl(self, ttl_s: float) -> None:
         """Claim leases for another time to live."""
-        self.claim.ttl_ms = ttl_s * 1000 / lease.STANDS
+        self.claim.ttl_ms = ttl_s * 1000 / lease.DECISION_TTL_LEASES
 
     def watch(self, host: Host, table: FleetTable) -> None:
         """Have the part learn from what happens at its host, if it does."""
@@ -76,18 +76,18 @@
         if isinstance(self.part, Watching):
             self.part.end()
 
-    def see(self, asked: float, seen: lease.Seen) -> None:
+    def see(self, asked: float, seen: lease.ObservedRecord) -> None:
         """The lease and decision as read, or just written, at `asked`."""
-        self.claim.see(asked, seen)
-        self._acting.see(asked, seen)
+        self.claim.observe(asked, seen)
+        self._acting.observe(asked, seen)
         if self.claim.holds() is not self._logged_holding:
             self._logged_holding = self.claim.holds()
-            epoch = seen.standing.epoch if seen.standing is not None else None
+            epoch = seen.record.epoch if seen.record is not None else None
             log("fleet_lease", kind=self.part.kind, holds=self._logged_holding, epoch=epoch)
 
     def adopt(self, now: float) -> None:
         """Have the part act on the decision that stands by now, or on none. Waits for nobody."""
-        wanted = self._acting.acts(now)
+        wanted = self._acting.current(now)
         if wanted is not None and wanted == self._rejected:
             wanted = None
         old = self._adopted
@@ -110,14 +110,14 @@
 
     def tell(self) -> dict[str, object]:
         """Its lease and decision, and what the part itself tells."""
-        seen, adopted = self.claim.seen, self._adopted
-        standing = None if seen is None else seen.standing
+        seen, adopted = self.claim.observed, self._adopted
+        standing = None if seen is None else seen.record
         return {
             "holder": "" if standing is None else standing.lease.holder,
             "holds": self.claim.holds(),
             "epoch": None if adopted is None else adopted.epoch,
             "number": None if adopted is None else adopted.number,
-            "refused": self._acting.refused,
+            "refused": self._acting.refused_count,
             "silent": self.silent_since > 0,
             **(self.part.tell() if isinstance(self.part, Telling) else {}),
         }
--- a/spoolbarrow/net/fleet_writing.py
+++ b/spoolbarrow/net/fleet_writing.py
@@ -10,7 +10,7 @@
 
 from spoolbarrow.fleet import documents as d
 from spoolbarrow.fleet import lease
-from spoolbarrow.fleet.evidence import Table
+from spoolbarrow.fleet.summary_table import SummaryTable
 from spoolbarrow.net.log import log
 from spoolbarrow.net.store_client import MemberUnavailable, StoreClient
 
@@ -34,25 +34,25 @@
     def write_lease(self, held: FleetPart) -> None:
         """Claim or renew the lease of a part where that is due; its holder decides, too."""
         now, wish, last = self._host.now(), None, None
-        if held.claim.seen is None:
-            held.claim.see(now, lease.Seen(0))  # all was read, and there is none
-        elif held.claim.seen.standing is not None:
-            last = held.claim.seen.standing.decision
+        if held.claim.observed is None:
+            held.claim.observe(now, lease.ObservedRecord(0))  # all was read, and there is none
+        elif held.claim.observed.record is not None:
+            last = held.claim.observed.record.decision
         if held.claim.holds():
             wish = self._decide(held)
         else:
             held.evidence = None
         sent = self._host.now()
-        put = held.claim.handle(sent, wish)
+        put = held.claim.next_write(sent, wish)
         if put is None:
             return
-        if wish is not None and put.standing.decision != last:
-            made = put.standing.decision
+        if wish is not None and put.record.decision != last:
+            made = put.record.decision
             assert made is not None
             log("fleet_decided", kind=held.part.kind, epoch=made.epoch, number=made.number)
-        revision = self._store.put(held.standing_key, d.write(put.standing), put.expect).revision
+        revision = self._store.put(held.standing_key, d.encode_document(put.record), put.expected_revision).revision
         if revision > 0:
-            held.see(sent, lease.Seen(revision, put.standing))
+            held.see(sent, lease.ObservedRecord(revision, put.record))
             held.adopt(self._host.now())
 
     def write_summary(self, held: FleetPart) -> bool:
@@ -62,10 +62,10 @@
             return False
         assert held.summary_revision is not None
         body = held.part.summary(now)
-        if len(body) > d.MOST_BODY:
-            raise d.Garbage(held.summary_key, f"a summary of {len(body)} bytes was made")
+        if len(body) > d.MAX_BODY_BYTES:
+            raise d.InvalidDocument(held.summary_key, f"a summary of {len(body)} bytes was made")
         held.sequence += 1
-        text = d.write(d.Summary(self._router, self._incarnation, held.sequence, now, body))
+        text = d.encode_document(d.Summary(self._router, self._incarnation, held.sequence, now, body))
         put = self._store.put(held.summary_key, text, held.summary_revision)
         if put.revision > 0:
             held.summary_revision, held.summary_written = put.revision, True
@@ -78,24 +78,24 @@
         if evidence is None:
             return None
         now, age_ms = self._host.now(), MAX_AGE_PERIODS * self.evidence_ms
-        evidence.tidy(now, age_ms)
-        assert held.claim.seen is not None and held.claim.seen.standing is not None
-        last = held.claim.seen.standing.decision
-        made = held.part.decide(now, evidence.bodies(now, age_ms), None if last is None else last.body)
-        if made is not None and len(made) > d.MOST_BODY:
-            raise d.Garbage(held.standing_key, f"a decision of {len(made)} bytes was made")
+        evidence.remove_stale(now, age_ms)
+        assert held.claim.observed is not None and held.claim.observed.record is not None
+        last = held.claim.observed.record.decision
+        made = held.part.decide(now, evidence.live_bodies(now, age_ms), None if last is None else last.body)
+        if made is not None and len(made) > d.MAX_BODY_BYTES:
+            raise d.InvalidDocument(held.standing_key, f"a decision of {len(made)} bytes was made")
         return made
 
-    def _read_evidence(self, held: FleetPart) -> Table | None:
+    def _read_evidence(self, held: FleetPart) -> SummaryTable | None:
         """The summaries of all routers, with those written since they were last read; None: can't be had."""
         kind = held.part.kind
         if held.evidence is None:
-            held.evidence, held.evidence_upto = Table(kind), 0
+            held.evidence, held.evidence_upto = SummaryTable(kind), 0
         asked = self._host.now()
         try:
-            for changes in self._store.changes(held.evidence_upto, [f"{d.EVIDENCE}{kind}/"]):
+            for changes in self._store.changes(held.evidence_upto, [f"{d.EVIDENCE_PREFIX}{kind}/"]):
                 for one in changes.documents:
-                    held.evidence.take(asked, one.key, one.revision, one.value)
+                    held.evidence.add(asked, one.key, one.revision, one.value)
                 held.evidence_upto = max(held.evidence_upto, changes.upto)
         except MemberUnavailable:
             return None
@@ -113,9 +113,9 @@
             return False
         revision = 0 if answer is None else answer.revision
         try:
-            summary = None if answer is None else d.read(held.summary_key, answer.value, d.Summary)
+            summary = None if answer is None else d.decode_document(held.summary_key, answer.value, d.Summary)
             own = summary is None or summary.incarnation == self._incarnation
-        except d.Garbage:
+        except d.InvalidDocument:
             own = True  # nobody writes it
         if not own and held.summary_written:
             if revision != held.summary_revision or not held.silent_since:
--- a/spoolbarrow/net/follow.py
+++ b/spoolbarrow/net/follow.py
@@ -22,7 +22,7 @@
 
 from spoolbarrow.fleet import documents as d
 from spoolbarrow.fleet import lease
-from spoolbarrow.fleet.evidence import incarnation
+from spoolbarrow.fleet.summary_table import new_incarnation
 from spoolbarrow.net.fleet_part import FleetPart
 from spoolbarrow.net.fleet_writing import FleetWriter
 from spoolbarrow.net.log import log, unexpected
@@ -44,7 +44,7 @@
 
     def __init__(self, host: Host, table: FleetTable, changed: Callable[[], None]) -> None:
         self._host = host
-        self._router, self._incarnation = host.config.name[: d.MOST_NAME], incarnation(os.urandom(16))
+        self._router, self._incarnation = host.config.name[: d.MAX_NAME_CHARS], new_incarnation(os.urandom(16))
         self._random = SystemRandom()
         self._store = StoreClient(table, self._random)
         self._shared = SharedDocuments(host, table.within_s * 1000, changed)
@@ -164,7 +164,7 @@
 
     def _read(self, member: int) -> None:
         """Learn what has changed; MemberUnavailable where the member is lost, without a leader or behind."""
-        prefixes = [d.SHARED, *(held.standing_key for held in self._parts.values())]
+        prefixes = [d.SHARED_PREFIX, *(held.standing_key for held in self._parts.values())]
         asked = self._host.now()
         for changes in self._store.changes(self._after, prefixes, member):
             if changes.applied < self._floor:
@@ -184,9 +184,9 @@
             if key in self._shared:
                 self._shared.learn(asked, key, revision, document.value)
             elif held is not None:
-                held.see(asked, lease.seen(key, revision, document.value))
-        except d.Garbage as error:
+                held.see(asked, lease.decode_record(key, revision, document.value))
+        except d.InvalidDocument as error:
             self._dropped += 1
             log("fleet_document", key=key, revision=revision, why=str(error)[:200], remedy=error.remedy)
             if held is not None:
-                held.see(asked, lease.Seen(revision))
+                held.see(asked, lease.ObservedRecord(revision))
--- a/spoolbarrow/net/host.py
+++ b/spoolbarrow/net/host.py
@@ -33,7 +33,7 @@
 from spoolbarrow.router import Router
 
 if TYPE_CHECKING:
-    from spoolbarrow.fleet.documents import InCommon
+    from spoolbarrow.fleet.documents import SharedState
 
 AT_ONCE = 32  # events decided on, or timers run, before other greenlets have their turn: some ms of a core
 OVERDUE_TICKS = (
@@ -61,7 +61,7 @@
         self.now = clock or Clock()
         self.turns = LoopTurns(lambda: self.now())
         self.taps = Taps()
-        self.fleet: InCommon | None = None  # where the store is followed; versions are told of it
+        self.fleet: SharedState | None = None  # where the store is followed; versions are told of it
         self.destinations = DestinationSet(config, self._post, self._endpoint_left, self.now)
         self._endpoints = Endpoints(config, self.destinations, self)
         self._router = Router(config.settings, config.seed)
--- a/spoolbarrow/net/pools.py
+++ b/spoolbarrow/net/pools.py
@@ -19,7 +19,7 @@
 from spoolbarrow.net.log import log
 from spoolbarrow.net.taps import Observer
 from spoolbarrow.pools import Engine, Pools, split
-from spoolbarrow.pools.evidence import Notes
+from spoolbarrow.pools.traffic_stats import TrafficRecorder
 
 if TYPE_CHECKING:
     from spoolbarrow.net.host import Host
@@ -128,7 +128,7 @@
         self._look(self._host)
         # Of its own: while it gives way, the list may change, and one decision must be of one list.
         judge = Pools(now, self._pools.classes, self._pools.portions, self._give_way)
-        judge.listed(self._pools.engines)
+        judge.set_engines(self._pools.engines)
         made = judge.decide(now, bodies, last)
         self._decisions += 1
         # Meanwhile it may have been ended.
@@ -139,37 +139,37 @@
     def adopt(self, now: float, body: bytes | None) -> bool:
         """Tell this split from now on, or none."""
         old, adopted = self._pools.plan, self._pools.adopt(now, body)
-        self._plan = split.read(body) if adopted else None
+        self._plan = split.decode_plan(body) if adopted else None
         new = self._pools.plan
-        if (old and old.readers) != (new and new.readers):
-            why = self._plan.why if self._plan is not None else "no decision stands"
-            readers = len(new.readers) if new else 0
+        if (old and old.prefill_engines) != (new and new.prefill_engines):
+            why = self._plan.reason if self._plan is not None else "no decision stands"
+            readers = len(new.prefill_engines) if new else 0
             log("fleet_split", readers=readers, engines=len(self._pools.engines), why=why)
         return adopted
 
     def tell(self) -> dict[str, object]:
         """The split that stands, or why there is none, and this router's own evidence."""
-        pools, plan, seen = self._pools, self._plan, self._pools.notes.seen
+        pools, plan, seen = self._pools, self._plan, self._pools.recorder.stats
         stands = None
         if pools.plan is not None:
             names = sorted(self._host.config.classes.items(), key=lambda one: one[1]) if self._host else []
-            limits = pools.plan.reads_from
+            limits = pools.plan.prefill_min_tokens
             stands = {
-                "readers": pools.plan.readers, "since_ms": round(pools.plan.since_ms),
+                "readers": pools.plan.prefill_engines, "since_ms": round(pools.plan.since_ms),
                 "reads_from": {name: limits[n] for name, n in names
-                               if n < len(limits) and limits[n] != split.NEVER},
-                "late_without": round(pools.plan.none_lost, 4), "late_with": round(pools.plan.split_lost, 4),
+                               if n < len(limits) and limits[n] != split.NEVER_PREFILL},
+                "late_without": round(pools.plan.unsplit_loss, 4), "late_with": round(pools.plan.split_loss, 4),
             }  # fmt: skip
         cells = list(seen.cells.values())
         return {
-            "split": stands, "why": "no decision stands" if plan is None else plan.why,
+            "split": stands, "why": "no decision stands" if plan is None else plan.reason,
             "wanted": None if plan is None or not any(plan.wanted) else list(plan.wanted),
             "decided": self._decided,
             "own": {
                 "asked": round(sum(cell.weight() for cell in cells), 1),
                 "answered": round(sum(cell.answered for cell in cells), 1),
                 "late": round(sum(cell.late for cell in cells), 1),
-                "types": sorted(seen.paces), "open": len(self._open), "unnoted": self.unnoted,
+                "types": sorted(seen.speeds), "open": len(self._open), "unnoted": self.unnoted,
             },
         }  # fmt: skip
 
@@ -183,12 +183,12 @@
         self._config = config
         named = (config.settings.classes, config.classes, config.tenants)
         if named != self._named:  # numbers stand for others now: what was noted by them says nothing
-            self._named, pools.notes = named, Notes(host.now())
+            self._named, pools.recorder = named, TrafficRecorder(host.now())
         pools.classes = config.settings.classes
         total = sum(tenant.portion for tenant in config.settings.tenants)
         pools.portions = [tenant.portion / total for tenant in config.settings.tenants] if total > 0.0 else []
         self._listing = host.destinations.listing()
-        pools.listed({
+        pools.set_engines({
             line.name: Engine(
                 line.type[:MOST_TYPE], config.zones.get(line.zone, config.settings.zone),
                 host.destinations.starting(line.name), self._only.get(line.type, ""),
@@ -202,7 +202,7 @@
         if host is not None and host.destinations.listing() is not self._listing:
             self._look(host)
         engine = self._pools.engines.get(endpoint)
-        return engine.kind if engine is not None else None
+        return engine.engine_type if engine is not None else None
 
     # The taps' side
 
@@ -239,11 +239,11 @@
         elif request.answered in CUT:
             late = request.answered == "broken" or stream is None
             self._asked(now, one.facts, -1.0)
-            self._pools.notes.answered(
+            self._pools.recorder.record_answer(
                 now, one.facts.cls, one.facts.tenant, one.events if stream is not None else 0, False, late
             )
         elif request.answered != "rejected":  # that is its client's fault
-            self._pools.notes.answered(now, one.facts.cls, one.facts.tenant, 0, False, True)
+            self._pools.recorder.record_answer(now, one.facts.cls, one.facts.tenant, 0, False, True)
 
     def request_over(self, request: Request, now: float) -> None:
         """Guards the table: whatever ends here is followed no more."""
@@ -253,10 +253,10 @@
         """How full an engine is."""
         kind = self._type(endpoint)
         if self._host is not None and kind is not None:
-            self._pools.notes.report(self._host.now(), kind, report.busy_share, report.memory_share)
+            self._pools.recorder.record_load(self._host.now(), kind, report.busy_share, report.memory_share)
 
     def _served(self, now: float, request: Request, one: _Open, stream: Attempt) -> None:
-        facts, notes, told = one.facts, self._pools.notes, usage(one.tail)
+        facts, notes, told = one.facts, self._pools.recorder, usage(one.tail)
         kept = told.prompt_tokens_details if told is not None else None
         tokens = told.completion_tokens if told is not None and told.completion_tokens else one.events
         unread = max(0.0, float(facts.prompt_tokens - (kept.cached_tokens if kept is not None else 0)))
@@ -264,14 +264,14 @@
         cls, rest_ms = self._pools.classes[facts.cls], now - stream.first_at
         slow = tokens > 1 and 0.0 < cls.token_aim_ms < rest_ms / (tokens - 1)
         late = slow or stream.first_at - request.taken_at > cls.aim(facts.prompt_tokens)
-        notes.answered(now, facts.cls, facts.tenant, tokens, True, late)
+        notes.record_answer(now, facts.cls, facts.tenant, tokens, True, late)
         kind = self._type(stream.endpoint)
         if kind is not None:
-            notes.engine(now, kind, unread, stream.first_at - stream.sent_at, tokens, rest_ms)
+            notes.record_timing(now, kind, unread, stream.first_at - stream.sent_at, tokens, rest_ms)
 
     def _asked(self, now: float, facts: i.RequestArrived, unread: float) -> None:
         """Below 0 unread: it is not known, and taken as the mean of those before."""
-        notes = self._pools.notes
+        notes = self._pools.recorder
         if unread < 0.0:
-            unread = notes.expected(facts.cls, facts.tenant, facts.prompt_tokens)
-        notes.asked(now, facts.cls, facts.tenant, facts.prompt_tokens, unread)
+            unread = notes.expected_unread(facts.cls, facts.tenant, facts.prompt_tokens)
+        notes.record_request(now, facts.cls, facts.tenant, facts.prompt_tokens, unread)
--- a/spoolbarrow/net/shared_documents.py
+++ b/spoolbarrow/net/shared_documents.py
@@ -1,7 +1,7 @@
 """The documents that operators share, applied to this router: suspended engines, and tenants' shares.
 
 Makes no calls: `learn` and `word` are told what the store's client read, and `apply` brings the router to
-what stands by now, which without word for too long is the safer of two versions (`fleet.safer`).
+what stands by now, which without word for too long is the safer of two versions (`fleet.shared_document`).
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 from spoolbarrow.agree import digest
 from spoolbarrow.fleet import documents as d
-from spoolbarrow.fleet import safer
+from spoolbarrow.fleet import shared_document
 from spoolbarrow.net.log import log
 
 if TYPE_CHECKING:
@@ -27,8 +27,8 @@
 
     def __init__(self, host: Host, within_ms: float, changed: Callable[[], None]) -> None:
         self._host, self._changed = host, changed
-        self._shared = {key: safer.Shared(key, within_ms) for key in safer.KINDS}
-        self._logged: dict[str, tuple[int, safer.Mode]] = {}
+        self._shared = {key: shared_document.SharedDocument(key, within_ms) for key in shared_document.DOCUMENT_KINDS}
+        self._logged: dict[str, tuple[int, shared_document.Mode]] = {}
         self._suspended: frozenset[str] = frozenset()
         self._file_tenants: tuple[Tenant, ...] = ()  # as the router's own file has them
         self._applied_tenants: tuple[Tenant, ...] | None = None
@@ -43,13 +43,13 @@
         return key in self._shared
 
     def learn(self, asked: float, key: str, revision: int, text: str) -> None:
-        """A version that is committed, asked for at `asked`; Garbage where it can't be read."""
+        """A version that is committed, asked for at `asked`; InvalidDocument where it can't be read."""
         self._shared[key].learn(asked, revision, text)
 
     def word(self, asked: float) -> None:
         """The store, asked at `asked`, has told all that is committed."""
         for shared in self._shared.values():
-            shared.word(asked)
+            shared.confirm(asked)
 
     def apply(self, now: float) -> None:
         """Bring the router to what stands by now. Waits for nobody."""
@@ -68,7 +68,7 @@
         found = {}
         for key, shared in self._shared.items():
             if shared.newest is not None:
-                acts = msgspec.to_builtins(shared.acts(now), order="sorted")
+                acts = msgspec.to_builtins(shared.effective(now), order="sorted")
                 found[key] = (shared.newest.revision, digest(acts))
         return found
 
@@ -78,22 +78,22 @@
             key: {
                 "revision": self._revision(shared),
                 "mode": shared.mode(now).value,
-                "garbage": shared.garbage,
+                "garbage": shared.invalid_count,
             }
             for key, shared in self._shared.items()
         }
 
     def _apply_suspensions(self, now: float) -> None:
-        suspended: frozenset[str] = self._shared[d.SUSPENSIONS].acts(now)
+        suspended: frozenset[str] = self._shared[d.SUSPENSIONS_KEY].effective(now)
         if suspended != self._suspended:
             self._suspended = suspended
             self._host.destinations.share_suspensions(suspended)
 
     def _apply_shares(self, now: float) -> None:
-        config, shares = self._host.config, self._shared[d.SHARES]
+        config, shares = self._host.config, self._shared[d.SHARES_KEY]
         if config.settings.tenants is not self._applied_tenants:
             self._file_tenants = config.settings.tenants  # the file was read anew
-        wanted = safer.lay(shares.acts(now), config.tenants, self._file_tenants, not shares.unsettled(now))
+        wanted = shared_document.overlay_shares(shares.effective(now), config.tenants, self._file_tenants, not shares.is_unsettled(now))
         if wanted != config.settings.tenants:
             self._set_tenants(wanted)
 
@@ -106,10 +106,10 @@
     def _log_modes(self, now: float) -> None:
         for key, shared in self._shared.items():
             mode = (self._revision(shared), shared.mode(now))
-            if mode != self._logged.get(key, (0, safer.Mode.NONE)):
+            if mode != self._logged.get(key, (0, shared_document.Mode.NONE)):
                 self._logged[key] = mode
                 log("fleet_shared", key=key, revision=mode[0], mode=mode[1].value)
 
     @staticmethod
-    def _revision(shared: safer.Shared) -> int:
+    def _revision(shared: shared_document.SharedDocument) -> int:
         return 0 if shared.newest is None else shared.newest.revision
--- a/spoolbarrow/operator.py
+++ b/spoolbarrow/operator.py
@@ -182,7 +182,7 @@
 
 
 PARTS = {  # by name: module and class, loaded where it is on
-    "roll": "spoolbarrow.fleet.roll:Roll",
+    "roll": "spoolbarrow.fleet.membership:Membership",
     "pools": "spoolbarrow.net.pools:Split",
 }
 
--- a/spoolbarrow/pools/part.py
+++ b/spoolbarrow/pools/part.py
@@ -1,7 +1,7 @@
 """The pool's split as a part of what the fleet decides in common: `Pools` notes, sums up, decides and adopts.
 
-It owns no socket and no clock. A router tells it what its requests showed (`notes`) and which engines there
-are (`listed`); the two facts it gives back are the side of a request and the side of an engine.
+It owns no socket and no clock. A router tells it what its requests showed (`recorder`) and which engines there
+are (`set_engines`); the two facts it gives back are the side of a request and the side of an engine.
 """
 
 from __future__ import annotations
@@ -10,11 +10,11 @@
 
 import msgspec
 
-from spoolbarrow.fleet.documents import MOST_BODY
+from spoolbarrow.fleet.documents import MAX_BODY_BYTES
 from spoolbarrow.interface import RequestClass
 from spoolbarrow.pools import split
-from spoolbarrow.pools.evidence import HALF_MS, Notes, Seen, hear, merged
-from spoolbarrow.pools.model import Atom, Rates
+from spoolbarrow.pools.traffic_stats import HALF_MS, TrafficRecorder, TrafficStats, decode_summary, merged
+from spoolbarrow.pools.queue_model import Atom, Rates
 from spoolbarrow.pools.split import ENCODE, Engine, Plan
 
 OLD_MS = 120_000.0  # a summary said so long ago, or ahead, says nothing; clocks may be a minute apart
@@ -47,12 +47,12 @@
         self.classes = classes
         self.portions = portions  # of tenants, as shares of 1
         self.between = between  # called between the pieces of a decision, each a few ms at most
-        self.notes = Notes(now)
+        self.recorder = TrafficRecorder(now)
         self.engines: dict[str, Engine] = {}
         self.plan: Plan | None = None  # acted on
         self._readers: frozenset[str] = frozenset()
 
-    def listed(self, engines: Mapping[str, Engine]) -> None:
+    def set_engines(self, engines: Mapping[str, Engine]) -> None:
         """The engines in service, as this router's list has them."""
         self.engines = dict(engines)
 
@@ -60,22 +60,22 @@
 
     def summary(self, now: float) -> bytes:
         """What this router has seen."""
-        return self.notes.body(now)
+        return self.recorder.body(now)
 
     def adopt(self, now: float, body: bytes | None) -> bool:
         """Act on a plan from now on, or on none."""
-        plan = split.read(body)
-        self.plan = plan if plan is not None and plan.readers else None
-        self._readers = frozenset(self.plan.readers) if self.plan is not None else frozenset()
+        plan = split.decode_plan(body)
+        self.plan = plan if plan is not None and plan.prefill_engines else None
+        self._readers = frozenset(self.plan.prefill_engines) if self.plan is not None else frozenset()
         return plan is not None or body is None
 
     def decide(self, now: float, bodies: Sequence[bytes], last: bytes | None) -> bytes | None:
         """One plan from all summaries, the same whatever their order; None: what stands goes on."""
-        before = split.read(last)
+        before = split.decode_plan(last)
         plan = self._without_lost(before or Plan())
         told = []
         for body in sorted(bodies):
-            seen = hear(body)
+            seen = decode_summary(body)
             if seen is not None and _current(seen, now):
                 told.append(seen)
             self.between()
@@ -83,78 +83,78 @@
         if before is not None and _same(before, after):
             return None
         made = ENCODE(msgspec.structs.replace(after, at_ms=now))
-        return made if len(made) <= MOST_BODY else None
+        return made if len(made) <= MAX_BODY_BYTES else None
 
     # --- the facts
 
-    def request_reads(self, cls: int, prompt: int) -> bool | None:
+    def is_prefill_request(self, cls: int, prompt: int) -> bool | None:
         """Whether a request is of the reading side; None: there are no sides."""
         if self.plan is None:
             return None
-        limits = self.plan.reads_from
-        return 0 <= cls < len(limits) and limits[cls] != split.NEVER and prompt >= limits[cls]
+        limits = self.plan.prefill_min_tokens
+        return 0 <= cls < len(limits) and limits[cls] != split.NEVER_PREFILL and prompt >= limits[cls]
 
-    def engine_reads(self, name: str) -> bool | None:
+    def is_prefill_engine(self, name: str) -> bool | None:
         """Whether an engine is of the reading side; None: there are no sides."""
         if self.plan is None:
             return None
-        only = self.engines[name].only if name in self.engines else ""
+        only = self.engines[name].fixed_side if name in self.engines else ""
         return only == "read" if only else name in self._readers
 
     # --- deciding
 
     def _without_lost(self, plan: Plan) -> Plan:
         """Engines that are gone, or cannot be steered, are no longer named."""
-        kept = [name for name in plan.readers if name in self.engines and not self.engines[name].only]
-        return msgspec.structs.replace(plan, readers=kept)
+        kept = [name for name in plan.prefill_engines if name in self.engines and not self.engines[name].fixed_side]
+        return msgspec.structs.replace(plan, prefill_engines=kept)
 
-    def _next(self, now: float, plan: Plan, told: list[Seen]) -> Plan:
-        steered = sum(not e.only for e in self.engines.values())
+    def _next(self, now: float, plan: Plan, told: list[TrafficStats]) -> Plan:
+        steered = sum(not e.fixed_side for e in self.engines.values())
         if len(self.engines) < 2:
             return _none(plan, "fewer than two engines")
         whole = merged(told, [_youth(seen) for seen in told], self.between)
         kinds: dict[str, int] = {}
         for engine in self.engines.values():
-            kinds[engine.kind] = kinds.get(engine.kind, 0) + 1
+            kinds[engine.engine_type] = kinds.get(engine.engine_type, 0) + 1
         guarded, odd = split.guarded(whole, self.portions)
         found = split.atoms(guarded, self.classes, SPAN_MS)
-        rates = split.rates(whole, kinds, found, plan.step_ms if plan.readers else 0.0)
+        rates = split.rates(whole, kinds, found, plan.step_ms if plan.prefill_engines else 0.0)
         weight = sum(cell.weight() for cell in whole.cells.values())
         if rates is None or weight < split.LITTLE or len(found) < 2:
             return _none(plan, "too little evidence")
         rates = split.roomy(rates, whole, found, len(self.engines))
         if split.contradicts(told, whole):
             return _none(plan, "routers contradict each other")
-        if any(e.only for e in self.engines.values()):
+        if any(e.fixed_side for e in self.engines.values()):
             best = self._target(plan, found, rates, weight)
             readers = best.readers if best is not None else 0
             wanted = (readers, len(self.engines) - readers) if readers else (0, 0)
             plan = msgspec.structs.replace(plan, wanted=wanted)
         if steered < 2:
             return _none(plan, "fewer than two engines that can do both")
-        if not plan.readers and split.lives_on_kept(found, len(self.engines), rates):
+        if not plan.prefill_engines and split.lives_on_kept(found, len(self.engines), rates):
             return _none(plan, "the fleet lives on kept prompts, and homes would move")
         target = self._target(plan, found, rates, weight)
         if target is None:
             return _none(plan, "all requests read alike")
-        if odd and plan.readers:
+        if odd and plan.prefill_engines:
             # What a tenant asks beyond its portion moves nothing, but leaving it out may do no harm.
             true = split.atoms(split.guarded(whole, None)[0], self.classes, SPAN_MS)
-            really = split.judged(true, split.apart(true, plan.reads_from), len(self.engines), rates, weight)
+            really = split.judged(true, split.apart(true, plan.prefill_min_tokens), len(self.engines), rates, weight)
             if really.seen(self._reading(plan)) > really.none()[0] + split.ENTER:
                 return _none(plan, "harms the traffic as it is")
         return self._weighed(now, plan, target, whole, rates)
 
     def _reading(self, plan: Plan) -> int:
-        return len(plan.readers) + sum(e.only == "read" for e in self.engines.values())
+        return len(plan.prefill_engines) + sum(e.fixed_side == "read" for e in self.engines.values())
 
     def _target(self, plan: Plan, found: Sequence[Atom], rates: Rates, weight: float) -> Target | None:
-        engines, now = len(self.engines), self._reading(plan) if plan.readers else 0
+        engines, now = len(self.engines), self._reading(plan) if plan.prefill_engines else 0
         options: list[list[float]] = []
         for cut in split.cuts(found, rates):
             limits = split.thresholds(found, cut, len(self.classes), rates)
             options += [limits] if limits not in options else []
-        stands = plan.reads_from if plan.readers and len(plan.reads_from) == len(self.classes) else None
+        stands = plan.prefill_min_tokens if plan.prefill_engines and len(plan.prefill_min_tokens) == len(self.classes) else None
         if stands is not None and stands not in options:
             options.append(stands)
         tried: list[tuple[float, int, split.Judged, list[float]]] = []
@@ -179,14 +179,14 @@
         lost, readers, judge, limits = min(close, key=lambda one: sum(one[0]))
         return Target(limits, readers, judge.none(), lost, now_lost)
 
-    def _weighed(self, now: float, plan: Plan, target: Target, whole: Seen, rates: Rates) -> Plan:
+    def _weighed(self, now: float, plan: Plan, target: Target, whole: TrafficStats, rates: Rates) -> Plan:
         """From what stands to the target: by so much, or not at all."""
         gains = [without - lost for without, lost in zip(target.none, target.best, strict=True)]
         late, weight = self._measured(whole)
         # What is not late cannot be gained: a model that sees more lateness than there is gains less.
         real = min(1.0, late / target.none[0]) if target.none[0] > 0.0 else 0.0
         earns = sum(gains) * real >= len(gains) * split.ENTER and min(gains) >= 0.0
-        if not plan.readers:
+        if not plan.prefill_engines:
             if _until(plan.rest_until_ms, now, split.REST_MS):
                 return _none(plan, "rests: the last split did not show the gain predicted")
             if not earns:
@@ -198,9 +198,9 @@
             if not names:
                 return _none(plan, "no engine can be moved")
             return msgspec.structs.replace(
-                plan, readers=sorted(names), reads_from=target.limits, since_ms=now, moved_ms=now, moved={},
-                none_lost=target.none[0], split_lost=target.best[0], trial=(late, weight, target.none[0]),
-                step_ms=rates.step_ms, why="split",
+                plan, prefill_engines=sorted(names), prefill_min_tokens=target.limits, since_ms=now, moved_ms=now, moved={},
+                unsplit_loss=target.none[0], split_loss=target.best[0], trial=(late, weight, target.none[0]),
+                step_ms=rates.step_ms, reason="split",
             )  # fmt: skip
         # Without a gain anywhere it ends; where it only stands wrongly it moves, unless that does harm.
         stood = split.gain(target.none, target.stands) if target.stands else 0.0
@@ -233,21 +233,21 @@
         worth = not gains or (sum(gains) > least * len(gains) and min(gains) > -least / 2.0)
         if not worth or 0.0 <= now - plan.moved_ms < split.MOVE_MS:
             return plan
-        most = max(1, len(self.engines) // split.STEP)
+        most = max(1, len(self.engines) // split.ENGINES_PER_MOVE)
         change = max(-most, min(most, target.readers - reading))
         staying = {name for name, at in plan.moved.items() if 0.0 <= now - at < split.STAY_MS}
-        names = split.moved(set(plan.readers), self.engines, change, staying) if change else []
-        if not names and target.limits == plan.reads_from:
+        names = split.moved(set(plan.prefill_engines), self.engines, change, staying) if change else []
+        if not names and target.limits == plan.prefill_min_tokens:
             return plan
-        readers = sorted(set(plan.readers) ^ set(names))
+        readers = sorted(set(plan.prefill_engines) ^ set(names))
         moved = {name: at for name, at in plan.moved.items() if name in staying} | dict.fromkeys(names, now)
         return msgspec.structs.replace(
-            plan, readers=readers, reads_from=target.limits, moved_ms=now, moved=moved,
+            plan, prefill_engines=readers, prefill_min_tokens=target.limits, moved_ms=now, moved=moved,
             direction=(change > 0) - (change < 0) or plan.direction,
-            none_lost=target.none[0], split_lost=target.best[0], why="split",
+            unsplit_loss=target.none[0], split_loss=target.best[0], reason="split",
         )  # fmt: skip
 
-    def _measured(self, whole: Seen) -> tuple[float, float]:
+    def _measured(self, whole: TrafficStats) -> tuple[float, float]:
         """Share of the worth that came late, and the requests it was counted of."""
         asked = lost = weight = 0.0
         for (cls, _), cell in sorted(whole.cells.items()):
@@ -258,11 +258,11 @@
         return (lost / asked if asked > 0.0 else 0.0), weight
 
 
-def _current(seen: Seen, now: float) -> bool:
+def _current(seen: TrafficStats, now: float) -> bool:
     return abs(now - seen.at_ms) < OLD_MS and seen.at_ms - seen.begun_ms >= YOUNG_MS
 
 
-def _youth(seen: Seen) -> float:
+def _youth(seen: TrafficStats) -> float:
     """What makes the weights of a router that began lately stand for as long a span as the others'."""
     return float(min(4.0, 1.0 / (1.0 - 0.5 ** ((seen.at_ms - seen.begun_ms) / HALF_MS))))
 
@@ -273,11 +273,11 @@
 
 
 def _none(plan: Plan, why: str) -> Plan:
-    return Plan(rest_until_ms=plan.rest_until_ms, wanted=plan.wanted, why=why)
+    return Plan(rest_until_ms=plan.rest_until_ms, wanted=plan.wanted, reason=why)
 
 
 def _same(one: Plan, other: Plan) -> bool:
     """Whether routers would do the same by both, and a person be told the same."""
-    return (one.readers, one.reads_from, one.rest_until_ms, one.wanted, one.why) == (
-        other.readers, other.reads_from, other.rest_until_ms, other.wanted, other.why,
+    return (one.prefill_engines, one.prefill_min_tokens, one.rest_until_ms, one.wanted, one.reason) == (
+        other.prefill_engines, other.prefill_min_tokens, other.rest_until_ms, other.wanted, other.reason,
     )  # fmt: skip
--- a/spoolbarrow/pools/sketch.py
+++ b/spoolbarrow/pools/sketch.py
@@ -54,7 +54,7 @@
     return sum(middle(n) * weight for n, weight in sorted(counts.items())) / total if total > 0.0 else 0.0
 
 
-def survived(ended: Mapping[int, float], cut: Mapping[int, float]) -> dict[int, float]:
+def kaplan_meier(ended: Mapping[int, float], cut: Mapping[int, float]) -> dict[int, float]:
     """The distribution of whole lengths by the product-limit estimate, as weights that add up to 1.
 
     What is left beyond the longest one that ended is told there: how much longer it would have been is not
--- a/spoolbarrow/pools/split.py
+++ b/spoolbarrow/pools/split.py
@@ -15,11 +15,11 @@
 import msgspec
 from msgspec import Struct, field
 
-from spoolbarrow.fleet.documents import MOST_BODY
+from spoolbarrow.fleet.documents import MAX_BODY_BYTES
 from spoolbarrow.interface import RequestClass
 from spoolbarrow.pools import sketch
-from spoolbarrow.pools.evidence import MOST_CLASSES, REST, US, Cell, Pace, Seen
-from spoolbarrow.pools.model import HURT, Atom, Rates, Traffic, flow
+from spoolbarrow.pools.traffic_stats import MOST_CLASSES, REST, US, Cell, EngineSpeed, TrafficStats
+from spoolbarrow.pools.queue_model import HURT, Atom, Rates, Traffic, flow
 
 LITTLE = 60.0  # requests weighed by age, below which there is too little evidence
 SURE = 3.0  # standard deviations of the evidence's noise that a gain must outlast
@@ -27,7 +27,7 @@
 DOUBT = 0.5  # of what was seen, the most that noise is taken for
 BACK = 4.0  # times the gain, for a move against the direction of the last one
 SAVED = 0.3  # share of the engines' time that kept prompts save, from which losing them is looked at
-STEP = 16  # one engine of so many moves at a time, at least one
+ENGINES_PER_MOVE = 16  # one engine of so many moves at a time, at least one
 MOVE_MS, STAY_MS = 4000.0, 20_000.0  # between moves, and what an engine stays on its side at least
 TRIAL_MS, REST_MS = 40_000.0, 600_000.0  # until a split's measured lateness counts; none after it failed
 OTHER = 0.15  # in predicted lateness without a split: then the traffic is not what the trial began with
@@ -42,58 +42,58 @@
 PACES = 10.0  # samples of an engine type's rates, below which they are not known
 RUN_SHARE = 0.007  # of a step, what each further stream adds: not seen apart from outside (docs/pools.md)
 UNTOLD = 0.5  # portion of a tenant that none was told for
-NEVER = -1.0  # in `reads_from`: no request of this class reads
+NEVER_PREFILL = -1.0  # in `prefill_min_tokens`: no request of this class reads
 
 
 class Engine(Struct, frozen=True):
     """One line of the holder's list, as far as the split goes."""
 
-    kind: str = ""
+    engine_type: str = ""
     zone: int = 0
     cold: bool = False
-    only: str = ""  # "read" or "write": an operator says that this type can do nothing else
+    fixed_side: str = ""  # "read" or "write": an operator says that this type can do nothing else
 
 
 class Plan(Struct, array_like=True, forbid_unknown_fields=True, omit_defaults=False):
     """The decision's body. No readers: no split."""
 
     at_ms: float = 0.0
-    reads_from: list[float] = field(default_factory=list)  # by class: prompt tokens from which it reads
-    readers: list[str] = field(default_factory=list)  # engines, in order
+    prefill_min_tokens: list[float] = field(default_factory=list)  # by class: prompt tokens from which it reads
+    prefill_engines: list[str] = field(default_factory=list)  # engines, in order
     since_ms: float = 0.0  # of the split
     moved_ms: float = 0.0  # of the last move
     moved: dict[str, float] = field(default_factory=dict)  # engines that must stay, since when
     step_ms: float = 0.0  # of an engine, as learnt while there was no split
     direction: int = 0  # of the last move: 1 to read, -1 to write
     rest_until_ms: float = 0.0  # no split until then
-    none_lost: float = 0.0  # predicted share of the worth lost without a split
-    split_lost: float = 0.0  # and with this one
+    unsplit_loss: float = 0.0  # predicted share of the worth lost without a split
+    split_loss: float = 0.0  # and with this one
     trial: tuple[float, float, float] = (0.0, 0.0, 0.0)  # before it: share late, its weight, predicted
     wanted: tuple[int, int] = (0, 0)  # readers and writers that the traffic wants, whatever can be steered
-    why: str = ""
+    reason: str = ""
 
 
 ENCODE, DECODE = msgspec.msgpack.Encoder().encode, msgspec.msgpack.Decoder(Plan).decode
 
 
-def read(body: bytes | None) -> Plan | None:
+def decode_plan(body: bytes | None) -> Plan | None:
     """A plan that can be acted on; None otherwise."""
-    if body is None or len(body) > MOST_BODY:
+    if body is None or len(body) > MAX_BODY_BYTES:
         return None
     try:
         plan = DECODE(body)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError):
         return None
-    numbers = (plan.at_ms, plan.since_ms, plan.moved_ms, plan.rest_until_ms, plan.none_lost, plan.split_lost,
-               plan.step_ms, *plan.trial, *plan.reads_from, *plan.moved.values())  # fmt: skip
-    sane = all(map(isfinite, numbers)) and len(plan.reads_from) <= MOST_CLASSES
-    return plan if sane and all(x == NEVER or x >= 0.0 for x in plan.reads_from) else None
+    numbers = (plan.at_ms, plan.since_ms, plan.moved_ms, plan.rest_until_ms, plan.unsplit_loss, plan.split_loss,
+               plan.step_ms, *plan.trial, *plan.prefill_min_tokens, *plan.moved.values())  # fmt: skip
+    sane = all(map(isfinite, numbers)) and len(plan.prefill_min_tokens) <= MOST_CLASSES
+    return plan if sane and all(x == NEVER_PREFILL or x >= 0.0 for x in plan.prefill_min_tokens) else None
 
 
 # --- from evidence to what the model takes
 
 
-def guarded(seen: Seen, portions: Sequence[float] | None) -> tuple[dict[int, Cell], bool]:
+def guarded(seen: TrafficStats, portions: Sequence[float] | None) -> tuple[dict[int, Cell], bool]:
     """By class, and whether a tenant was held back; None: hold nobody back.
 
     No tenant's reading weighs more than its portion while others ask as well. What a tenant asks beyond
@@ -136,7 +136,7 @@
         if cls >= len(classes):
             continue
         c = classes[cls]
-        lengths = sketch.survived(cell.ended, cell.cut)
+        lengths = sketch.kaplan_meier(cell.ended, cell.cut)
         answer = sketch.mean(lengths) if lengths else 0.0
         for number, (count, tokens, squares) in sorted(cell.spans.items()):
             if count > 0.0:
@@ -148,14 +148,14 @@
     return found
 
 
-def rates(seen: Seen, kinds: Mapping[str, int], found: Sequence[Atom], before: float) -> Rates | None:
+def rates(seen: TrafficStats, kinds: Mapping[str, int], found: Sequence[Atom], before: float) -> Rates | None:
     """Of a mean engine of a fleet with so many of each type; None where no type's rates are known.
 
     Where engines do not stand apart, every stream is held up by reading: a step's own time is then what is
     left of the usual pace, not the least that was seen. `before` is what that came to before they did, or 0.
     """
     known: dict[str, tuple[float, float]] = {}
-    for kind, pace in sorted(seen.paces.items()):
+    for kind, pace in sorted(seen.speeds.items()):
         if kind in kinds and min(sum(pace.read.values()), sum(pace.step.values())) >= PACES:
             read, step = (sketch.quantile(h, FAST) / US for h in (pace.read, pace.step))
             known[kind] = (read, step)
@@ -174,17 +174,17 @@
     return Rates(1.0 / reading, step, RUN_SHARE * step)
 
 
-def _usual(seen: Seen) -> float:
+def _usual(seen: TrafficStats) -> float:
     """The median pace of all streams, ms a token."""
     steps: dict[int, float] = {}
-    for pace in seen.paces.values():
+    for pace in seen.speeds.values():
         sketch.add(steps, pace.step)
     return sketch.quantile(steps, 0.5) / US
 
 
-def roomy(told: Rates, seen: Seen, found: Sequence[Atom], engines: int) -> Rates:
+def roomy(told: Rates, seen: TrafficStats, found: Sequence[Atom], engines: int) -> Rates:
     """With the slots and the memory that reports tell of: the streams that run now fill so much of them."""
-    weight, busy, memory = (sum(p.full[n] for p in seen.paces.values()) for n in range(3))
+    weight, busy, memory = (sum(p.full[n] for p in seen.speeds.values()) for n in range(3))
     _, _, _, made, _, held = flow(found)
     running = made * _usual(seen) / engines
     if weight < PACES or running <= 0.0:
@@ -194,11 +194,11 @@
     return msgspec.structs.replace(told, slots=slots, memory=tokens)
 
 
-def contradicts(all_seen: Sequence[Seen], whole: Seen, factor: float = 3.0) -> bool:
+def contradicts(all_seen: Sequence[TrafficStats], whole: TrafficStats, factor: float = 3.0) -> bool:
     """Whether two routers tell quite different rates of one type of engine."""
     for seen in all_seen:
-        for kind, pace in seen.paces.items():
-            for mine, its in _pairs(pace, whole.paces[kind]):
+        for kind, pace in seen.speeds.items():
+            for mine, its in _pairs(pace, whole.speeds[kind]):
                 if min(sum(mine.values()), sum(its.values())) >= 2 * PACES:
                     ratio = sketch.quantile(mine, 0.5) / max(sketch.quantile(its, 0.5), 1e-9)
                     if not 1.0 / factor <= ratio <= factor:
@@ -206,7 +206,7 @@
     return False
 
 
-def _pairs(one: Pace, other: Pace) -> Iterable[tuple[dict[int, float], dict[int, float]]]:
+def _pairs(one: EngineSpeed, other: EngineSpeed) -> Iterable[tuple[dict[int, float], dict[int, float]]]:
     return (one.read, other.read), (one.step, other.step)
 
 
@@ -294,7 +294,7 @@
 
 def thresholds(found: Sequence[Atom], cut: float, classes: int, rates: Rates) -> list[float]:
     """By class, the prompt length from which requests read: all spans above it read at least `cut` tokens."""
-    limits = [NEVER] * classes
+    limits = [NEVER_PREFILL] * classes
     for cls in range(classes):
         own = [a for a in found if a.cls == cls]
         asked = sum(a.rate for a in own)
@@ -302,7 +302,7 @@
         if unread < (1.0 - KEEPS) * sum(a.rate * a.prompt for a in own):
             # A session that changed sides as its prompt grows would leave all behind that was kept of it.
             writes = sum(a.rate * a.answer for a in own) * rates.run_ms
-            limits[cls] = 0.0 if unread >= cut * asked and unread * rates.read_ms > writes else NEVER
+            limits[cls] = 0.0 if unread >= cut * asked and unread * rates.read_ms > writes else NEVER_PREFILL
             continue
         for atom in sorted(own, key=lambda a: -a.low):
             if atom.unread < cut or not lies_in_prompt(atom, rates):
@@ -313,7 +313,7 @@
 
 def apart(found: Sequence[Atom], limits: Sequence[float]) -> list[bool]:
     """Which of the requests read by these thresholds."""
-    return [limits[a.cls] != NEVER and a.low >= limits[a.cls] for a in found]
+    return [limits[a.cls] != NEVER_PREFILL and a.low >= limits[a.cls] for a in found]
 
 
 # --- which engines
@@ -326,7 +326,7 @@
 
 def moved(readers: set[str], engines: Mapping[str, Engine], change: int, staying: set[str]) -> list[str]:
     """Engines that change sides: so many begin to read (or, below 0, to write), zones kept in proportion."""
-    names = sorted(name for name, e in engines.items() if not e.only and name not in staying)
+    names = sorted(name for name, e in engines.items() if not e.fixed_side and name not in staying)
     sizes: dict[int, int] = {}
     reading: dict[int, int] = {}
     for name, engine in engines.items():
--- a/spoolbarrow/pools/evidence.py
+++ b/spoolbarrow/pools/traffic_stats.py
@@ -14,7 +14,7 @@
 import msgspec
 from msgspec import Struct, field
 
-from spoolbarrow.fleet.documents import MOST_BODY
+from spoolbarrow.fleet.documents import MAX_BODY_BYTES
 from spoolbarrow.pools import sketch
 from spoolbarrow.pools.sketch import add, bucket, fade
 
@@ -73,7 +73,7 @@
         self.late *= share
 
 
-class Pace(Struct):
+class EngineSpeed(Struct):
     """What one type of engines showed: microseconds for a token read, and between tokens of a stream."""
 
     read: dict[int, float] = field(default_factory=dict)
@@ -81,13 +81,13 @@
     full: list[float] = field(default_factory=lambda: [0.0, 0.0, 0.0])  # reports, share of slots and memory
 
 
-class Seen(Struct):
+class TrafficStats(Struct):
     """All that was seen, by (class, tenant) and by engine type, weighed by age as of `at_ms`."""
 
     at_ms: float = 0.0
     begun_ms: float = 0.0
     cells: dict[tuple[int, int], Cell] = field(default_factory=dict)
-    paces: dict[str, Pace] = field(default_factory=dict)
+    speeds: dict[str, EngineSpeed] = field(default_factory=dict)
 
 
 class Body(Struct, array_like=True, forbid_unknown_fields=True):
@@ -103,14 +103,14 @@
 ENCODE, DECODE = msgspec.msgpack.Encoder().encode, msgspec.msgpack.Decoder(Body).decode
 
 
-class Notes:
+class TrafficRecorder:
     """One router's own, noted as requests go by; memory is bounded by MOST_CELLS and the sketches'."""
 
     def __init__(self, now: float) -> None:
-        self.seen = Seen(now, now)
+        self.stats = TrafficStats(now, now)
 
     def _cell(self, cls: int, tenant: int) -> Cell:
-        cells = self.seen.cells
+        cells = self.stats.cells
         key = (cls, tenant)
         if key not in cells:
             if not (0 <= cls < MOST_CLASSES and 0 <= tenant < MOST_TENANTS) or len(cells) >= 2 * MOST_CELLS:
@@ -118,7 +118,7 @@
             cells.setdefault(key, Cell())
         return cells[key]
 
-    def asked(self, now: float, cls: int, tenant: int, prompt: int, unread: float) -> None:
+    def record_request(self, now: float, cls: int, tenant: int, prompt: int, unread: float) -> None:
         """A request came, with so many tokens expected not to be found kept (or known not to have been)."""
         long, read = bucket(prompt), bucket(min(unread, prompt))
         if long < 0 or read < 0:
@@ -131,7 +131,7 @@
         for n, value in enumerate((1.0, min(unread, prompt), min(unread, prompt) ** 2)):
             sums[n] += value
 
-    def answered(self, now: float, cls: int, tenant: int, tokens: int, whole: bool, late: bool) -> None:
+    def record_answer(self, now: float, cls: int, tenant: int, tokens: int, whole: bool, late: bool) -> None:
         """Its answer ended, whole or cut off after so many tokens; 0 tokens cut off: refused or lost."""
         self.fade(now)
         cell = self._cell(cls, tenant)
@@ -142,19 +142,19 @@
             counts = cell.ended if whole else cell.cut
             counts[made] = counts.get(made, 0.0) + 1.0
 
-    def _pace(self, kind: str) -> Pace:
+    def _pace(self, kind: str) -> EngineSpeed:
         """Of a type of engines; one too many is noted for nobody."""
-        paces = self.seen.paces
-        return paces.setdefault(kind, Pace()) if kind in paces or len(paces) < MOST_TYPES else Pace()
+        paces = self.stats.speeds
+        return paces.setdefault(kind, EngineSpeed()) if kind in paces or len(paces) < MOST_TYPES else EngineSpeed()
 
-    def report(self, now: float, kind: str, busy_share: float, memory_share: float) -> None:
+    def record_load(self, now: float, kind: str, busy_share: float, memory_share: float) -> None:
         """An engine told how full it is; what it does not tell is negative."""
         self.fade(now)
         if 0.0 <= busy_share <= 1.0 and 0.0 <= memory_share <= 1.0:
             full = self._pace(kind).full
             full[:] = full[0] + 1.0, full[1] + busy_share, full[2] + memory_share
 
-    def engine(
+    def record_timing(
         self, now: float, kind: str, unread: float, first_ms: float, tokens: int, rest_ms: float
     ) -> None:
         """What an answer told of its engine's type: ms to its first token, and from there to its last."""
@@ -168,15 +168,15 @@
             if tells and place > 0:
                 counts[place] = counts.get(place, 0.0) + 1.0
 
-    def expected(self, cls: int, tenant: int, prompt: int) -> float:
+    def expected_unread(self, cls: int, tenant: int, prompt: int) -> float:
         """Tokens of such a prompt that will not be found kept, by those before it."""
-        cell = self.seen.cells.get((cls, tenant))
+        cell = self.stats.cells.get((cls, tenant))
         sums = cell.spans.get(span(prompt)) if cell is not None else None
         return min(float(prompt), sums[1] / sums[0]) if sums is not None and sums[0] >= 1.0 else float(prompt)
 
     def fade(self, now: float) -> None:
         """Let what was seen grow old."""
-        seen = self.seen
+        seen = self.stats
         if now - seen.at_ms >= FADE_EVERY_MS:
             share = 0.5 ** ((now - seen.at_ms) / HALF_MS)
             seen.at_ms = now
@@ -184,18 +184,18 @@
                 seen.cells[key].fade(share)
                 if not seen.cells[key].spans and seen.cells[key].answered < sketch.LEAST:
                     del seen.cells[key]
-            for pace in seen.paces.values():
+            for pace in seen.speeds.values():
                 fade(pace.read, share)
                 fade(pace.step, share)
                 pace.full = [value * share for value in pace.full]
 
     def body(self, now: float) -> bytes:
-        """The summary; never longer than MOST_BODY: the lightest cells are added up until it fits."""
+        """The summary; never longer than MAX_BODY_BYTES: the lightest cells are added up until it fits."""
         self.fade(now)
         most = MOST_CELLS
         while True:
-            told = ENCODE(_said(now, self.seen, most))
-            if len(told) <= MOST_BODY:
+            told = ENCODE(_said(now, self.stats, most))
+            if len(told) <= MAX_BODY_BYTES:
                 return told
             if most <= 1:
                 raise AssertionError("the sketches' bound broke: two cells are longer than a body")
@@ -207,7 +207,7 @@
     return min(SPANS - 1, int(log2(max(1.0, prompt))))
 
 
-def _said(now: float, seen: Seen, most: int) -> Body:
+def _said(now: float, seen: TrafficStats, most: int) -> Body:
     order = sorted(seen.cells, key=lambda key: (-seen.cells[key].weight(), key))
     kept: dict[tuple[int, int], Cell] = {}
     for n, (cls, tenant) in enumerate(order):
@@ -222,7 +222,7 @@
     ]  # fmt: skip
     paces = {
         kind: (sketch.told(p.read), sketch.told(p.step), (p.full[0], p.full[1], p.full[2]))
-        for kind, p in sorted(seen.paces.items())
+        for kind, p in sorted(seen.speeds.items())
     }
     return Body(VERSION, now, seen.begun_ms, cells, paces)
 
@@ -253,9 +253,9 @@
     return Cell(prompts, unread, ended, cut, sums_of, answered, late)
 
 
-def hear(body: bytes) -> Seen | None:
+def decode_summary(body: bytes) -> TrafficStats | None:
     """What a summary says; None where it can't be read, or says what can't be."""
-    if len(body) > MOST_BODY:
+    if len(body) > MAX_BODY_BYTES:
         return None
     try:
         said = DECODE(body)
@@ -265,7 +265,7 @@
         return None
     if not (isfinite(said.at_ms) and isfinite(said.since_ms)) or len(said.paces) > MOST_TYPES:
         return None
-    found = Seen(said.at_ms, said.since_ms)
+    found = TrafficStats(said.at_ms, said.since_ms)
     for cls, tenant, answered, late, flat, spans in said.cells:
         cell = _cell(answered, late, flat, spans)
         if cell is None or not (0 <= cls < MOST_CLASSES and REST <= tenant < MOST_TENANTS):
@@ -275,23 +275,23 @@
         one, two = sketch.heard(read), sketch.heard(step)
         if one is None or two is None or not _sane(*full) or max(full[1:]) > full[0] + 0.01:
             return None
-        found.paces[kind] = Pace(one, two, list(full))
+        found.speeds[kind] = EngineSpeed(one, two, list(full))
     return found
 
 
 def merged(
-    all_seen: Sequence[Seen], weights: Sequence[float], between: Callable[[], None] = lambda: None
-) -> Seen:
+    all_seen: Sequence[TrafficStats], weights: Sequence[float], between: Callable[[], None] = lambda: None
+) -> TrafficStats:
     """Of several routers; ages are each router's own, so clocks that differ say nothing wrong.
 
     `between` is called after each router.
     """
-    whole = Seen()
+    whole = TrafficStats()
     for seen, weight in zip(all_seen, weights, strict=True):
         for key, cell in seen.cells.items():
             whole.cells.setdefault(key, Cell()).take(cell, weight)
-        for kind, pace in seen.paces.items():
-            mine = whole.paces.setdefault(kind, Pace())
+        for kind, pace in seen.speeds.items():
+            mine = whole.speeds.setdefault(kind, EngineSpeed())
             add(mine.read, pace.read)
             add(mine.step, pace.step)
             mine.full = [a + b for a, b in zip(mine.full, pace.full, strict=True)]
--- a/spoolbarrow/reload.py
+++ b/spoolbarrow/reload.py
@@ -22,7 +22,7 @@
 
 if TYPE_CHECKING:
     from spoolbarrow.admin.operations import Operations
-    from spoolbarrow.agree import Item
+    from spoolbarrow.agree import VersionedItem
     from spoolbarrow.operator import Operator
 
 OPERATOR = "SPOOLBARROW_"  # what begins so in the environment is the operator's
@@ -94,12 +94,12 @@
         settings = read if self._operations is None else self._operations.fit(read)
         return FilesRead(read, settings, self.subsystems.prepare(operator, settings))
 
-    def check(self) -> tuple[dict[Item, str], int]:
+    def check(self) -> tuple[dict[VersionedItem, str], int]:
         """The digests of what the files say now, and their revision; ConfigError where they can't be used."""
         return self._contents(self._read())
 
     @staticmethod
-    def _contents(files: FilesRead) -> tuple[dict[Item, str], int]:
+    def _contents(files: FilesRead) -> tuple[dict[VersionedItem, str], int]:
         operator = files.prepared.operator
         from spoolbarrow.net.agreement import of_files
 
@@ -138,7 +138,7 @@
         if wanted:
             from spoolbarrow import agree
 
-            if agree.files(self._contents(files)[0]) != wanted:
+            if agree.files_digest(self._contents(files)[0]) != wanted:
                 raise FilesChanged("agree: the files are not what was checked")
         calls = None if operations is None else operations.prepare(read)
         try:
--- a/spoolbarrow/sessions/rooms.py
+++ b/spoolbarrow/sessions/cache_retention.py
@@ -82,7 +82,7 @@
         return tuple(f / e if e > 0.0 else 1.0 for f, e, n in blocks for _ in range(n))
 
 
-class Rooms:
+class CacheRetention:
     """Edges of engines, of tokens and of age; engines by number."""
 
     def __init__(self) -> None:
--- a/spoolbarrow/sessions/model.py
+++ b/spoolbarrow/sessions/model.py
@@ -14,7 +14,7 @@
 from msgspec import Struct
 
 from spoolbarrow.sessions import cells
-from spoolbarrow.sessions.evidence import MOST_COUNT, SCALE, Counts, trimmed
+from spoolbarrow.sessions.turn_counts import MOST_COUNT, SCALE, Counts, trimmed
 
 MOST_CLUSTERS = 8
 FIT_CELLS = 400  # the heaviest; more cost time and tell little
@@ -86,16 +86,16 @@
 class Prediction(Struct, frozen=True):
     """What is thought of a session with such a cell, and how surely."""
 
-    chance: float  # that it returns within the horizon, just after its turn
+    return_chance: float  # that it returns within the horizon, just after its turn
     low: float  # nine in ten such sessions' true chance lies between
     high: float
     away: Vector  # share still away at the end of each span
-    growth: float  # tokens that its next turn adds: half of them add less
+    growth_tokens: float  # tokens that its next turn adds: half of them add less
     cluster: str  # the likeliest
     weights: Vector  # of the clusters, in the model's order, should it return
-    half_ms: float = 0.0  # within which half of those who return have done so
-    late_ms: float = 0.0  # and nearly all, LATE
-    late_chance: float = 0.0  # that it returns within that
+    median_return_ms: float = 0.0  # within which half of those who return have done so
+    p90_return_ms: float = 0.0  # and nearly all, LATE
+    p90_return_chance: float = 0.0  # that it returns within that
 
     def later(self, away_ms: float) -> float:
         """The chance that it returns within the horizon, having been away for so long."""
@@ -474,11 +474,11 @@
             found = self._remembered[cell] = self._work_out(cell)
         return found
 
-    def left(self, prediction: Prediction, turns: int) -> float:
+    def turns_left(self, prediction: Prediction, turns: int) -> float:
         """Turns that a session with this prediction still has before it, after so many."""
         n = min(turns + 1, CHAIN) - 1
         more = sum(w * left[n] for w, left in zip(prediction.weights, self._left, strict=True))
-        return prediction.chance * (1.0 + more)
+        return prediction.return_chance * (1.0 + more)
 
     def _work_out(self, cell: int) -> Prediction:
         cls, stage, x, known = _centre(cell)
--- a/spoolbarrow/sessions/part.py
+++ b/spoolbarrow/sessions/part.py
@@ -14,17 +14,17 @@
 from msgspec import Struct
 
 from spoolbarrow.errors import Problem
-from spoolbarrow.fleet.documents import MOST_BODY
-from spoolbarrow.sessions import cells, evidence, model, shares, table
-from spoolbarrow.sessions.evidence import SCALE, Evidence
-from spoolbarrow.sessions.ledger import Ledger
+from spoolbarrow.fleet.documents import MAX_BODY_BYTES
+from spoolbarrow.sessions import cells, turn_counts, model, router_shares, session_table
+from spoolbarrow.sessions.turn_counts import SCALE, Evidence
+from spoolbarrow.sessions.reservations import ReservationBook
 from spoolbarrow.sessions.model import Prediction, Predictor
-from spoolbarrow.sessions.rooms import TELLS, Rooms
+from spoolbarrow.sessions.cache_retention import TELLS, CacheRetention
 
 SWEEP_MS = 60_000.0  # every session is looked at so often: who is still away is told, who has gone forgotten
 LEAST_CHANCE = 0.05  # below it nothing is reserved
 LEARN_LEAST = 0.2  # weight of the newest turn in a session's means, at least
-MOVING, MOVED_LEARN, MOVED_PRIOR = (
+MAX_MOVED_SHARE, MOVED_LEARN, MOVED_PRIOR = (
     0.05,
     0.01,
     4,
@@ -48,7 +48,7 @@
     """What is set of sessions."""
 
     routers: int = 1  # that share the engines, where no store grants shares
-    slots: int = table.SLOTS  # sessions that a router knows; 64 bytes each
+    slots: int = session_table.SLOTS  # sessions that a router knows; 64 bytes each
     portions: tuple[float, ...] = ()  # of tenants, as the platform told
     granted: bool = False  # shares come with the decision (a store): without one, nothing is reserved
     read_price: float = 1.0  # value of a token that need not be read
@@ -57,25 +57,25 @@
         """Impossible settings are refused, each by its key."""
         if self.routers < 1:
             raise SessionsError("sessions.routers", "must be at least 1")
-        if not table.WAYS <= self.slots <= 1 << 22:
-            raise SessionsError("sessions.slots", f"must lie between {table.WAYS} and {1 << 22}")
+        if not session_table.WAYS <= self.slots <= 1 << 22:
+            raise SessionsError("sessions.slots", f"must lie between {session_table.WAYS} and {1 << 22}")
         if not all(p >= 0.0 for p in self.portions):
             raise SessionsError("sessions.portions", "must not be negative")
         if not 0.0 < self.read_price < 1e9:
             raise SessionsError("sessions.read_price", "must be above 0")
 
 
-class Facts(Struct, frozen=True):
+class CacheHint(Struct, frozen=True):
     """What the decisions may be told of a request before it is placed."""
 
     home: str  # where its prompt is kept; empty: nowhere
-    kept: int = 0  # tokens beyond the opening that should be found there
+    cached_tokens: int = 0  # tokens beyond the opening that should be found there
 
 
-class Keeps(Struct, frozen=True):
+class EngineReservations(Struct, frozen=True):
     """What the decisions may be told of an engine."""
 
-    density: float  # tokens wanted again, of each that is pushed out
+    reuse_density: float  # tokens wanted again, of each that is pushed out
     held: int  # tokens reserved, by this router
     at: float  # when this was worked out
 
@@ -85,22 +85,22 @@
 
     number: int
     model: model.Model
-    grants: dict[int, shares.Grant]
+    grants: dict[int, router_shares.Grant]
 
 
-UNKNOWN = Facts("")
+UNKNOWN_HINT = CacheHint("")
 _documents = msgspec.msgpack.Decoder(Document)
 
 
 def read(body: bytes) -> Document | None:
     """A decision; None where it can't be acted on."""
-    if len(body) > MOST_BODY:
+    if len(body) > MAX_BODY_BYTES:
         return None
     try:
         found = _documents.decode(body)
     except (msgspec.DecodeError, ValueError, RecursionError):
         return None
-    fine = 0 < found.number < 1 << 53 and model.sound(found.model) and shares.sound(found.grants)
+    fine = 0 < found.number < 1 << 53 and model.sound(found.model) and router_shares.sound(found.grants)
     return found if fine else None
 
 
@@ -111,10 +111,10 @@
 
     def __init__(self, settings: Settings, who: int) -> None:
         self.settings, self.who = settings, who
-        self.table = table.Table(settings.slots)
+        self.table = session_table.SessionTable(settings.slots)
         self.evidence = Evidence()
-        self.rooms = Rooms()
-        self.ledger = Ledger(settings.portions, settings.read_price)
+        self.retention = CacheRetention()
+        self.reservations = ReservationBook(settings.portions, settings.read_price)
         self.document: Document | None = None
         self.predictor: Predictor | None = None
         self.share = 0.0 if settings.granted else 1.0 / settings.routers
@@ -123,10 +123,10 @@
         self._free: list[int] = []  # numbers of engines that have gone
         self.started: dict[int, float] = {}  # since_ms of each
         self._swept, self._swept_at = 0, -1.0
-        self._keeps: dict[int, Keeps] = {}
+        self._keeps: dict[int, EngineReservations] = {}
         self.wanted = 0.0, 0.0
         # Share of turns whose session others served since it was here; routers begin by doubting.
-        self.moving, self.met = float(settings.routers > 1), 0
+        self.moved_share, self.met = float(settings.routers > 1), 0
 
     # --- engines
 
@@ -136,15 +136,15 @@
             if self._free:
                 found = self._free.pop()
                 self.engines[found] = engine
-            elif len(self.engines) < table.NO_HOME:
+            elif len(self.engines) < session_table.NO_HOME:
                 found = len(self.engines)
                 self.engines.append(engine)
             else:
-                return table.NO_HOME  # more engines than a fleet has: nothing is kept in mind of these
+                return session_table.NO_HOME  # more engines than a fleet has: nothing is kept in mind of these
             self.numbers[engine] = found
         return found
 
-    def engine(self, now: float, name: str, serving: bool, since_ms: float = 0.0) -> None:
+    def update_engine(self, now: float, name: str, serving: bool, since_ms: float = 0.0) -> None:
         """What the list says of an engine: one that drains, is gone or has restarted keeps nothing for us."""
         number = self._number(name)
         restarted = since_ms > self.started.get(number, since_ms)
@@ -157,23 +157,23 @@
             self._free.append(self.numbers.pop(name, number))  # engines come and go for months
 
     def _lost(self, now: float, number: int) -> None:
-        self.ledger.engine_gone(now, number)
-        self.rooms.forget(number)
+        self.reservations.engine_gone(now, number)
+        self.retention.forget(number)
         home, at = self.table.home, -1
         while True:
             try:
                 at = home.index(number, at + 1)
             except ValueError:
                 return
-            home[at] = table.NO_HOME
+            home[at] = session_table.NO_HOME
 
     # --- sessions
 
-    def arrived(self, now: float, key: int, cls: int, tenant: int, prompt: int, shared: int) -> Facts:
+    def request_arrived(self, now: float, key: int, cls: int, tenant: int, prompt: int, shared: int) -> CacheHint:
         """A request of a session came, `key` of 64 bits, 0: of none; where its prompt lies."""
         t = self.table
         if not key:
-            return UNKNOWN
+            return UNKNOWN_HINT
         prompt, shared = min(max(prompt, 0), MOST_TOKENS), min(max(shared, 0), MOST_TOKENS)
         slot = t.find(key)
         if slot < 0:
@@ -188,32 +188,32 @@
         else:
             turns = min(t.turns[slot] + 1, 65_535)
             weight = max(LEARN_LEAST, 1.0 / turns)
-            if t.passed[slot] != table.OUT:
+            if t.passed[slot] != session_table.OUT:
                 away = t.away[slot] = max(0.0, now - t.at[slot])
                 grown = cells.octave(float(prompt - t.context[slot]))
                 self._told(slot, away, int(grown * SCALE))
-                if key in self.ledger.book:
-                    self.ledger.release(now, key, "return")
+                if key in self.reservations.by_key:
+                    self.reservations.release(now, key, "return")
                 gap, mean = cells.octave(away / cells.GAP_BASE_MS), t.gap[slot]
                 t.gap[slot] = gap if mean < 0.0 else mean + max(LEARN_LEAST, 1.0 / (turns - 1)) * (gap - mean)
             mean = t.growth[slot]
             t.growth[slot] = mean + weight * (cells.octave(float(prompt - t.context[slot])) - mean)
-        t.turns[slot], t.at[slot], t.passed[slot] = turns, now, table.OUT
+        t.turns[slot], t.at[slot], t.passed[slot] = turns, now, session_table.OUT
         t.prompt[slot], t.shared[slot] = prompt, shared
         home = t.home[slot]
-        if home == table.NO_HOME or self.moving > MOVING:
-            return UNKNOWN  # of one that moves only its key tells all routers the same
-        share = self.rooms.share(home, self.rooms.since(home, t.mark[slot]) * self.settings.routers)
-        return Facts(self.engines[home], int(share * max(0, min(t.context[slot], prompt) - shared)))
+        if home == session_table.NO_HOME or self.moved_share > MAX_MOVED_SHARE:
+            return UNKNOWN_HINT  # of one that moves only its key tells all routers the same
+        share = self.retention.share(home, self.retention.since(home, t.mark[slot]) * self.settings.routers)
+        return CacheHint(self.engines[home], int(share * max(0, min(t.context[slot], prompt) - shared)))
 
-    def ended(self, now: float, key: int, engine: str, answer: int, kept: int) -> Prediction | None:
+    def answer_ended(self, now: float, key: int, engine: str, answer: int, kept: int) -> Prediction | None:
         """Its answer was served by an engine that found so many tokens kept; what is thought of it now.
 
         An attempt that served nothing is no turn's end: it is not told here.
         """
         t = self.table
         slot = t.find(key) if key else -1
-        if slot < 0 or t.passed[slot] != table.OUT:
+        if slot < 0 or t.passed[slot] != session_table.OUT:
             return None
         number, prompt, shared, turns = self._number(engine), t.prompt[slot], t.shared[slot], t.turns[slot]
         kept, answer = min(max(kept, 0), prompt), min(max(answer, 0), MOST_TOKENS)
@@ -221,7 +221,7 @@
         self.met += 1
         learn = max(MOVED_LEARN, 1.0 / (self.met + MOVED_PRIOR))
         left = max(t.context[slot], shared)
-        self.moving += learn * ((kept - left >= TELLS) - self.moving)
+        self.moved_share += learn * ((kept - left >= TELLS) - self.moved_share)
         if t.home[slot] == number:
             self._observe(now, slot, number, kept)
         gap, growth, mean = t.gap[slot], t.growth[slot], t.answer[slot]
@@ -229,7 +229,7 @@
         mean = told if mean < 0.0 else mean + max(LEARN_LEAST, 1.0 / turns) * (told - mean)
         context = t.context[slot] = min(prompt + answer, MOST_TOKENS)
         t.answer[slot], t.home[slot], t.at[slot], t.passed[slot] = mean, number, now, 0
-        t.mark[slot] = self.rooms.pour(number, prompt - kept + answer)
+        t.mark[slot] = self.retention.pour(number, prompt - kept + answer)
         cell = t.cell[slot] = cells.cell(t.cls[slot], turns, gap, growth, mean)
         counts = self.evidence.at(cell)
         if counts is not None:
@@ -240,23 +240,23 @@
         if self.predictor is None:
             t.worth[slot] = LEAST_CHANCE * context
             return None
-        found = self.predicted(now, key, cell)
+        found = self.predict(now, key, cell)
         tokens, tenant = max(0, context - shared), t.tenant[slot]
-        word = self.ledger.word(tenant)
-        t.worth[slot] = found.chance * tokens * word
-        room = self.rooms.room(number)
-        if found.chance >= LEAST_CHANCE and room > 0.0 and number != table.NO_HOME:
-            hold, chance = found.late_ms, found.late_chance
-            longest = self.rooms.longest_ms()
+        word = self.reservations.word(tenant)
+        t.worth[slot] = found.return_chance * tokens * word
+        room = self.retention.room(number)
+        if found.return_chance >= LEAST_CHANCE and room > 0.0 and number != session_table.NO_HOME:
+            hold, chance = found.p90_return_ms, found.p90_return_chance
+            longest = self.retention.longest_ms()
             if hold > longest:
                 hold = max(longest, cells.EDGES_MS[0])
                 chance = 1.0 - found.still(hold)
             self._wanted(now, chance * tokens * word)
             most = PROMISE * room * self.share
-            self.ledger.reserve(now, key, number, tenant, tokens, chance, now + hold, most)
+            self.reservations.reserve(now, key, number, tenant, tokens, chance, now + hold, most)
         return found
 
-    def predicted(self, now: float, key: int, cell: int) -> Prediction:
+    def predict(self, now: float, key: int, cell: int) -> Prediction:
         """What is thought of a session in this cell; only while a model stands."""
         assert self.predictor is not None
         return self.predictor.of(cell)
@@ -266,9 +266,9 @@
         t = self.table
         shared = t.shared[slot]
         left = min(t.context[slot], t.prompt[slot]) - shared
-        poured = self.rooms.since(number, t.mark[slot]) * self.settings.routers
-        if self.rooms.observe(number, poured, t.away[slot], left, kept - shared):
-            self.ledger.engine_gone(now, number)
+        poured = self.retention.since(number, t.mark[slot]) * self.settings.routers
+        if self.retention.observe(number, poured, t.away[slot], left, kept - shared):
+            self.reservations.engine_gone(now, number)
 
     # --- waits
 
@@ -289,52 +289,52 @@
     def _leave(self, now: float, slot: int) -> None:
         """It gives way or has gone: what is known of its wait is told, and nothing stays."""
         t = self.table
-        if t.passed[slot] != table.OUT:
+        if t.passed[slot] != session_table.OUT:
             self._told(slot, max(0.0, now - t.at[slot]))
-        self.ledger.release(now, t.keys[slot], "time")
+        self.reservations.release(now, t.keys[slot], "time")
         t.forget(slot)
 
     def sweep(self, now: float) -> None:
         """Look at the next sets: call it about every second. Ends what was reserved long enough."""
         t = self.table
-        self.ledger.expire(now)
+        self.reservations.expire(now)
         self._fit(now)
         passed = 1000.0 if self._swept_at < 0.0 else max(0.0, now - self._swept_at)
         self._swept_at = now
         number = min(MOST_SWEPT, max(1, int(t.sets * passed / SWEEP_MS)))
         for turn in range(number):
-            base = (self._swept + turn) % t.sets * table.WAYS
-            if not any(t.keys[base : base + table.WAYS]):
+            base = (self._swept + turn) % t.sets * session_table.WAYS
+            if not any(t.keys[base : base + session_table.WAYS]):
                 continue
-            for slot in range(base, base + table.WAYS):
+            for slot in range(base, base + session_table.WAYS):
                 if t.keys[slot]:
                     away, at = now - t.at[slot], t.passed[slot]
                     if away >= cells.HORIZON_MS:
                         self._leave(now, slot)
-                    elif at != table.OUT and away >= cells.EDGES_MS[at]:
+                    elif at != session_table.OUT and away >= cells.EDGES_MS[at]:
                         self._told(slot, away)
         self._swept = (self._swept + number) % t.sets
 
     # --- facts
 
-    def keeps(self, now: float, engine: str) -> Keeps:
+    def engine_reservations(self, now: float, engine: str) -> EngineReservations:
         """What pushing tokens out of this engine would cost."""
         number = self.numbers.get(engine)
         if number is None:
-            return Keeps(0.0, 0, now)
+            return EngineReservations(0.0, 0, now)
         old = self._keeps.get(number)
         if old is not None and now - old.at < KEEPS_MS:
             return old
-        room = self.rooms.room(number)
-        account = self.ledger.slices.get(number)
-        density = self.ledger.density(number, room * self.share)
-        found = Keeps(density, account.held if account is not None else 0, now)
+        room = self.retention.room(number)
+        account = self.reservations.slices.get(number)
+        density = self.reservations.density(number, room * self.share)
+        found = EngineReservations(density, account.held if account is not None else 0, now)
         self._keeps[number] = found
         return found
 
     def charges(self, now: float) -> dict[int, float]:
         """What tenants owe for memory reserved since this was last asked, in tokens as entitlements count."""
-        return {tenant: held / HELD_AS_READ_S for tenant, held in self.ledger.charges(now).items()}
+        return {tenant: held / HELD_AS_READ_S for tenant, held in self.reservations.charges(now).items()}
 
     # --- the fleet
 
@@ -352,19 +352,19 @@
     def decide(self, now: float, bodies: Sequence[bytes], last: bytes | None) -> bytes | None:
         """A model of all counts, and grants; the same whatever the order of bodies."""
         told = sorted(
-            (one for one in map(evidence.read, bodies) if one is not None),
+            (one for one in map(turn_counts.read, bodies) if one is not None),
             key=msgspec.msgpack.encode,
         )  # fmt: skip
         stands = read(last) if last is not None else None
-        made = model.fit(evidence.merge(told), stands.model if stands is not None else None)
+        made = model.fit(turn_counts.merge(told), stands.model if stands is not None else None)
         if made is None and stands is None:
             return None
         before = stands if stands is not None else Document(0, model.NONE, {})
         chosen, number = made if made is not None else before.model, before.number + 1
-        grants = shares.grant(now, told, before.number, before.grants)
+        grants = router_shares.grant(now, told, before.number, before.grants)
         while True:
             body = msgspec.msgpack.encode(Document(number, chosen, grants))
-            if len(body) <= MOST_BODY:
+            if len(body) <= MAX_BODY_BYTES:
                 return body
             if not chosen.cells:
                 return None
@@ -375,7 +375,7 @@
         if body is None:
             self.document = self.predictor = None
             self.share = 0.0 if self.settings.granted else self.share
-            self.ledger.clear(now)
+            self.reservations.clear(now)
             return True
         found = read(body)
         if found is None:
@@ -385,11 +385,11 @@
         self.document = found
         if self.settings.granted:
             mine = found.grants.get(self.who)
-            self.share = mine.share / shares.WHOLE if mine is not None else 0.0
+            self.share = mine.share / router_shares.WHOLE if mine is not None else 0.0
             self._fit(now)
         return True
 
     def _fit(self, now: float) -> None:
         """Hold no more than may be held: a share was taken, or a room is smaller than it seemed."""
-        for engine in list(self.ledger.slices):
-            self.ledger.fit(now, engine, PROMISE * self.rooms.room(engine) * self.share)
+        for engine in list(self.reservations.slices):
+            self.reservations.fit(now, engine, PROMISE * self.retention.room(engine) * self.share)
--- a/spoolbarrow/sessions/ledger.py
+++ b/spoolbarrow/sessions/reservations.py
@@ -44,18 +44,18 @@
         self.cheapest: list[tuple[float, int]] = []
 
 
-class Ledger:
+class ReservationBook:
     """Every method takes `now` where time counts, ms; keys, engines and tenants are numbers."""
 
     def __init__(
         self, portions: tuple[float, ...] = (), price: float = 1.0, most: int = MOST_RESERVED
     ) -> None:
         self.portions, self.price, self.most = portions, price, most
-        self.book: dict[int, Reservation] = {}
+        self.by_key: dict[int, Reservation] = {}
         self.slices: dict[int, Slice] = {}
         self.times: list[tuple[float, int]] = []
         self.held: dict[int, int] = {}  # tokens, by tenant
-        self.total = 0
+        self.reserved_tokens = 0
         self.charged: dict[int, float] = {}  # token-seconds by tenant, not yet taken
         self.credited: dict[int, float] = {}  # by engine; minus the sum of all ever charged
         self.taken = 0.0  # token-seconds that `charges` has told
@@ -72,10 +72,10 @@
 
     def burst(self, tenant: int) -> float:
         """How far beyond its part the memory lies that a tenant has reserved; 0: within."""
-        if not self.total:
+        if not self.reserved_tokens:
             return 0.0
         part = max(self.portion(tenant), 1e-6)
-        return max(0.0, self.held.get(tenant, 0) / self.total / part - 1.0)
+        return max(0.0, self.held.get(tenant, 0) / self.reserved_tokens / part - 1.0)
 
     def word(self, tenant: int) -> float:
         """What a tenant's returns are worth: those that came, of those that were predicted; 1 at most."""
@@ -100,7 +100,7 @@
 
     def charges(self, now: float) -> dict[int, float]:
         """Token-seconds held by tenant since this was last asked, to be taken from their entitlements."""
-        for one in self.book.values():
+        for one in self.by_key.values():
             self._charge(now, one)
         told, self.charged = self.charged, {}
         self.taken += sum(told.values())
@@ -117,7 +117,7 @@
         most: float,
     ) -> bool:  # fmt: skip
         """Hold room for a session at its home until then; `most`: tokens this router may hold there."""
-        if key in self.book:
+        if key in self.by_key:
             self.release(now, key, "again")
         account = self.slices.get(engine)
         if account is not None and account.held > most:
@@ -130,24 +130,24 @@
         account = self.slices.setdefault(engine, Slice())
         if account.held + tokens > most and not self._make_room(now, account, tokens, earns, most):
             return False
-        if len(self.book) >= self.most:
+        if len(self.by_key) >= self.most:
             if not account.keys:
                 self.slices.pop(engine, None)
             return False
         self.slices[engine] = account  # who gave way may have been the last that held it
-        one = self.book[key] = Reservation(key, engine, tenant, tokens, chance, earns, now, until_ms)
+        one = self.by_key[key] = Reservation(key, engine, tenant, tokens, chance, earns, now, until_ms)
         account.held += tokens
         account.worth += chance * tokens
         account.keys.add(key)
         heappush(account.cheapest, (earns, key))
         heappush(self.times, (until_ms, key))
         self.held[tenant] = self.held.get(tenant, 0) + tokens
-        self.total += one.tokens
+        self.reserved_tokens += one.tokens
         if len(account.cheapest) > HEAP_SLACK * len(account.keys) + 16:
-            account.cheapest = [(self.book[k].earns, k) for k in account.keys]
+            account.cheapest = [(self.by_key[k].earns, k) for k in account.keys]
             heapify(account.cheapest)
-        if len(self.times) > HEAP_SLACK * len(self.book) + 16:
-            self.times = [(its.until_ms, k) for k, its in self.book.items()]
+        if len(self.times) > HEAP_SLACK * len(self.by_key) + 16:
+            self.times = [(its.until_ms, k) for k, its in self.by_key.items()]
             heapify(self.times)
         return True
 
@@ -155,7 +155,7 @@
         """The burst that a tenant would have with these tokens; within its part of much, none."""
         if len(self.held) < 2 and not self.portions:
             return 0.0
-        share = (self.held.get(tenant, 0) + tokens) / (self.total + tokens)
+        share = (self.held.get(tenant, 0) + tokens) / (self.reserved_tokens + tokens)
         return max(0.0, share / max(self.portion(tenant), 1e-6) - 1.0)
 
     def _make_room(self, now: float, account: Slice, tokens: int, earns: float, most: float) -> bool:
@@ -164,7 +164,7 @@
         victims: list[tuple[float, int]] = []
         while need > 0.0 and account.cheapest:
             line = heappop(account.cheapest)
-            one = self.book.get(line[1])
+            one = self.by_key.get(line[1])
             if one is None or one.earns != line[0] or line[1] not in account.keys or line in victims:
                 continue
             victims.append(line)
@@ -184,13 +184,13 @@
         account = self.slices.get(engine)
         while account is not None and account.held > most and account.cheapest:
             earns, key = heappop(account.cheapest)
-            one = self.book.get(key)
+            one = self.by_key.get(key)
             if one is not None and one.earns == earns and key in account.keys:
                 self.release(now, key, "room")
 
     def release(self, now: float, key: int, why: str) -> Reservation | None:
         """A reservation ends."""
-        one = self.book.pop(key, None)
+        one = self.by_key.pop(key, None)
         if one is None:
             return None
         self._charge(now, one)
@@ -200,7 +200,7 @@
         account.keys.discard(key)
         if not account.keys:
             del self.slices[one.engine]
-        self.total -= one.tokens
+        self.reserved_tokens -= one.tokens
         left = self.held[one.tenant] - one.tokens
         if left:
             self.held[one.tenant] = left
@@ -223,13 +223,13 @@
         """What was held long enough ends."""
         while self.times and self.times[0][0] <= now:
             until, key = heappop(self.times)
-            one = self.book.get(key)
+            one = self.by_key.get(key)
             if one is not None and one.until_ms == until:
                 self.release(now, key, "time")
 
     def clear(self, now: float) -> None:
         """No decision stands: the plain behaviour, nothing reserved."""
-        for key in list(self.book):
+        for key in list(self.by_key):
             self.release(now, key, "room")
 
     def density(self, engine: int, room: float) -> float:
--- a/spoolbarrow/sessions/shares.py
+++ b/spoolbarrow/sessions/router_shares.py
@@ -11,7 +11,7 @@
 
 from msgspec import Struct
 
-from spoolbarrow.sessions.evidence import Body
+from spoolbarrow.sessions.turn_counts import Body
 
 WHOLE = 65_536
 LEASE_MS = 120_000.0  # a router not heard of for so long acts on nothing: at least a decision's time to live
--- a/spoolbarrow/sessions/table.py
+++ b/spoolbarrow/sessions/session_table.py
@@ -18,7 +18,7 @@
 _M64 = (1 << 64) - 1
 
 
-class Table:
+class SessionTable:
     """Columns by slot; `find` and `place` give the slot, and whoever holds one may read and write it."""
 
     __slots__ = (
@@ -52,7 +52,7 @@
         columns = (getattr(self, name, None) for name in self.__slots__)
         self._columns: tuple[array[Any], ...] = tuple(c for c in columns if isinstance(c, array))
 
-    def bytes(self) -> int:
+    def size_bytes(self) -> int:
         """What the columns hold."""
         return sum(len(c) * c.itemsize for c in self._columns)
 
--- a/spoolbarrow/sessions/evidence.py
+++ b/spoolbarrow/sessions/turn_counts.py
@@ -12,7 +12,7 @@
 import msgspec
 from msgspec import Struct
 
-from spoolbarrow.fleet.documents import MOST_BODY
+from spoolbarrow.fleet.documents import MAX_BODY_BYTES
 from spoolbarrow.sessions import cells
 
 SCALE = 16  # sums are told in sixteenths of an octave
@@ -105,7 +105,7 @@
         return found
 
     def body(self, now: float, who: int, acts_on: int, wants: int) -> bytes:
-        """All of it within MOST_BODY, the heaviest cells first."""
+        """All of it within MAX_BODY_BYTES, the heaviest cells first."""
         self.turn(now)
         merged: dict[int, Counts] = {}
         for generation in (self.before, self.now):
@@ -120,7 +120,7 @@
             )  # fmt: skip
             one = _told(cell, counts)
             size += len(msgspec.msgpack.encode(one))
-            if size > MOST_BODY:
+            if size > MAX_BODY_BYTES:
                 break
             told.append(one)
         return msgspec.msgpack.encode(Body(FORM, who, acts_on, min(max(wants, 0), MOST_COUNT), told))
@@ -158,7 +158,7 @@
 
 def read(body: bytes) -> Body | None:
     """A router's summary; None where it can't be read or says what can't be."""
-    if len(body) > MOST_BODY:
+    if len(body) > MAX_BODY_BYTES:
         return None
     try:
         found = _decoder.decode(body)
--- a/tests/test_agree.py
+++ b/tests/test_agree.py
@@ -11,11 +11,11 @@
 from hypothesis import strategies as st
 
 from spoolbarrow import config, operator
-from spoolbarrow.agree import COMPARED, Item, Ledger, Version, differences, digest, files
+from spoolbarrow.agree import COMPARED_ITEMS, VersionedItem, VersionTracker, Version, find_differences, digest, files_digest
 from spoolbarrow.net.agreement import of_files
 from tests.stage import make_config
 
-CONTENTS = {Item.SETTINGS: "s", Item.SHARES: "t", Item.OPERATOR: "o"}
+CONTENTS = {VersionedItem.SETTINGS: "s", VersionedItem.SHARES: "t", VersionedItem.OPERATOR: "o"}
 
 
 def test_a_digest_goes_by_the_values_and_not_by_their_order() -> None:
@@ -23,30 +23,30 @@
 
 
 def test_a_number_alone_is_told_and_is_no_contradiction() -> None:
-    ledger = Ledger()
-    assert ledger.note(1.0, Item.LIST, 4, "x") and not ledger.note(2.0, Item.LIST, 4, "x")
-    assert ledger.note(3.0, Item.LIST, 5, "x") and ledger.versions[Item.LIST] == Version(5, "x", 1.0)
-    assert ledger.note(4.0, Item.LIST, 6, "y") and ledger.versions[Item.LIST].since_ms == 4.0
-    told = {"r0": {Item.LIST: Version(5, "x", 1.0)}, "r1": {Item.LIST: Version(6, "x", 2.0)}}
-    assert differences(told) == []
+    ledger = VersionTracker()
+    assert ledger.record(1.0, VersionedItem.LIST, 4, "x") and not ledger.record(2.0, VersionedItem.LIST, 4, "x")
+    assert ledger.record(3.0, VersionedItem.LIST, 5, "x") and ledger.versions[VersionedItem.LIST] == Version(5, "x", 1.0)
+    assert ledger.record(4.0, VersionedItem.LIST, 6, "y") and ledger.versions[VersionedItem.LIST].since_ms == 4.0
+    told = {"r0": {VersionedItem.LIST: Version(5, "x", 1.0)}, "r1": {VersionedItem.LIST: Version(6, "x", 2.0)}}
+    assert find_differences(told) == []
 
 
 def test_routers_contradict_since_the_second_version_came_into_force() -> None:
-    def of(contents: str, number: int, since: float) -> dict[Item, Version]:
-        return {Item.SETTINGS: Version(number, contents, since), Item.DRAIN: Version(0, contents, since)}
+    def of(contents: str, number: int, since: float) -> dict[VersionedItem, Version]:
+        return {VersionedItem.SETTINGS: Version(number, contents, since), VersionedItem.DRAIN: Version(0, contents, since)}
 
     told = {"r0": of("old", 1, 5.0), "r3": of("old", 1, 8.0)}
     told |= {"r1": of("new", 2, 90.0), "r2": of("new", 2, 70.0)}
-    (found,) = differences(told)  # a drain is each router's own
-    assert (found.item, found.since_ms) == (Item.SETTINGS, 70.0)
+    (found,) = find_differences(told)  # a drain is each router's own
+    assert (found.item, found.since_ms) == (VersionedItem.SETTINGS, 70.0)
     assert found.routers == {"old": (1, ("r0", "r3")), "new": (2, ("r1", "r2"))}
 
 
 @settings(derandomize=True, max_examples=200, deadline=None)
 @given(st.lists(st.tuples(st.sampled_from("abc"), st.floats(0, 1e6)), min_size=1, max_size=8))
 def test_routers_contradict_exactly_where_digests_differ(seen: list[tuple[str, float]]) -> None:
-    told = {f"r{n}": {Item.LIST: Version(0, of, since)} for n, (of, since) in enumerate(seen)}
-    found = differences(told)
+    told = {f"r{n}": {VersionedItem.LIST: Version(0, of, since)} for n, (of, since) in enumerate(seen)}
+    found = find_differences(told)
     assert bool(found) is (len({of for of, _ in seen}) > 1)
     for one in found:
         assert {name for _, names in one.routers.values() for name in names} == told.keys()
@@ -54,29 +54,29 @@
 
 
 def test_a_revision_means_one_content_and_never_goes_back() -> None:
-    ledger = Ledger()
-    assert ledger.refused(1, CONTENTS) == ""
+    ledger = VersionTracker()
+    assert ledger.refusal_reason(1, CONTENTS) == ""
     for item, contents in CONTENTS.items():
-        ledger.note(1.0, item, 3, contents)
-    assert ledger.refused(3, CONTENTS) == "" and ledger.refused(4, {**CONTENTS, Item.SHARES: "u"}) == ""
-    assert ledger.refused(3, {**CONTENTS, Item.SHARES: "u"}).startswith("agree.revision: 3 is acted on")
-    assert ledger.refused(2, CONTENTS).startswith("agree.revision: 2 is older than 3")
+        ledger.record(1.0, item, 3, contents)
+    assert ledger.refusal_reason(3, CONTENTS) == "" and ledger.refusal_reason(4, {**CONTENTS, VersionedItem.SHARES: "u"}) == ""
+    assert ledger.refusal_reason(3, {**CONTENTS, VersionedItem.SHARES: "u"}).startswith("agree.revision: 3 is acted on")
+    assert ledger.refusal_reason(2, CONTENTS).startswith("agree.revision: 2 is older than 3")
 
 
 def test_what_is_each_routers_own_is_no_part_of_a_version_and_all_else_is() -> None:
     made = operator.Operator(agree=operator.AgreeTable(revision=1))
 
-    def of(**changes: object) -> dict[Item, str]:
+    def of(**changes: object) -> dict[VersionedItem, str]:
         raw = make_config([])
         raw["settings"].update({"Zones": ["a", "b"], **changes})
         return of_files(config.parse(msgspec.json.encode(raw)), made)
 
     assert of() == of(Me=3, MyZone=1)
     more = of(Tenants=[{"Name": "acme", "Portion": 0.7}, {"Name": "other", "Portion": 0.3}])
-    assert {item for item, contents in of().items() if more[item] != contents} == {Item.SHARES}
+    assert {item for item, contents in of().items() if more[item] != contents} == {VersionedItem.SHARES}
     slower = of(TickMs=7.0)
-    assert {item for item, contents in of().items() if slower[item] != contents} == {Item.SETTINGS}
-    assert files(of()) != files(slower) != files(more) and set(COMPARED) > set(of())
+    assert {item for item, contents in of().items() if slower[item] != contents} == {VersionedItem.SETTINGS}
+    assert files_digest(of()) != files_digest(slower) != files_digest(more) and set(COMPARED_ITEMS) > set(of())
 
 
 @pytest.mark.parametrize(
--- a/tests/test_failover.py
+++ b/tests/test_failover.py
@@ -11,7 +11,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from spoolbarrow.failover import Evidence, Heard, Settings, State, Verdicts, masks
+from spoolbarrow.failover import Evidence, EndpointOutcome, Settings, ZoneState, ZoneHealthTracker, zones_to_mask
 from spoolbarrow.lab import zoned
 from spoolbarrow.lab.scenario import ScenarioError, convert
 from spoolbarrow.lab.simulate import Simulation
@@ -25,87 +25,87 @@
     return {f"{z}{n}": (z, z not in gone) for z, count in ZONES.items() for n in range(count)}
 
 
-def outcomes(now: float, failing: dict[str, int], wait: float = 20.0, slow: str = "") -> tuple[Heard, ...]:
+def outcomes(now: float, failing: dict[str, int], wait: float = 20.0, slow: str = "") -> tuple[EndpointOutcome, ...]:
     """Every endpoint heard from at `now`; the first `failing[zone]` of a zone fail."""
     return tuple(
-        Heard(f"{z}{n}", now, n >= failing.get(z, 0), 10 * wait if z == slow else wait)
+        EndpointOutcome(f"{z}{n}", now, n >= failing.get(z, 0), 10 * wait if z == slow else wait)
         for z, count in ZONES.items()
         for n in range(count)
     )
 
 
 def play(
-    verdicts: Verdicts,
+    verdicts: ZoneHealthTracker,
     until: float,
     failing: dict[str, int],
     gone: frozenset[str] = frozenset(),
     start: float = 0.0,
     step: float = 100.0,
     slow: str = "",
-) -> list[dict[str, State]]:
+) -> list[dict[str, ZoneState]]:
     seen = []
     now = start
     while now < until:
-        told = verdicts.handle(now, Evidence(listed(gone), outcomes(now, failing, slow=slow)))
+        told = verdicts.update(now, Evidence(listed(gone), outcomes(now, failing, slow=slow)))
         seen.append({name: v.state for name, v in told.items()})
         now += step
     return seen
 
 
 def test_a_zone_lost_wholly_fails_after_confirmation_only() -> None:
-    verdicts = Verdicts(SETTINGS)
+    verdicts = ZoneHealthTracker(SETTINGS)
     seen = play(verdicts, 3000.0, {"a": 8})
-    assert seen[0]["a"] is State.SUSPECT
-    first = next(n for n, s in enumerate(seen) if s["a"] is State.FAILED)
+    assert seen[0]["a"] is ZoneState.SUSPECT
+    first = next(n for n, s in enumerate(seen) if s["a"] is ZoneState.FAILED)
     assert first * 100.0 == SETTINGS.confirm_ms
-    assert seen[-1]["b"] is State.HEALTHY and seen[-1]["west"] is State.SUSPECT
+    assert seen[-1]["b"] is ZoneState.HEALTHY and seen[-1]["west"] is ZoneState.SUSPECT
 
 
 def test_a_zone_that_discovery_lists_empty_fails_at_once() -> None:
-    verdicts = Verdicts(SETTINGS)
-    assert verdicts.handle(0.0, Evidence({}))["b"].state is State.HEALTHY  # no list yet: nothing known
-    verdicts.handle(50.0, Evidence(listed()))
-    told = verdicts.handle(100.0, Evidence(listed(frozenset({"b"}))))
-    assert told["b"].state is State.FAILED and told["b"].share == 0.0
-    assert told["a"].state is State.HEALTHY
+    verdicts = ZoneHealthTracker(SETTINGS)
+    assert verdicts.update(0.0, Evidence({}))["b"].state is ZoneState.HEALTHY  # no list yet: nothing known
+    verdicts.update(50.0, Evidence(listed()))
+    told = verdicts.update(100.0, Evidence(listed(frozenset({"b"}))))
+    assert told["b"].state is ZoneState.FAILED and told["b"].load_share == 0.0
+    assert told["a"].state is ZoneState.HEALTHY
 
 
 def test_one_in_eight_failing_is_no_zone_fault() -> None:
-    assert all(s["a"] is State.HEALTHY for s in play(Verdicts(SETTINGS), 10000.0, {"a": 1}))
+    assert all(s["a"] is ZoneState.HEALTHY for s in play(ZoneHealthTracker(SETTINGS), 10000.0, {"a": 1}))
 
 
 def test_a_region_lost_with_all_its_zones() -> None:
-    seen = play(Verdicts(SETTINGS), 2000.0, {"a": 8, "b": 8})
-    assert seen[-1]["west"] is State.FAILED and seen[-1]["east"] is State.HEALTHY
+    seen = play(ZoneHealthTracker(SETTINGS), 2000.0, {"a": 8, "b": 8})
+    assert seen[-1]["west"] is ZoneState.FAILED and seen[-1]["east"] is ZoneState.HEALTHY
 
 
 def test_a_slow_zone_is_suspect_and_keeps_its_share() -> None:
-    verdicts = Verdicts(SETTINGS)
+    verdicts = ZoneHealthTracker(SETTINGS)
     play(verdicts, 1000.0, {}, slow="c")
-    told = verdicts.handle(1000.0, Evidence(listed(), outcomes(1000.0, {}, slow="c")))
-    assert told["c"].state is State.SUSPECT and told["c"].share == 1.0 and "slow" in told["c"].reason
+    told = verdicts.update(1000.0, Evidence(listed(), outcomes(1000.0, {}, slow="c")))
+    assert told["c"].state is ZoneState.SUSPECT and told["c"].load_share == 1.0 and "slow" in told["c"].reason
 
 
 def test_routers_cut_off_apart_disagree_only_on_their_own_view() -> None:
     # A reaches zone a, B does not: B moves its own traffic, A keeps it; both by the same rule.
-    a, b = Verdicts(SETTINGS), Verdicts(SETTINGS)
-    assert play(a, 3000.0, {})[-1]["a"] is State.HEALTHY
-    assert play(b, 3000.0, {"a": 8})[-1]["a"] is State.FAILED
+    a, b = ZoneHealthTracker(SETTINGS), ZoneHealthTracker(SETTINGS)
+    assert play(a, 3000.0, {})[-1]["a"] is ZoneState.HEALTHY
+    assert play(b, 3000.0, {"a": 8})[-1]["a"] is ZoneState.FAILED
 
 
 def test_where_nothing_can_be_asked_a_return_ramps_from_its_start_to_the_whole_share() -> None:
-    verdicts = Verdicts(msgspec.structs.replace(SETTINGS, checks=False))
+    verdicts = ZoneHealthTracker(msgspec.structs.replace(SETTINGS, checks=False))
     play(verdicts, 2000.0, {"a": 8})
-    assert not verdicts.to_check(2000.0)
+    assert not verdicts.endpoints_to_check(2000.0)
     # Failed: no traffic, so nothing is heard of it; its failures age out of the window.
     now, shares = 2000.0, []
     while now < 12000.0:
-        told = verdicts.handle(now, Evidence(listed()))["a"]
-        shares.append((told.state, told.share))
+        told = verdicts.update(now, Evidence(listed()))["a"]
+        shares.append((told.state, told.load_share))
         now += 100.0
     states = [s for s, _ in shares]
-    assert State.RETURNING in states and states[-1] is State.HEALTHY
-    ramp = [share for s, share in shares if s is State.RETURNING]
+    assert ZoneState.RETURNING in states and states[-1] is ZoneState.HEALTHY
+    ramp = [share for s, share in shares if s is ZoneState.RETURNING]
     assert ramp[0] == SETTINGS.ramp_start and ramp == sorted(ramp)
 
 
@@ -121,90 +121,90 @@
 def test_a_zone_whose_probes_come_late_fails_only_where_it_does_not_answer_with_patience(
     answers: bool,
 ) -> None:
-    verdicts, now, named = Verdicts(SETTINGS), 0.0, set()
-    seen: list[State] = []
+    verdicts, now, named = ZoneHealthTracker(SETTINGS), 0.0, set()
+    seen: list[ZoneState] = []
     while now < 6000.0:
-        seen.append(verdicts.handle(now, doubts(now))["a"].state)
-        asked = verdicts.to_check(now)
+        seen.append(verdicts.update(now, doubts(now))["a"].state)
+        asked = verdicts.endpoints_to_check(now)
         assert len(asked) <= SETTINGS.check_most and all(name[0] == "a" for name in asked)
         named |= set(asked)
-        verdicts.handle(now, Evidence(listed(), tuple(Heard(n, now, answers, 900.0) for n in asked)))
+        verdicts.update(now, Evidence(listed(), tuple(EndpointOutcome(n, now, answers, 900.0) for n in asked)))
         now += 100.0
     assert len(named) == ZONES["a"]  # in turn
-    assert (State.FAILED in seen) is not answers
+    assert (ZoneState.FAILED in seen) is not answers
 
 
 def test_a_failed_zone_returns_only_when_it_answers_what_it_is_asked() -> None:
-    verdicts = Verdicts(SETTINGS)
+    verdicts = ZoneHealthTracker(SETTINGS)
     play(verdicts, 2000.0, {"a": 8})
     now, back = 2000.0, 0.0
     while now < 20000.0:
         elsewhere = tuple(heard for heard in outcomes(now, {}) if heard.endpoint[0] != "a")
-        state = verdicts.handle(now, Evidence(listed(), elsewhere))["a"].state
-        assert state is State.FAILED or now > 15000.0
-        if state is State.RETURNING:
+        state = verdicts.update(now, Evidence(listed(), elsewhere))["a"].state
+        assert state is ZoneState.FAILED or now > 15000.0
+        if state is ZoneState.RETURNING:
             back = back or now
-        asked = verdicts.to_check(now)
+        asked = verdicts.endpoints_to_check(now)
         well = now > 15000.0
-        verdicts.handle(now, Evidence(listed(), tuple(Heard(name, now, well) for name in asked)))
+        verdicts.update(now, Evidence(listed(), tuple(EndpointOutcome(name, now, well) for name in asked)))
         now += 100.0
     assert 0 < back - 15000.0 <= SETTINGS.window_ms + SETTINGS.check_ms
 
 
 def test_a_zone_that_is_not_heard_from_is_asked_once_a_window_and_so_found_lost() -> None:
-    verdicts, now, asked = Verdicts(SETTINGS), 0.0, 0
+    verdicts, now, asked = ZoneHealthTracker(SETTINGS), 0.0, 0
     while now < 10000.0:  # nothing is sent anywhere
-        verdicts.handle(now, Evidence(listed()))
-        named = verdicts.to_check(now)
+        verdicts.update(now, Evidence(listed()))
+        named = verdicts.endpoints_to_check(now)
         asked += len(named)
-        verdicts.handle(now, Evidence(listed(), tuple(Heard(n, now, n[0] != "c") for n in named)))
+        verdicts.update(now, Evidence(listed(), tuple(EndpointOutcome(n, now, n[0] != "c") for n in named)))
         now += 100.0
-    told = verdicts.handle(now, Evidence(listed()))
-    assert {z: told[z].state for z in ZONES} == {"a": State.HEALTHY, "b": State.HEALTHY, "c": State.FAILED}
+    told = verdicts.update(now, Evidence(listed()))
+    assert {z: told[z].state for z in ZONES} == {"a": ZoneState.HEALTHY, "b": ZoneState.HEALTHY, "c": ZoneState.FAILED}
     quiet = 2 * SETTINGS.check_most * 10000.0 / SETTINGS.window_ms  # of zones a and b
     assert asked <= quiet + SETTINGS.check_most * 10000.0 / SETTINGS.check_ms
 
 
 def test_the_last_zone_in_service_is_never_failed() -> None:
     # Where there is one zone, or the others have failed: it would return as cold without having been out.
-    seen = play(Verdicts(SETTINGS), 8000.0, {"a": 8, "b": 8, "c": 8})
-    assert all([one[zone] for zone in "abc"].count(State.FAILED) <= 2 for one in seen)
-    assert seen[-1]["c"] is State.SUSPECT
-    verdicts = Verdicts(Settings())
+    seen = play(ZoneHealthTracker(SETTINGS), 8000.0, {"a": 8, "b": 8, "c": 8})
+    assert all([one[zone] for zone in "abc"].count(ZoneState.FAILED) <= 2 for one in seen)
+    assert seen[-1]["c"] is ZoneState.SUSPECT
+    verdicts = ZoneHealthTracker(Settings())
     alone = {f"a{n}": ("a", True) for n in range(8)}
     for now in range(0, 20000, 100):
-        lost = tuple(Heard(name, float(now), int(name[1]) < 3 or now > 9000) for name in alone)
-        told = verdicts.handle(float(now), Evidence(alone, lost))
-        assert told["a"].state in (State.HEALTHY, State.SUSPECT)
-        assert masks(told, alone) == (frozenset(), {})
+        lost = tuple(EndpointOutcome(name, float(now), int(name[1]) < 3 or now > 9000) for name in alone)
+        told = verdicts.update(float(now), Evidence(alone, lost))
+        assert told["a"].state in (ZoneState.HEALTHY, ZoneState.SUSPECT)
+        assert zones_to_mask(told, alone) == (frozenset(), {})
 
 
 def test_a_slow_zone_that_begins_to_fail_is_confirmed_first() -> None:
-    verdicts = Verdicts(SETTINGS)
+    verdicts = ZoneHealthTracker(SETTINGS)
     play(verdicts, 5000.0, {}, slow="a")
     seen = play(verdicts, 8000.0, {"a": 8}, start=5000.0)
-    assert next(n for n, s in enumerate(seen) if s["a"] is State.FAILED) * 100.0 == SETTINGS.confirm_ms
+    assert next(n for n, s in enumerate(seen) if s["a"] is ZoneState.FAILED) * 100.0 == SETTINGS.confirm_ms
 
 
 def test_entries_of_endpoints_no_longer_listed_are_dropped() -> None:
-    verdicts = Verdicts(SETTINGS)
-    verdicts.handle(0.0, Evidence(listed(), outcomes(0.0, {})))
-    verdicts.handle(100.0, Evidence({"a0": ("a", True)}))
+    verdicts = ZoneHealthTracker(SETTINGS)
+    verdicts.update(0.0, Evidence(listed(), outcomes(0.0, {})))
+    verdicts.update(100.0, Evidence({"a0": ("a", True)}))
     assert set(verdicts._last) == {"a0"}
-    verdicts.handle(200.0, Evidence({"a0": ("a", True)}, (Heard("a0", 200.0, None),)))
-    verdicts.handle(300.0, Evidence({"b0": ("b", True)}))
+    verdicts.update(200.0, Evidence({"a0": ("a", True)}, (EndpointOutcome("a0", 200.0, None),)))
+    verdicts.update(300.0, Evidence({"b0": ("b", True)}))
     assert not verdicts._last and not verdicts._doubted and not verdicts._checked
 
 
 @settings(derandomize=True, max_examples=60, deadline=None)
 @given(period=st.sampled_from([200.0, 500.0, 1000.0, 2000.0]), seconds=st.integers(30, 90))
 def test_a_flapping_zone_moves_traffic_at_most_once_a_hold(period: float, seconds: int) -> None:
-    verdicts = Verdicts(SETTINGS)
-    now, moves, last = 0.0, [], State.HEALTHY
+    verdicts = ZoneHealthTracker(SETTINGS)
+    now, moves, last = 0.0, [], ZoneState.HEALTHY
     while now < seconds * 1000.0:
         down = int(now // period) % 2 == 0
-        state = verdicts.handle(now, Evidence(listed(), outcomes(now, {"a": 8} if down else {})))["a"].state
-        if (state is State.FAILED) != (last is State.FAILED):
+        state = verdicts.update(now, Evidence(listed(), outcomes(now, {"a": 8} if down else {})))["a"].state
+        if (state is ZoneState.FAILED) != (last is ZoneState.FAILED):
             moves.append(now)
         last, now = state, now + 50.0
     # Each failure during a return doubles the hold (2, 4, 8, 16, then 30 s): moves away thin out.
@@ -216,7 +216,7 @@
 # On the sockets: verdicts applied to the destination set as suspensions are
 
 
-def state(watch: Any, place: str) -> State:
+def state(watch: Any, place: str) -> ZoneState:
     return watch.told[place].state  # type: ignore[no-any-return]
 
 
@@ -237,14 +237,14 @@
         for name in ("e0", "e1"):
             watch.probe_ended(name, i.Outcome.UNREACHABLE, 0.0)
         watch.weigh(now)
-        assert state(watch, "a") is State.SUSPECT and replicas["e0"].serving
+        assert state(watch, "a") is ZoneState.SUSPECT and replicas["e0"].serving
         watch.weigh(now + 1000.0)
-        assert state(watch, "a") is State.FAILED and state(watch, "all") is State.SUSPECT
+        assert state(watch, "a") is ZoneState.FAILED and state(watch, "all") is ZoneState.SUSPECT
         until(lambda: not replicas["e0"].serving and not replicas["e1"].serving)
         assert scene.client().send(ask()).answer().status == 200
         assert far.requests and not near.requests and not other.requests
         watch.weigh(now + 3500.0)  # the failures aged out; the hold is over
-        assert state(watch, "a") is State.RETURNING
+        assert state(watch, "a") is ZoneState.RETURNING
         until(lambda: replicas["e0"].serving)
         assert replicas["e0"].started_at >= now + 1000.0  # cold: rule 4's ramp takes it from here
         watch.stop()
@@ -321,11 +321,11 @@
     for node in simulation.nodes.all:
         assert isinstance(node.decider, Zoned)
         changes = node.decider.changes
-        assert {zone for _, zone, state in changes if state is State.FAILED} == {"1"}
-        at = next(now for now, _, state in changes if state is State.FAILED) - 4000.0
+        assert {zone for _, zone, state in changes if state is ZoneState.FAILED} == {"1"}
+        at = next(now for now, _, state in changes if state is ZoneState.FAILED) - 4000.0
         checked = 1000.0 + SETTINGS.check_ms
         assert at <= SETTINGS.window_ms + checked + SETTINGS.confirm_ms + 2 * zoned.PERIOD_MS
-        assert [state for _, zone, state in changes if zone == "1"][-1] in (State.RETURNING, State.HEALTHY)
+        assert [state for _, zone, state in changes if zone == "1"][-1] in (ZoneState.RETURNING, ZoneState.HEALTHY)
 
 
 def test_a_trouble_of_a_zone_that_is_none_names_its_key() -> None:
