--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -15,9 +15,9 @@
 
 from spoolbarrow import config, operator
 from spoolbarrow.fleet import documents as d
-from spoolbarrow.fleet import lease, safer
-from spoolbarrow.fleet.evidence import MOST_ROUTERS, Table
-from spoolbarrow.fleet.roll import Roll
+from spoolbarrow.fleet import lease, shared_document
+from spoolbarrow.fleet.summary_table import MOST_ROUTERS, SummaryTable
+from spoolbarrow.fleet.membership import Membership
 from spoolbarrow.interface import Tenant
 from spoolbarrow.lab.leases import Broken, play
 from spoolbarrow.net.follow import Follower
@@ -27,24 +27,24 @@
 
 
 def told(router: str, incarnation: str, sequence: int, body: bytes) -> bytes:
-    return d.write(d.Summary(router, incarnation, sequence, 0.0, body))
+    return d.encode_document(d.Summary(router, incarnation, sequence, 0.0, body))
 
 
 def documents() -> st.SearchStrategy[list[tuple[str, int, bytes]]]:
     """Documents as a store could tell them: a revision is written once; some are garbage or foreign."""
     name = st.sampled_from(["a", "b", "c", "d"])
     good = st.tuples(name, name, st.sampled_from("xyz"), st.integers(0, 9), st.binary(max_size=8)).map(
-        lambda t: (f"{d.EVIDENCE}k/{t[0]}", told(t[1] if t[3] > 7 else t[0], t[2], t[3], t[4]))
+        lambda t: (f"{d.EVIDENCE_PREFIX}k/{t[0]}", told(t[1] if t[3] > 7 else t[0], t[2], t[3], t[4]))
     )
-    bad = st.tuples(name, st.binary(max_size=20)).map(lambda t: (f"{d.EVIDENCE}k/{t[0]}", t[1]))
+    bad = st.tuples(name, st.binary(max_size=20)).map(lambda t: (f"{d.EVIDENCE_PREFIX}k/{t[0]}", t[1]))
     listed = st.lists(good | bad, max_size=12)
     return listed.map(lambda found: [(key, n + 1, text) for n, (key, text) in enumerate(found)])
 
 
-def table(found: list[tuple[str, int, bytes]], now: float = 0.0, into: Table | None = None) -> Table:
-    made = Table("k") if into is None else into
+def table(found: list[tuple[str, int, bytes]], now: float = 0.0, into: SummaryTable | None = None) -> SummaryTable:
+    made = SummaryTable("k") if into is None else into
     for key, revision, text in found:
-        made.take(now, key, revision, text)
+        made.add(now, key, revision, text)
     return made
 
 
@@ -55,35 +55,35 @@
 ) -> None:
     other = data.draw(st.permutations(found)) + data.draw(st.permutations(found))
     assert table(found).newest() == table(other).newest()
-    first = [(f"{d.EVIDENCE}k/{name}", 0, b"") for name in "abcd"]  # seen before by both: all is news now
+    first = [(f"{d.EVIDENCE_PREFIX}k/{name}", 0, b"") for name in "abcd"]  # seen before by both: all is news now
     one, two = table(found, 1.0, table(first)), table(other, 1.0, table(first))
-    assert one.bodies(1.0, AGE) == two.bodies(1.0, AGE)
+    assert one.live_bodies(1.0, AGE) == two.live_bodies(1.0, AGE)
     counted = {key for key, _, _ in found}
-    assert len(one.bodies(1.0, AGE)) <= len(counted)
-    assert one.bodies(2.0 + AGE, AGE) == []
+    assert len(one.live_bodies(1.0, AGE)) <= len(counted)
+    assert one.live_bodies(2.0 + AGE, AGE) == []
 
 
 @settings(derandomize=True, max_examples=20, deadline=None, database=None)
 @given(names=st.lists(st.integers(0, 4 * MOST_ROUTERS), min_size=MOST_ROUTERS, unique=True), data=st.data())
 def test_evidence_is_bounded_and_so_the_same_too(names: list[int], data: st.DataObject) -> None:
-    found = [(f"{d.EVIDENCE}k/r{n}", n + 1, told(f"r{n}", "x", 1, b"b")) for n in names]
+    found = [(f"{d.EVIDENCE_PREFIX}k/r{n}", n + 1, told(f"r{n}", "x", 1, b"b")) for n in names]
     one, two = table(found), table(data.draw(st.permutations(found)))
     assert one.newest() == two.newest() and len(one.newest()) == MOST_ROUTERS
-    one.tidy(5 * AGE, AGE)
+    one.remove_stale(5 * AGE, AGE)
     assert one.newest() == {}
 
 
 def test_a_process_that_died_counts_no_more_and_a_restart_begins_anew() -> None:
-    key = f"{d.EVIDENCE}k/a"
+    key = f"{d.EVIDENCE_PREFIX}k/a"
     made = table([(key, 5, told("a", "old", 9, b"old"))])
-    assert made.bodies(0.0, AGE) == []  # seen once: it may have died long ago
-    made.take(10.0, key, 7, told("a", "old", 10, b"old"))
-    assert made.bodies(10.0, AGE) == [b"old"]
-    made.take(20.0, key, 8, told("a", "new", 1, b"new"))
-    made.take(30.0, key, 7, told("a", "old", 10, b"old"))  # late, and told twice
-    assert made.bodies(30.0, AGE) == [b"new"]
-    made.take(40.0, key, 9, told("b", "x", 1, b"for another"))
-    assert made.bodies(40.0, AGE) == [] and made.dropped == 1
+    assert made.live_bodies(0.0, AGE) == []  # seen once: it may have died long ago
+    made.add(10.0, key, 7, told("a", "old", 10, b"old"))
+    assert made.live_bodies(10.0, AGE) == [b"old"]
+    made.add(20.0, key, 8, told("a", "new", 1, b"new"))
+    made.add(30.0, key, 7, told("a", "old", 10, b"old"))  # late, and told twice
+    assert made.live_bodies(30.0, AGE) == [b"new"]
+    made.add(40.0, key, 9, told("b", "x", 1, b"for another"))
+    assert made.live_bodies(40.0, AGE) == [] and made.dropped == 1
 
 
 @pytest.mark.parametrize(
@@ -97,34 +97,34 @@
         told("a", "x", -1, b""),
         told("a", "x", 10**18 * 9, b""),
         told("a", "x" * 200, 1, b""),
-        told("a", "x", 1, bytes(d.MOST_BODY + 1)),
+        told("a", "x", 1, bytes(d.MAX_BODY_BYTES + 1)),
     ],
 )
 def test_a_hostile_summary_is_dropped_and_counted(text: bytes) -> None:
-    made = table([(f"{d.EVIDENCE}k/a", 1, told("a", "x", 1, b"good")), (f"{d.EVIDENCE}k/a", 2, text)])
-    assert made.bodies(0.0, AGE) == [] and made.dropped == 1
+    made = table([(f"{d.EVIDENCE_PREFIX}k/a", 1, told("a", "x", 1, b"good")), (f"{d.EVIDENCE_PREFIX}k/a", 2, text)])
+    assert made.live_bodies(0.0, AGE) == [] and made.dropped == 1
 
 
-def standing(epoch: int, number: int = 1, ttl: float = 1000.0, at: int | None = None) -> d.Standing:
+def standing(epoch: int, number: int = 1, ttl: float = 1000.0, at: int | None = None) -> d.LeaseRecord:
     made = d.Decision(epoch if at is None else at, number, ttl, b"body")
-    return d.Standing(epoch, d.Lease("r0", "x", 0, ttl), made)
+    return d.LeaseRecord(epoch, d.Lease("r0", "x", 0, ttl), made)
 
 
 @pytest.mark.parametrize(
     "text",
     [
         b"{}",
-        d.write(standing(7)),
-        d.write(standing(2, at=3)),
-        d.write(standing(2, ttl=-1.0)),
-        d.write(standing(-1)),
-        d.write(standing(2, ttl=float("nan"))),
-        d.write(standing(2, number=-4)),
+        d.encode_document(standing(7)),
+        d.encode_document(standing(2, at=3)),
+        d.encode_document(standing(2, ttl=-1.0)),
+        d.encode_document(standing(-1)),
+        d.encode_document(standing(2, ttl=float("nan"))),
+        d.encode_document(standing(2, number=-4)),
     ],
 )
 def test_a_hostile_standing_is_garbage(text: bytes) -> None:
-    with pytest.raises(d.Garbage, match="fleet/standing/k") as error:
-        lease.seen("fleet/standing/k", 7, text.decode())
+    with pytest.raises(d.InvalidDocument, match="fleet/standing/k") as error:
+        lease.decode_record("fleet/standing/k", 7, text.decode())
     assert error.value.remedy
 
 
@@ -138,74 +138,74 @@
 
 
 def test_a_holder_that_wakes_is_refused_by_the_revision_it_names() -> None:
-    old, new = lease.Claim("r0", "x", 100.0), lease.Claim("r1", "y", 100.0)
-    old.see(0.0, lease.Seen(0))
-    first = old.handle(0.0)
-    assert first is not None and (first.expect, first.standing.epoch) == (0, 0)
-    old.see(0.0, lease.Seen(4, first.standing))
-    new.see(0.0, lease.Seen(4, first.standing))
-    assert old.holds() and new.handle(99.0) is None
-    over = new.handle(100.0)
-    assert over is not None and (over.expect, over.standing.epoch) == (4, 4)
-    late = old.handle(500.0, b"late")  # it knows nothing of it yet
-    assert late is not None and late.expect == 4  # where 4 is no more: the store refuses it
-    old.see(501.0, lease.Seen(9, over.standing))
-    assert not old.holds() and old.handle(502.0, b"late") is None
+    old, new = lease.LeaseClaim("r0", "x", 100.0), lease.LeaseClaim("r1", "y", 100.0)
+    old.observe(0.0, lease.ObservedRecord(0))
+    first = old.next_write(0.0)
+    assert first is not None and (first.expected_revision, first.record.epoch) == (0, 0)
+    old.observe(0.0, lease.ObservedRecord(4, first.record))
+    new.observe(0.0, lease.ObservedRecord(4, first.record))
+    assert old.holds() and new.next_write(99.0) is None
+    over = new.next_write(100.0)
+    assert over is not None and (over.expected_revision, over.record.epoch) == (4, 4)
+    late = old.next_write(500.0, b"late")  # it knows nothing of it yet
+    assert late is not None and late.expected_revision == 4  # where 4 is no more: the store refuses it
+    old.observe(501.0, lease.ObservedRecord(9, over.record))
+    assert not old.holds() and old.next_write(502.0, b"late") is None
 
 
 def test_a_decision_ends_by_its_time_to_live_and_an_older_one_is_refused() -> None:
-    acting = lease.Acting(5000.0)
-    acting.see(0.0, lease.Seen(3, standing(2)))
-    assert acting.acts(0.0) is None  # as first read, it is no word that it stands
-    acting.see(10.0, lease.Seen(4, standing(2)))
-    assert acting.acts(1010.0) is not None and acting.acts(1011.0) is None
-    acting.see(1100.0, lease.Seen(5, standing(4, 2, ttl=1e9)))
-    acting.see(1200.0, lease.Seen(6, standing(2, 9)))
-    assert acting.refused == 1 and acting.decision is not None and acting.decision.epoch == 4
-    acting.see(1300.0, lease.Seen(7))  # garbage: no word
-    assert acting.acts(6100.0) is not None and acting.acts(6101.0) is None  # no longer, whatever it says
-
-
-def shared(key: str, *versions: str) -> safer.Shared:
-    made = safer.Shared(key, 1000.0)
+    acting = lease.ActiveDecision(5000.0)
+    acting.observe(0.0, lease.ObservedRecord(3, standing(2)))
+    assert acting.current(0.0) is None  # as first read, it is no word that it stands
+    acting.observe(10.0, lease.ObservedRecord(4, standing(2)))
+    assert acting.current(1010.0) is not None and acting.current(1011.0) is None
+    acting.observe(1100.0, lease.ObservedRecord(5, standing(4, 2, ttl=1e9)))
+    acting.observe(1200.0, lease.ObservedRecord(6, standing(2, 9)))
+    assert acting.refused_count == 1 and acting.decision is not None and acting.decision.epoch == 4
+    acting.observe(1300.0, lease.ObservedRecord(7))  # garbage: no word
+    assert acting.current(6100.0) is not None and acting.current(6101.0) is None  # no longer, whatever it says
+
+
+def shared(key: str, *versions: str) -> shared_document.SharedDocument:
+    made = shared_document.SharedDocument(key, 1000.0)
     for n, text in enumerate(versions):
         made.learn(10.0 * n, n + 1, text)
-        made.word(10.0 * n)
+        made.confirm(10.0 * n)
     return made
 
 
 def test_without_word_a_suspension_holds_and_a_return_does_not() -> None:
-    made = shared(d.SUSPENSIONS, '["e1","e2"]', '["e2","e3"]')
-    assert made.mode(1010.0) is safer.Mode.COMMITTED and made.acts(1010.0) == {"e2", "e3"}
-    assert made.mode(1011.0) is safer.Mode.SAFER and made.acts(1011.0) == {"e1", "e2", "e3"}
-    made.word(1011.0)  # heard again, and so long after the change: it is settled
-    assert made.acts(1011.0) == {"e2", "e3"} == made.acts(9000.0)
+    made = shared(d.SUSPENSIONS_KEY, '["e1","e2"]', '["e2","e3"]')
+    assert made.mode(1010.0) is shared_document.Mode.COMMITTED and made.effective(1010.0) == {"e2", "e3"}
+    assert made.mode(1011.0) is shared_document.Mode.SAFER and made.effective(1011.0) == {"e1", "e2", "e3"}
+    made.confirm(1011.0)  # heard again, and so long after the change: it is settled
+    assert made.effective(1011.0) == {"e2", "e3"} == made.effective(9000.0)
     made.learn(9000.0, 2, "[]")  # an old log
-    with pytest.raises(d.Garbage):
+    with pytest.raises(d.InvalidDocument):
         made.learn(9000.0, 3, '{"e1": 1}')
-    assert made.acts(9000.0) == {"e2", "e3"} and made.garbage == 1
-    assert safer.Shared(d.SUSPENSIONS, 1.0).acts(0.0) == frozenset()
+    assert made.effective(9000.0) == {"e2", "e3"} and made.invalid_count == 1
+    assert shared_document.SharedDocument(d.SUSPENSIONS_KEY, 1.0).effective(0.0) == frozenset()
 
 
 def test_without_word_a_narrowed_share_holds_and_a_widened_one_does_not() -> None:
     names, tenants = {"a": 0, "b": 1, "c": 2}, (Tenant(1.0, 10.0), Tenant(2.0, 0.0), Tenant(3.0, 0.0))
 
-    def laid(made: safer.Shared, now: float) -> list[Any]:
-        return list(safer.lay(made.acts(now), names, tenants, not made.unsettled(now)))
+    def laid(made: shared_document.SharedDocument, now: float) -> list[Any]:
+        return list(shared_document.overlay_shares(made.effective(now), names, tenants, not made.is_unsettled(now)))
 
     wide = json.dumps({"a": {"quota_per_s": 50.0}, "b": {"quota_per_s": 5.0}, "c": {"portion": 9.0}})
-    made = shared(d.SHARES, json.dumps({"a": {"quota_per_s": 20.0}, "nobody": {"portion": 1.0}}), wide)
+    made = shared(d.SHARES_KEY, json.dumps({"a": {"quota_per_s": 20.0}, "nobody": {"portion": 1.0}}), wide)
     assert laid(made, 20.0) == [Tenant(1.0, 50.0), Tenant(2.0, 5.0), Tenant(9.0, 0.0)]
     # The file's own figures are a version too: what was not shared before is not widened past them.
     assert laid(made, 5000.0) == [Tenant(1.0, 10.0), Tenant(2.0, 5.0), Tenant(3.0, 0.0)]
     for text in ('{"a": {"portion": -1}}', '{"a": {"portion": 1e300}}', '{"a": {"quota": 1}}', "[]", "NaN"):
-        with pytest.raises(d.Garbage):
+        with pytest.raises(d.InvalidDocument):
             made.learn(6000.0, 9, text)
 
 
 def test_the_roll_is_the_names_each_once_whatever_is_said_beside() -> None:
-    roll = Roll("a")
-    bodies = [Roll("b").summary(0.0), roll.summary(0.0), roll.summary(0.0), b"17", b"\xff", b'""']
+    roll = Membership("a")
+    bodies = [Membership("b").summary(0.0), roll.summary(0.0), roll.summary(0.0), b"17", b"\xff", b'""']
     made = roll.decide(0.0, bodies, None)
     assert made == roll.decide(0.0, bodies[::-1], made) == msgspec.json.encode(["a", "b"])
     assert roll.adopt(0.0, made) and roll.tell() == {"routers": ["a", "b"]}
@@ -291,12 +291,12 @@
 
 def test_shares_are_laid_over_the_file_and_not_wider_without_word() -> None:
     with following() as (host, follower, (store,)):
-        revision = store.write(d.SHARES, '{"acme": {"portion": 0.5}}')
+        revision = store.write(d.SHARES_KEY, '{"acme": {"portion": 0.5}}')
         until(lambda: host.config.settings.tenants == tenants(0.5))
         host.apply(config.parse(msgspec.json.encode(make_config([]))))  # as SIGHUP reads it anew
         until(lambda: host.config.settings.tenants == tenants(0.5))
-        assert follower.versions()[d.SHARES][0] == revision
-        store.write(d.SHARES, '{"acme": {"portion": 0.7}, "other": {"portion": 3.0}}')
+        assert follower.versions()[d.SHARES_KEY][0] == revision
+        store.write(d.SHARES_KEY, '{"acme": {"portion": 0.7}, "other": {"portion": 3.0}}')
         until(lambda: host.config.settings.tenants == tenants(0.7, 3.0))
         store.says = b"garbage"
         until(lambda: host.config.settings.tenants == tenants(0.5))
@@ -321,12 +321,12 @@
             for store in stores:
                 store.says = says if store is stores[turn] and store.documents else b""
             for store in stores:
-                store.write(d.SUSPENSIONS, json.dumps([f"e{store.revision}"]))
+                store.write(d.SUSPENSIONS_KEY, json.dumps([f"e{store.revision}"]))
             until(lambda: host.destinations.suspended(f"e{stores[0].revision - 1}"))
 
 
 def test_the_older_of_two_processes_is_silent_until_the_later_one_is() -> None:
-    own = f"{d.EVIDENCE}roll/n0"
+    own = f"{d.EVIDENCE_PREFIX}roll/n0"
     with following("roll") as (_, follower, (store,)):
         until(lambda: follower.versions().get("fleet/roll"))
         spoken = store.documents[own]
@@ -334,4 +334,4 @@
         until(lambda: follower.tell()["parts"]["roll"]["silent"])  # type: ignore[index]
         assert store.documents[own][0] == later > spoken[0]
         until(lambda: store.documents[own][0] > later)
-        assert d.read(own, store.documents[own][1], d.Summary).incarnation != "later"
+        assert d.decode_document(own, store.documents[own][1], d.Summary).incarnation != "later"
--- a/tests/test_fleet_cold.py
+++ b/tests/test_fleet_cold.py
@@ -16,7 +16,7 @@
 
 import pytest
 
-from spoolbarrow.fleet.documents import SUSPENSIONS
+from spoolbarrow.fleet.documents import SUSPENSIONS_KEY
 from spoolbarrow.lab import script
 from spoolbarrow.lab.cluster import BROKEN, Cluster
 from spoolbarrow.lab.script import SCRIPTS, play, shape
@@ -242,11 +242,11 @@
             assert one["first_served_s"] < SERVED_S
         assert set(calls(found)) == {1}
         members.leader()
-        assert members.put(SUSPENSIONS, b'["e5"]') > 0
+        assert members.put(SUSPENSIONS_KEY, b'["e5"]') > 0
         for router in start.made.routers:
             router.wait_for(
                 lambda router=router: any(  # type: ignore[misc]
-                    one["key"] == SUSPENSIONS and one["mode"] == "committed"
+                    one["key"] == SUSPENSIONS_KEY and one["mode"] == "committed"
                     for one in router.events("fleet_shared")
                 ),
                 KNOWN_S,
--- a/tests/test_fleet_follow.py
+++ b/tests/test_fleet_follow.py
@@ -19,7 +19,7 @@
 import pytest
 
 from spoolbarrow.agree import digest
-from spoolbarrow.fleet.documents import SHARES, STANDING, SUSPENSIONS
+from spoolbarrow.fleet.documents import SHARES_KEY, STANDING_PREFIX, SUSPENSIONS_KEY
 from spoolbarrow.lab.cluster import BROKEN, Load
 from spoolbarrow.lab.followed import Followed, at_key, until
 from spoolbarrow.lab.members import ask
@@ -65,7 +65,7 @@
 
     def suspend(self, *engines: str) -> int:
         """Have all routers suspend these and no others; the revision."""
-        revision: int = self.put(SUSPENSIONS, json.dumps(engines))[1]["revision"]
+        revision: int = self.put(SUSPENSIONS_KEY, json.dumps(engines))[1]["revision"]
         return revision
 
 
@@ -109,8 +109,8 @@
     until(lambda: fleet.sent(0, "r0") > 0 and fleet.sent(0) > before[0] + 5)
     assert fleet.sent(0, "r1") == by_hand  # the word by hand stands there
     fleet.control(1, "engines/e0/resume", "POST")
-    revision = fleet.put(SHARES, '{"acme": {"portion": 0.5, "quota_per_s": 900}}')[1]["revision"]
-    until(lambda: {fleet.acts(n, SHARES)[0] for n in ALL} == {revision}, HEARD_S)
+    revision = fleet.put(SHARES_KEY, '{"acme": {"portion": 0.5, "quota_per_s": 900}}')[1]["revision"]
+    until(lambda: {fleet.acts(n, SHARES_KEY)[0] for n in ALL} == {revision}, HEARD_S)
     shares = {fleet.control(n, "versions")["versions"]["shares"]["number"] for n in ALL}
     assert shares == {1}  # what the files say is told as before
 
@@ -164,7 +164,7 @@
         until(lambda n=n: "behind" in str(fleet.fleet(n)["members"]), SILENT_S)  # type: ignore[misc]
         until(lambda n=n: fleet.mode(n) == "safer" and fleet.part(n)["routers"] is None, SILENT_S)  # type: ignore[misc]
     for n in (0, 1):
-        number, contents = fleet.acts(n, SUSPENSIONS)
+        number, contents = fleet.acts(n, SUSPENSIONS_KEY)
         assert number == newest and contents in {digest(["e2"]), digest(["e1", "e2"])}
     fleet.store.cut(member, "pass")
     fleet.to_store("pass")
@@ -174,7 +174,7 @@
 def test_of_two_operators_at_once_one_is_refused_and_all_act_on_the_other(fleet: Fleet) -> None:
     """Both name the revision they changed: all routers act on the one taken in HEARD_S."""
     revision = fleet.suspend()
-    codes = [fleet.put(SUSPENSIONS, json.dumps([engine]), revision) for engine in ("e0", "e1")]
+    codes = [fleet.put(SUSPENSIONS_KEY, json.dumps([engine]), revision) for engine in ("e0", "e1")]
     assert [code for code, _ in codes] == [200, 409]
     fleet.wait_suspended(codes[0][1]["revision"], "e0", seconds=HEARD_S)
 
@@ -227,7 +227,7 @@
     until(lambda: all(fleet.part(n)["routers"] is None for n in cut), SILENT_S)
     until(lambda: {fleet.mode(n) for n in cut} == {"safer"}, SILENT_S)
     for n in cut:  # within_s is shorter than it may have heard of the change: both are right, and stated
-        assert fleet.acts(n, SUSPENSIONS) in {(newest, digest(["e1"])), (newest, digest(["e0", "e1"]))}
+        assert fleet.acts(n, SUSPENSIONS_KEY) in {(newest, digest(["e1"])), (newest, digest(["e0", "e1"]))}
     fleet.wait_called([f"r{n}" for n in left], left)
     fleet.to_store("pass")
     fleet.wait_suspended(newest, "e1")
@@ -237,10 +237,10 @@
     """Documents that are none: all tell so in HEARD_S, act on what they had, and the lease is begun anew."""
     revision, epoch = fleet.suspend("e2"), fleet.epoch(0)
     fleet.wait_suspended(revision, "e2")
-    fleet.put(SUSPENSIONS, '{"e0": true}')
-    fleet.put(f"{STANDING}roll", "\0" * 500)
+    fleet.put(SUSPENSIONS_KEY, '{"e0": true}')
+    fleet.put(f"{STANDING_PREFIX}roll", "\0" * 500)
     fleet.put("fleet/evidence/roll/nobody", '{"router": "nobody", "incarnation": "x", "sequence": -1}')
-    until(lambda: all(fleet.fleet(n)["documents"][SUSPENSIONS]["garbage"] for n in ALL), HEARD_S)
-    assert {fleet.acts(n, SUSPENSIONS) for n in ALL} == {(revision, digest(["e2"]))}
+    until(lambda: all(fleet.fleet(n)["documents"][SUSPENSIONS_KEY]["garbage"] for n in ALL), HEARD_S)
+    assert {fleet.acts(n, SUSPENSIONS_KEY) for n in ALL} == {(revision, digest(["e2"]))}
     until(lambda: all(fleet.epoch(n) > epoch for n in ALL), TAKEN_S)
     assert {"fleet_document"} <= {e["event"] for e in fleet.routers[0].events("fleet_document")}
--- a/tests/test_fleet_pools.py
+++ b/tests/test_fleet_pools.py
@@ -26,7 +26,7 @@
 
 from spoolbarrow import interface as i
 from spoolbarrow.config import ListEntry
-from spoolbarrow.fleet.documents import EVIDENCE, Summary, write
+from spoolbarrow.fleet.documents import EVIDENCE_PREFIX, Summary, encode_document
 from spoolbarrow.lab.cluster import Answer, Load, call
 from spoolbarrow.lab.followed import Followed, at_key, until
 from spoolbarrow.lab.members import ask
@@ -36,7 +36,7 @@
 from spoolbarrow.net.taps import Taps
 from spoolbarrow.operator import FleetTable, fleet_faults
 from spoolbarrow.pools import sketch
-from spoolbarrow.pools.evidence import Notes, hear
+from spoolbarrow.pools.traffic_stats import TrafficRecorder, decode_summary
 from tests.test_fleet_store import Members
 
 ALL = range(5)
@@ -159,10 +159,10 @@
 
     def say(self, router: str, sequence: int, body: bytes) -> None:
         """Write a summary by hand."""
-        text = write(Summary(router, "by-hand", sequence, time.time() * 1000.0, body))
+        text = encode_document(Summary(router, "by-hand", sequence, time.time() * 1000.0, body))
         until(
             lambda: any(
-                ask(member, "PUT", at_key(f"{EVIDENCE}{KIND}/{router}"), text)[0] == 200
+                ask(member, "PUT", at_key(f"{EVIDENCE_PREFIX}{KIND}/{router}"), text)[0] == 200
                 for member in self.store.controls
             )
         )
@@ -225,14 +225,14 @@
     fleet.wait_one(split=True)
     since = fleet.told(0)["split"]["since_ms"]
     now = time.time() * 1000.0
-    old = Notes(now - 86_400_000.0 - 60_000.0)
+    old = TrafficRecorder(now - 86_400_000.0 - 60_000.0)
     for n in range(2000):
-        old.asked(now - 86_400_000.0 - 20_000.0 + 10 * n, 1, 0, 100, 100)
+        old.record_request(now - 86_400_000.0 - 20_000.0 + 10 * n, 1, 0, 100, 100)
     cell = [0, 0, 10.0, 0.0, [[], [], [], []]]
     spans = [{12: (nan, 1.0, 1.0)}, {12: (-5.0, 1.0, 1.0)}, {12: (1e18, 1e18, 1e18)}]
     hostile = [msgspec.msgpack.encode([1, now, now - 60_000.0, [[*cell, span]], {}]) for span in spans]
     right = msgspec.msgpack.encode([1, now, now - 60_000.0, [[*cell, {12: (5.0, 2e4, 8e7)}]], {}])
-    assert hear(right) is not None and not any(map(hear, hostile))  # by their figures, not by their form
+    assert decode_summary(right) is not None and not any(map(decode_summary, hostile))  # by their figures, not by their form
     bodies = [old.body(now - 86_400_000.0), b"\xff" * 500, *hostile]
     holder = fleet.holder(KIND)
     before, sequence = fleet.decisions(holder), 0
@@ -359,14 +359,14 @@
     for one, how in ((served, "served"), (left, "left"), (refused, "fail_fast"), (beyond, "served")):
         one.end(how)
         host.taps.request_answered(one)
-    cell = part._pools.notes.seen.cells[0, 0]
-    pace = part._pools.notes.seen.paces["big"]
+    cell = part._pools.recorder.stats.cells[0, 0]
+    pace = part._pools.recorder.stats.speeds["big"]
     assert (sum(cell.ended.values()), sum(cell.cut.values()), cell.answered, cell.late) == (1, 1, 3, 2)
     assert sketch.quantile(cell.ended, 0.5) == pytest.approx(63, rel=0.05)
     assert sketch.quantile(cell.cut, 0.5) == pytest.approx(2, abs=0.2)
     assert sketch.quantile(cell.unread, 0.1) == pytest.approx(600, rel=0.05)
     assert sketch.quantile(pace.read, 0.5) == pytest.approx(800_000 / 600, rel=0.05)
-    assert part._pools.engines["e0"].only == "read" and part.unnoted == 1 and not part._open
+    assert part._pools.engines["e0"].fixed_side == "read" and part.unnoted == 1 and not part._open
     for tail in (b"", b'data: {"usage":{"completion_tokens":-1}}\n', b'data: {"usage":[]}\n', b'"usage"'):
         assert pools.usage(tail) is None
     part.end()
--- a/tests/test_reload_races.py
+++ b/tests/test_reload_races.py
@@ -183,9 +183,9 @@
         part.watch(scene.host, FleetTable(["m"]))  # as each look of the fleet's does
         seen.set()
         assert asked.answer().status == 200
-        assert not part._pools.notes.seen.cells
+        assert not part._pools.recorder.stats.cells
         assert scene.client().send(ask(X_Correlation_Id="2")).answer().status == 200
-        assert [cell.answered for cell in part._pools.notes.seen.cells.values()] == [1.0]
+        assert [cell.answered for cell in part._pools.recorder.stats.cells.values()] == [1.0]
 
 
 # What was learnt
