--- a/benchmarks/plumbing.py
+++ b/benchmarks/plumbing.py
@@ -17,7 +17,7 @@
 
 ROOT = Path(__file__).resolve().parent.parent
 PAIRS = 5
-SERVING = "spoolbarrow.serve, spoolbarrow.admin.operations"
+SERVING = "spoolbarrow.serve, spoolbarrow.admin.coordinator"
 MEMBER = "spoolbarrow.store.raft, spoolbarrow.net.http1"
 LIBRARIES = (  # what is loaded anyway, and what comes to it
     (SERVING, "gevent.pywsgi"), (MEMBER, "gevent.pywsgi"), (SERVING, "prometheus_client"),
--- a/benchmarks/service.py
+++ b/benchmarks/service.py
@@ -30,7 +30,7 @@
 import standin  # noqa: E402
 from rig import ENGINES, EVENTS, FIRST_MS, GAP_MS  # noqa: E402
 
-from spoolbarrow.config import INHERITED  # noqa: E402
+from spoolbarrow.config import INHERITED_FD_VARIABLE  # noqa: E402
 from spoolbarrow.net.http1 import Fault, ResponseParser  # noqa: E402
 
 CLIENTS = 24
@@ -62,7 +62,7 @@
         file = self._folder / f"{number}.json"
         raw = standin.config(self.port, self._discovery) | {"control": f"{standin.HOST}:{control}"}
         file.write_bytes(orjson.dumps(raw))
-        told = {"NODE_CONFIG": str(file), "TMPDIR": str(self._folder), INHERITED: str(descriptor)}
+        told = {"NODE_CONFIG": str(file), "TMPDIR": str(self._folder), INHERITED_FD_VARIABLE: str(descriptor)}
         with (self._folder / f"{number}.log").open("wb") as log:
             self.processes.append(
                 subprocess.Popen(
--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -25,8 +25,8 @@
 
 from rig import anonymous_kb  # noqa: E402
 
-from spoolbarrow.cli.calls import call  # noqa: E402
-from spoolbarrow.cli.faults import NoAnswer  # noqa: E402
+from spoolbarrow.cli.http_client import request_json  # noqa: E402
+from spoolbarrow.cli.errors import NoAnswer  # noqa: E402
 from spoolbarrow.lab.cluster import LISTEN, Process, free_ports  # noqa: E402
 from spoolbarrow.lab.quorum import MUTANTS, Play, survives  # noqa: E402
 
@@ -41,7 +41,7 @@
 def ask(member: str, method: str, path: str, body: bytes = b"") -> tuple[int, dict[str, Any]]:
     """A member's answer; status 0 with the reason where none came."""
     try:
-        return call(member, method, path, body)
+        return request_json(member, method, path, body)
     except NoAnswer as error:
         return 0, {"error": str(error)}
 
--- a/spoolbarrow/admin/calls.py
+++ b/spoolbarrow/admin/calls.py
@@ -64,7 +64,7 @@
     remedy = "Wait for its list (`watch_broken` in the log says why there is none), or ask its successor."
 
 
-class AgreeOff(CallFault):
+class AgreementOff(CallFault):
     """Versions are asked for, and the operator's file does not switch them on."""
 
     answer = 404
--- a/spoolbarrow/admin/orders.py
+++ b/spoolbarrow/admin/commands.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable
 
-from spoolbarrow.admin.words import AWAY, Words
+from spoolbarrow.admin.overrides import ROUTER_DRAIN, Overrides
 from spoolbarrow.net.destinations import NoRoom
 from spoolbarrow.net.drain_schedule import LONG_AGO_MS
 from spoolbarrow.net.host import Host
@@ -12,12 +12,12 @@
 from spoolbarrow.net.log import log
 
 
-class Orders:
+class OperatorCommands:
     """The words that hold, and what they do here."""
 
     def __init__(self, host: Host, inbound: Inbound) -> None:
         self._host, self._inbound = host, inbound
-        self.words = Words()
+        self.words = Overrides()
         self.tell: Callable[[], None] | None = None  # has the other processes know, before a yes
 
     def suspend(self, engine: str) -> None:
@@ -33,20 +33,20 @@
     def drain(self) -> None:
         """Clients are sent away."""
         self._inbound.drain_by_call()
-        self._say(AWAY, True)
+        self._say(ROUTER_DRAIN, True)
 
     def activate(self) -> None:
         """Clients are taken again."""
         self._inbound.activate()
-        self._say(AWAY, False)
+        self._say(ROUTER_DRAIN, False)
 
     def _say(self, matter: str, on: bool) -> None:
         now = self._host.now()
-        self.words.tidy(now)
-        if self.words.say(matter, on, now) and self.tell is not None:
+        self.words.prune(now)
+        if self.words.put(matter, on, now) and self.tell is not None:
             self.tell()
 
-    def adopt(self, other: Words, at_start: bool = False) -> bool:
+    def apply_remote(self, other: Overrides, at_start: bool = False) -> bool:
         """Carry out what another process was told later than this one; whether that was anything.
 
         What is found at the start may have been said at any time before, and its clients have had theirs.
@@ -55,7 +55,7 @@
         for matter, word in changed.items():
             log("word", engine=matter, on=word.on)
             try:
-                if matter == AWAY:
+                if matter == ROUTER_DRAIN:
                     self._adopt_drain(word.on, at_start)
                 else:
                     destinations = self._host.destinations
--- a/spoolbarrow/admin/control.py
+++ b/spoolbarrow/admin/control.py
@@ -1,7 +1,7 @@
 """The operators' listener: one call to a connection, each answered at once; nothing here waits for serving.
 
 Owns the listener and the callers' connections. What a call means is `calls`' business, what the figures are
-`figures`'. Callers that say nothing hold up nobody: their connections are few, bounded in time, and the
+`metrics`'. Callers that say nothing hold up nobody: their connections are few, bounded in time, and the
 oldest silent one gives way to a new one. A fault here is logged, answered 500, and reaches nothing else.
 """
 
@@ -15,11 +15,11 @@
 from gevent import socket
 
 from spoolbarrow.admin import calls
-from spoolbarrow.admin.calls import AgreeOff, BadCall, Call, CallFault, NoSuchEngine, NotReady, Verb
-from spoolbarrow.admin.figures import Figures
-from spoolbarrow.admin.orders import Orders
+from spoolbarrow.admin.calls import AgreementOff, BadCall, Call, CallFault, NoSuchEngine, NotReady, Verb
+from spoolbarrow.admin.metrics import Metrics
+from spoolbarrow.admin.commands import OperatorCommands
 from spoolbarrow.config import Address, CannotListen
-from spoolbarrow.errors import Defect, Problem
+from spoolbarrow.errors import InternalError, Problem
 from spoolbarrow.net import http1
 from spoolbarrow.net.accepting import next_connection
 from spoolbarrow.net.destinations import NoRoom
@@ -37,14 +37,14 @@
 RECV = 4096
 BACKLOG = 64
 OF_AGREEMENT = frozenset({Verb.VERSIONS, Verb.CHECK, Verb.ADOPT})
-ANSWERS: tuple[tuple[type[Problem], int], ...] = ((Defect, 500), (NoRoom, 503), (Problem, 409))
+ANSWERS: tuple[tuple[type[Problem], int], ...] = ((InternalError, 500), (NoRoom, 503), (Problem, 409))
 TEXT = b"text/plain; charset=utf-8"
 
 
 class Counting(Observer):
     """Counts what the taps tell."""
 
-    def __init__(self, figures: Figures, name: Callable[[int], str]) -> None:
+    def __init__(self, figures: Metrics, name: Callable[[int], str]) -> None:
         self._figures, self._name = figures, name
 
     def attempt_sent(self, attempt: object) -> None:
@@ -88,10 +88,10 @@
     """The listener and what its callers may do."""
 
     def __init__(
-        self, host: Host, inbound: Inbound, orders: Orders, agreement: Callable[[], Versions | None]
+        self, host: Host, inbound: Inbound, orders: OperatorCommands, agreement: Callable[[], Versions | None]
     ) -> None:
         self._host, self._inbound, self._orders, self._agreement = host, inbound, orders, agreement
-        self.figures = Figures(host.config.classes)
+        self.figures = Metrics(host.config.classes)
         self._counting = Counting(self.figures, self._class)
         host.taps.add(self._counting)
         self._silent: dict[socket.socket, gevent.Greenlet[..., None]] = {}  # oldest first
@@ -177,13 +177,13 @@
             return _refusal(error)
         except Exception as error:
             unexpected("call", error)
-            return _refusal(Defect("", "internal error"))
+            return _refusal(InternalError("", "internal error"))
 
     def _agree(self, call: Call) -> list[bytes]:
         """Versions told, files checked, or adopted; ConfigError where the files can't be used."""
         agreement = self._agreement()
         if agreement is None:
-            raise AgreeOff("", "the operator's file has no [agree]")
+            raise AgreementOff("", "the operator's file has no [agree]")
         if call.verb is Verb.VERSIONS:
             return http1.answer_pieces(200, orjson.dumps(agreement.tell()), True)
         if call.verb is Verb.CHECK:
--- a/spoolbarrow/admin/operations.py
+++ b/spoolbarrow/admin/coordinator.py
@@ -1,6 +1,6 @@
 """The operators' side of one process: its listener, the orders that hold, the router's other processes.
 
-Joins what `control`, `orders`, `state` and `handover` own; `serve` starts it where operators call or a
+Joins what `control`, `commands`, `state` and `handover` own; `serve` starts it where operators call or a
 listening socket is inherited. It keeps the configuration as it was read: while another process of the router
 lives, only a part of the room is this one's.
 """
@@ -16,9 +16,9 @@
 from gevent import socket
 
 from spoolbarrow import handover
-from spoolbarrow.admin import state, words
+from spoolbarrow.admin import state, overrides
 from spoolbarrow.admin.control import Control, Versions, listen
-from spoolbarrow.admin.orders import Orders
+from spoolbarrow.admin.commands import OperatorCommands
 from spoolbarrow.config import Config
 from spoolbarrow.handover import Handover, Torn
 from spoolbarrow.net import connection_handover
@@ -31,13 +31,13 @@
 from spoolbarrow.net.log import log
 
 
-class Operations:
+class Coordinator:
     """From the start of a process to its end."""
 
     def __init__(self, config: Config) -> None:
         """ConfigError where what is inherited can't be used."""
         self._config = config
-        self.inherited = handover.inherited()
+        self.inherited_socket = handover.inherited()
         self._handover: Handover | None = None
         self._control: Control | None = None
         self._shared = False  # another process lives
@@ -58,18 +58,18 @@
         """The clock that all processes of this router go by."""
         return Clock(None if self._handover is None else self._handover.clock_offset_s)
 
-    def alone(self) -> bool:
+    def is_oldest(self) -> bool:
         """Whether no older process of this router lives."""
         return self._handover is None or not self._handover.older
 
-    def succeeded(self) -> bool:
+    def has_successor(self) -> bool:
         """Whether a newer process takes clients from the same socket."""
-        return self.inherited is not None and self._handover is not None and bool(self._handover.newer)
+        return self.inherited_socket is not None and self._handover is not None and bool(self._handover.newer)
 
     def start(self, host: Host, inbound: Inbound) -> None:
         """Take over what an older process passes on, and begin to decide; CannotListen for calls."""
         self._host, self._inbound = host, inbound
-        self._orders = orders = Orders(host, inbound)
+        self._orders = orders = OperatorCommands(host, inbound)
         passed = None
         if self._handover is not None:
             dead = self._handover.look()
@@ -82,12 +82,12 @@
             host.start()
         else:
             given = passed
-            host.start(passed.known, passed.resumed, lambda router: state.install(given, router))
+            host.start(passed.known, passed.resumed, lambda router: state.restore(given, router))
         if self._config.control is not None:
             self._control = Control(host, inbound, orders, lambda: self.agreement)
             self._control.move(listen(self._config.control))
-        if self._handover is not None and self.inherited is not None:
-            self._handover.start(self._looked, self._adopt, self._write_state)
+        if self._handover is not None and self.inherited_socket is not None:
+            self._handover.start(self._update_limits, self._adopt, self._write_state)
             try:
                 self._handover.listen_for_streams(partial(connection_handover.take, host, inbound))
             except OSError as error:
@@ -101,7 +101,7 @@
         if self._handover is not None:
             with suppress(OSError):
                 self._handover.look()  # the newer one may have ended since the last look
-        if not self.succeeded():
+        if not self.has_successor():
             return None
         gevent.spawn_later(end_schedule(self._inbound.config, True).pass_on / 1000, self._pass_streams)
         return self._give_idle
@@ -163,7 +163,7 @@
         if self._handover is not None:
             self._handover.close()
 
-    def _looked(self) -> None:
+    def _update_limits(self) -> None:
         """Guards the limits of the router: two processes have them together."""
         shared = self._handover is not None and self._handover.shared()
         if shared is not self._shared:
@@ -174,13 +174,13 @@
 
     def _tell(self) -> None:
         assert self._handover is not None
-        self._handover.write_words(self._orders.words.write(self._config.name))
+        self._handover.write_words(self._orders.words.encode(self._config.name))
 
     def _adopt(self, texts: list[bytes], at_start: bool = False) -> None:
         changed = False
         for text in texts:
             try:
-                changed |= self._orders.adopt(words.read(text, self._config.name), at_start)
+                changed |= self._orders.apply_remote(overrides.decode(text, self._config.name), at_start)
             except Torn as error:
                 log("handover_failed", what="words", why=str(error), remedy=error.remedy)
         if changed:
@@ -188,15 +188,15 @@
 
     def _write_state(self) -> bytes:
         known, resumed = self._host.destinations.export()
-        return state.write(self._config.name, known, resumed, self._host.router())
+        return state.encode(self._config.name, known, resumed, self._host.router())
 
     def _read_state(self, text: bytes | None) -> state.State | None:
         if text is None:
-            if not self.alone():
+            if not self.is_oldest():
                 log("handover_failed", what="state", why="none came")
             return None
         try:
-            return state.read(text, self._config.name)
+            return state.decode(text, self._config.name)
         except Torn as error:
             log("handover_failed", what="state", why=str(error), remedy=error.remedy)
             return None
--- a/spoolbarrow/admin/figures.py
+++ b/spoolbarrow/admin/metrics.py
@@ -33,7 +33,7 @@
 }
 
 
-class Figures:
+class Metrics:
     """Counts of what became of requests, for each class."""
 
     def __init__(self, classes: Iterable[str]) -> None:
--- a/spoolbarrow/admin/words.py
+++ b/spoolbarrow/admin/overrides.py
@@ -1,6 +1,6 @@
 """What operators told this router, as every process of it must know it: the latest word on each matter holds.
 
-Owns the table of words and their form in a file; carrying them out is `orders`'. Free of I/O and clock.
+Owns the table of words and their form in a file; carrying them out is `commands`'. Free of I/O and clock.
 """
 
 from __future__ import annotations
@@ -12,11 +12,11 @@
 
 VERSION = 1
 MOST_BYTES = 1 << 20  # of a file of words: longer than any that MOST_SUSPENDED short names make
-KEPT_MS = 60_000.0  # a word that takes one back is kept so long: by then every process has heard it
-AWAY = ""  # the matter that is no engine: whether clients are sent away
+CLEARED_RETENTION_MS = 60_000.0  # a word that takes one back is kept so long: by then every process has heard it
+ROUTER_DRAIN = ""  # the matter that is no engine: whether clients are sent away
 
 
-class Word(Struct, frozen=True):
+class Override(Struct, frozen=True):
     """Whether an engine is suspended, or clients are sent away, and since when, Unix ms."""
 
     on: bool
@@ -26,46 +26,46 @@
 class _File(Struct):
     v: int
     name: str
-    words: dict[str, Word]
+    words: dict[str, Override]
 
 
-class Words:
-    """By matter: an engine's id, or AWAY."""
+class Overrides:
+    """By matter: an engine's id, or ROUTER_DRAIN."""
 
     def __init__(self) -> None:
-        self._words: dict[str, Word] = {}
+        self._by_target: dict[str, Override] = {}
 
-    def say(self, matter: str, on: bool, now: float) -> bool:
+    def put(self, matter: str, on: bool, now: float) -> bool:
         """A new word; whether it changes anything."""
-        old = self._words.get(matter)
+        old = self._by_target.get(matter)
         if on is (old is not None and old.on):
             return False
         # Never before the word that it replaces: clocks may be set back.
-        self._words[matter] = Word(on, now if old is None else max(now, old.at + 0.001))
+        self._by_target[matter] = Override(on, now if old is None else max(now, old.at + 0.001))
         return True
 
-    def merge(self, other: Words) -> dict[str, Word]:
+    def merge(self, other: Overrides) -> dict[str, Override]:
         """Take over what is later there; the matters that this changes."""
         changed = {}
-        for matter, word in other._words.items():
-            old = self._words.get(matter)
+        for matter, word in other._by_target.items():
+            old = self._by_target.get(matter)
             if old is None or word.at > old.at:
-                self._words[matter] = word
+                self._by_target[matter] = word
                 if word.on is not (old is not None and old.on):
                     changed[matter] = word
         return changed
 
-    def tidy(self, now: float) -> None:
+    def prune(self, now: float) -> None:
         """Forget what was taken back long ago."""
-        for matter in [m for m, word in self._words.items() if not word.on and now - word.at > KEPT_MS]:
-            del self._words[matter]
+        for matter in [m for m, word in self._by_target.items() if not word.on and now - word.at > CLEARED_RETENTION_MS]:
+            del self._by_target[matter]
 
-    def write(self, name: str) -> bytes:
+    def encode(self, name: str) -> bytes:
         """The text of a file for the router of that name."""
-        return msgspec.json.encode(_File(VERSION, name, self._words))
+        return msgspec.json.encode(_File(VERSION, name, self._by_target))
 
 
-def read(text: bytes, name: str) -> Words:
+def decode(text: bytes, name: str) -> Overrides:
     """The words in a file's text; Torn where they are torn, foreign or of another version."""
     if len(text) > MOST_BYTES:
         raise Torn("", "too large")
@@ -75,6 +75,6 @@
         raise Torn("", str(error)) from error
     if file.v != VERSION or file.name != name:
         raise Torn("", f"version {file.v} of {file.name!r}")
-    words = Words()
-    words._words = file.words
+    words = Overrides()
+    words._by_target = file.words
     return words
--- a/spoolbarrow/admin/state.py
+++ b/spoolbarrow/admin/state.py
@@ -65,7 +65,7 @@
     return {name: getattr(thing, name) for name in names}
 
 
-def write(name: str, known: HostList, resumed: dict[str, float], router: Router) -> bytes:
+def encode(name: str, known: HostList, resumed: dict[str, float], router: Router) -> bytes:
     """The text of a state."""
     pool = router.pool
     hottest = sorted(pool.heat.items(), key=lambda item: -item[1])[:MOST_HEAT]
@@ -89,7 +89,7 @@
     )
 
 
-def read(text: bytes, name: str) -> State:
+def decode(text: bytes, name: str) -> State:
     """The state in a text; Torn where it is torn, of another version or another router."""
     try:
         state = msgspec.json.decode(text, type=State)
@@ -100,7 +100,7 @@
     return state
 
 
-def install(state: State, router: Router) -> None:
+def restore(state: State, router: Router) -> None:
     """Have the decisions know it, once they have the list; names that they do not have are left out."""
     pool = router.pool
     _put(router, OF_ROUTER, state.router)
--- a/spoolbarrow/cli/__init__.py
+++ b/spoolbarrow/cli/__init__.py
@@ -10,7 +10,7 @@
 
 import click
 
-from spoolbarrow.cli.faults import CannotUse, Faulty
+from spoolbarrow.cli.errors import FileUnusable, BadArgument
 from spoolbarrow.errors import Problem
 
 COMMANDS = {
@@ -71,11 +71,11 @@
     except click.ClickException as error:
         error.show()
         if not isinstance(error, click.UsageError):  # which tells of --help itself
-            click.echo(f"  {Faulty.remedy}", err=True)
+            click.echo(f"  {BadArgument.remedy}", err=True)
         return error.exit_code
     except OSError as error:
-        tell(CannotUse(str(error.filename or ""), error.strerror or str(error)), "Error: ")
-        return CannotUse.status
+        tell(FileUnusable(str(error.filename or ""), error.strerror or str(error)), "Error: ")
+        return FileUnusable.status
     except Problem as error:
         tell(error, "Error: ")
         return error.status
--- a/spoolbarrow/cli/agree.py
+++ b/spoolbarrow/cli/agree.py
@@ -9,8 +9,8 @@
 
 from spoolbarrow.agree import COMPARED, Item, Version, differences, digest
 from spoolbarrow.cli import tell
-from spoolbarrow.cli.calls import call, understood
-from spoolbarrow.cli.faults import NoAnswer, Refused
+from spoolbarrow.cli.http_client import request_json, understood
+from spoolbarrow.cli.errors import NoAnswer, Refused
 
 T = TypeVar("T")
 DRAINED = digest(True)
@@ -56,7 +56,7 @@
 
 def _ask(router: str, method: str, path: str, kind: type[T]) -> T:
     """A router's answer; NoAnswer or Refused where it is none or no."""
-    status, told = call(router, method, f"/v1/{path}")
+    status, told = request_json(router, method, f"/v1/{path}")
     if status != 200:
         fault = understood(router, told, _Refusal).error
         raise Refused(router, fault.message, fault.remedy)
--- a/spoolbarrow/cli/check.py
+++ b/spoolbarrow/cli/check.py
@@ -24,7 +24,7 @@
     if config is not None:
         environment["NODE_CONFIG"] = str(config)
     if file is not None:
-        environment[operator.VARIABLE] = str(file)
+        environment[operator.FILE_VARIABLE] = str(file)
     told, faults_of_operator = operator.read(environment)
     faults_of_config = _faults_of_config(environment)
     if told.failover is not None and not faults_of_config:
--- a/spoolbarrow/cli/faults.py
+++ b/spoolbarrow/cli/errors.py
@@ -5,7 +5,7 @@
 from spoolbarrow.errors import Problem
 
 
-class Faulty(Problem):
+class BadArgument(Problem):
     """An argument or option of a command can't be used."""
 
     status = 2
@@ -13,7 +13,7 @@
     remedy = "See what it takes by `--help` behind the command."
 
 
-class CannotUse(Problem):
+class FileUnusable(Problem):
     """A file, directory or connection that a command needs can't be used."""
 
     where = "the file or directory"
@@ -34,7 +34,7 @@
     remedy = "Look in its log for what came before it."
 
 
-class CannotPlay(Problem):
+class LabRunFailed(Problem):
     """A day of the lab can't be played: a process or a socket of it failed."""
 
     where = "none"
--- a/spoolbarrow/cli/flows.py
+++ b/spoolbarrow/cli/flows.py
@@ -19,7 +19,7 @@
 
 from spoolbarrow import operator
 from spoolbarrow.cli import tell
-from spoolbarrow.cli.faults import Faulty
+from spoolbarrow.cli.errors import BadArgument
 from spoolbarrow.config import CannotListen
 from spoolbarrow.errors import MissingPackage
 from spoolbarrow.flows import tables
@@ -90,15 +90,15 @@
     gevent.signal_handler(signal.SIGINT, end.set)
     listeners: list[Listener] = []
     for text in addresses:
-        where = operator.collector("ADDRESSES", text)
+        where = operator.parse_collector("ADDRESSES", text)
         tls = None
         if where.kind == "tls":
             if not (ca and certificate and key):
-                raise Faulty(text, "tls:// needs --ca, --certificate and --key")
+                raise BadArgument(text, "tls:// needs --ca, --certificate and --key")
             try:
                 tls = server_context(ca, certificate, key)
             except OSError as error:
-                raise Faulty("--ca, --certificate, --key", str(error)) from error
+                raise BadArgument("--ca, --certificate, --key", str(error)) from error
         try:
             listeners.append(Listener(where, enterprise, hear, tls))
         except OSError as error:
--- a/spoolbarrow/cli/calls.py
+++ b/spoolbarrow/cli/http_client.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from spoolbarrow.cli.faults import NoAnswer
+from spoolbarrow.cli.errors import NoAnswer
 
 CALL_S = 5.0
 T = TypeVar("T")
@@ -18,10 +18,10 @@
     """A status of HTTP, and the object that came with it."""
 
     status: int
-    told: dict[str, Any]
+    body: dict[str, Any]
 
 
-def call(address: str, method: str, path: str, body: bytes = b"") -> Answer:
+def request_json(address: str, method: str, path: str, body: bytes = b"") -> Answer:
     """What HOST:PORT answers; NoAnswer where nothing comes within CALL_S that can be read."""
     try:
         connection = http.client.HTTPConnection(address, timeout=CALL_S)
--- a/spoolbarrow/cli/lab.py
+++ b/spoolbarrow/cli/lab.py
@@ -9,7 +9,7 @@
 import click
 import orjson
 
-from spoolbarrow.cli.faults import CannotPlay, Faulty, NoResults
+from spoolbarrow.cli.errors import LabRunFailed, BadArgument, NoResults
 from spoolbarrow.errors import MissingPackage
 from spoolbarrow.lab.scenario import Scenario, change, convert, load_raw
 
@@ -28,7 +28,7 @@
     for one in sets:
         key, equals, text = one.partition("=")
         if not equals:
-            raise Faulty(f"--set {one}", "wants KEY=VALUE")
+            raise BadArgument(f"--set {one}", "wants KEY=VALUE")
         change(raw, key, value_of(text))
     return convert(raw)
 
@@ -56,7 +56,7 @@
     from spoolbarrow.lab.simulate import simulate as play
 
     if policy not in POLICIES:
-        raise Faulty("--policy", f"one of {', '.join(POLICIES)}")
+        raise BadArgument("--policy", f"one of {', '.join(POLICIES)}")
     report = play(read(scenario, sets), policy, seed)
     tell(report, as_json)
     return 1 if report["rules_broken"] else 0
@@ -99,7 +99,7 @@
         try:
             report = sockets.play(day, seed, processes, progress, keep)
         except OSError as error:
-            raise CannotPlay("", str(error)) from error
+            raise LabRunFailed("", str(error)) from error
     tell(report, as_json)
     return 1 if report["rules_broken"] else 0
 
@@ -129,7 +129,7 @@
     try:
         running = Emulator(read(scenario, sets), seed, processes, port, engine_port)
     except OSError as error:
-        raise CannotPlay("", str(error)) from error
+        raise LabRunFailed("", str(error)) from error
     with running as fleet:
         for n, address in enumerate(fleet.listing.addresses):
             click.echo(f"router {n}: discovery at {address}")
@@ -162,7 +162,7 @@
     """
     import time
 
-    from spoolbarrow.config import address
+    from spoolbarrow.config import parse_address
     from spoolbarrow.lab.account import account, to_csv
 
     try:
@@ -171,14 +171,14 @@
         raise MissingPackage("lab", error) from error
 
     day = read(scenario, sets)
-    where = [address("IP:PORT", one) for one in targets]
+    where = [parse_address("IP:PORT", one) for one in targets]
     try:
         with Load(day, seed, where, processes, token_bytes) as running:
             running.begin(time.monotonic() + 0.1)
             progress(running)
             records, figures = running.wait()
     except OSError as error:
-        raise CannotPlay("", str(error)) from error
+        raise LabRunFailed("", str(error)) from error
     report = account(day, records, []) | {"load": figures, "seed": seed}
     if table is not None:
         table.write_text(to_csv(day, records))
--- a/spoolbarrow/cli/shadow.py
+++ b/spoolbarrow/cli/shadow.py
@@ -101,12 +101,12 @@
 
 def read(spools: tuple[Path, ...]) -> list[dict[str, Any]]:
     """The pairs of all files; what a torn tail leaves whole counts, and is told."""
-    from spoolbarrow.spool import contents
+    from spoolbarrow.spool import read_spool_file
 
     pairs = []
     for place in spools:
         for path in sorted(place.glob("*.pairs.zst*")) if place.is_dir() else [place]:
-            data, torn = contents(path)
+            data, torn = read_spool_file(path)
             if torn:
                 click.echo(f"{path}: torn, read as far as it is whole", err=True)
             for line in data.splitlines():
--- a/spoolbarrow/cli/store.py
+++ b/spoolbarrow/cli/store.py
@@ -12,8 +12,8 @@
 
 from spoolbarrow import config
 from spoolbarrow.cli import tell
-from spoolbarrow.cli.calls import call, understood
-from spoolbarrow.cli.faults import Faulty, NoAnswer, Refused
+from spoolbarrow.cli.http_client import request_json, understood
+from spoolbarrow.cli.errors import BadArgument, NoAnswer, Refused
 
 T = TypeVar("T")
 members = click.option(
@@ -61,10 +61,10 @@
     for one in named:
         who, mark, where = one.partition("=")
         if not who or not mark or who in addresses:
-            raise Faulty("--member", f"{one!r} is not NAME=HOST:PORT, or its name comes twice")
-        addresses[who] = config.address("--member", where)
+            raise BadArgument("--member", f"{one!r} is not NAME=HOST:PORT, or its name comes twice")
+        addresses[who] = config.parse_address("--member", where)
     if name not in addresses:
-        raise Faulty("--name", f"{name} is no --member")
+        raise BadArgument("--name", f"{name} is no --member")
     import gevent
     from gevent.event import Event
 
@@ -78,8 +78,8 @@
     made = Member(
         name,
         addresses,
-        config.address("--listen", listen),
-        config.address("--control", control),
+        config.parse_address("--listen", listen),
+        config.parse_address("--control", control),
         directory / f"{name}.store",
         Settings(election_ms=1000.0, beat_ms=100.0),
         most_pages,
@@ -117,7 +117,7 @@
 
 def ask(member: str, method: str, path: str, kind: type[T], body: bytes = b"") -> T:
     """A member's answer; NoAnswer where none came, MemberRefused where it is no."""
-    status, told = call(member, method, path, body)
+    status, told = request_json(member, method, path, body)
     if status != 200:
         raise MemberRefused(member, told)
     return understood(member, told, kind)
--- a/spoolbarrow/config.py
+++ b/spoolbarrow/config.py
@@ -25,16 +25,16 @@
 Address = tuple[str, int]
 MISSING = "Object missing required field "  # msgspec's words
 CONTROL = "NODE_CONTROL"  # the same as the key `control`, which goes before it
-INHERITED = "NODE_INHERITED_FD"  # the number of a listening socket that was passed on at the start
+INHERITED_FD_VARIABLE = "NODE_INHERITED_FD"  # the number of a listening socket that was passed on at the start
 NAME_A_FILE = "Have NODE_CONFIG (or `--config`) name a file that this user can read."
 MOST = 1e10  # of any figure that is told: a hundred days in ms, what no machine has in bytes or descriptors
 MIN_SOCKETS = 64  # below this the fixed needs leave nothing for clients
 # Descriptors that neither clients nor endpoints get, however many there are: standard input, output, error,
 # the event loop's (8); the listener, and the next one where its address changes (2); discovery, watched and
 # asked by several calls at once (9); clients that are told there is no room (10); files that are read (3).
-RESERVED = 32
-RESERVED_CONTROL = 20  # and, where operators call: their listener, the next one, and their calls
-AT_START = 8  # those of RESERVED that may be open when the program starts; any beyond count against the rest
+RESERVED_DESCRIPTORS = 32
+CONTROL_DESCRIPTORS = 20  # and, where operators call: their listener, the next one, and their calls
+AT_START = 8  # those of RESERVED_DESCRIPTORS that may be open when the program starts; any beyond count against the rest
 
 
 class ConfigError(Problem, ValueError):
@@ -216,18 +216,18 @@
     tenants: dict[str, int]
     zones: dict[str, int]
     kinds: dict[str, int]
-    idle_ms: float
+    endpoint_idle_ms: float
     connect_timeout_ms: float
     limits: MachineLimits
-    resumes: bool  # clients ask for the rest of a stream that broke
-    load_probes: bool  # probes bring a load report
+    resumes_streams: bool  # clients ask for the rest of a stream that broke
+    probes_fetch_load: bool  # probes bring a load report
     max_inbound: int  # clients' connections
     max_outbound: int  # connections to endpoints
-    max_held: int  # bytes of request bodies held at once
+    max_held_bytes: int  # bytes of request bodies held at once
     control: Address | None = None  # where operators call; None: nowhere
 
 
-def address(key: str, text: str) -> Address:
+def parse_address(key: str, text: str) -> Address:
     """Host and port of `host:port`."""
     host, colon, port = text.rpartition(":")
     if not (host and colon and port.isascii() and port.isdigit() and 0 < int(port) < 65536):
@@ -307,11 +307,11 @@
     _unlike({f"settings.Classes[{n}].Name": one.Name for n, one in enumerate(names.Classes)})
     _unlike({f"settings.Tenants[{n}].Name": one.Name for n, one in enumerate(names.Tenants)})
     _unlike({f"settings.Zones[{n}]": name for n, name in enumerate(names.Zones)})
-    inbound, outbound = share_out(file.limits.sockets, bool(file.control))
+    inbound, outbound = split_connections(file.limits.sockets, bool(file.control))
     return Config(
         name=file.name,
-        listen=address("listen", file.listen),
-        discovery=address("discovery", file.discovery),
+        listen=parse_address("listen", file.listen),
+        discovery=parse_address("discovery", file.discovery),
         seed=seed,
         settings=settings,
         known=file.known,
@@ -320,33 +320,33 @@
         tenants=_index([t.Name for t in names.Tenants]),
         zones=_index(names.Zones),
         kinds=_index(names.Skus),
-        idle_ms=names.Limits.ConnIdleMs,
+        endpoint_idle_ms=names.Limits.ConnIdleMs,
         connect_timeout_ms=names.Limits.ConnectTimeoutMs,
         limits=file.limits,
-        resumes=names.Specifics.Resume,
-        load_probes=names.Stats.Via != "off",
+        resumes_streams=names.Specifics.Resume,
+        probes_fetch_load=names.Stats.Via != "off",
         max_inbound=inbound,
         max_outbound=outbound,
-        max_held=int(file.limits.memory_mb * 1024 * 1024 / 4),
-        control=address("control", file.control) if file.control else None,
+        max_held_bytes=int(file.limits.memory_mb * 1024 * 1024 / 4),
+        control=parse_address("control", file.control) if file.control else None,
     )
 
 
-def reserved(control: bool) -> int:
+def reserved_descriptors(control: bool) -> int:
     """Descriptors that no connection of clients or to endpoints may take; `control`: operators call."""
-    return RESERVED + RESERVED_CONTROL * control
+    return RESERVED_DESCRIPTORS + CONTROL_DESCRIPTORS * control
 
 
-def share_out(descriptors: int, control: bool) -> tuple[int, int]:
+def split_connections(descriptors: int, control: bool) -> tuple[int, int]:
     """How many connections clients may hold, and how many there may be to endpoints.
 
     Each side has its half, so that neither can take what the other needs; a side has 4 at least.
     """
-    spare = max(8, descriptors - reserved(control))
+    spare = max(8, descriptors - reserved_descriptors(control))
     return spare // 2, spare - spare // 2
 
 
-def within(config: Config, allowed: int, held: int) -> Config:
+def fit_descriptors(config: Config, allowed: int, held: int) -> Config:
     """The configuration for a process that may hold `allowed` descriptors and held `held` as it started.
 
     ConfigError where that leaves too few.
@@ -354,7 +354,7 @@
     own = min(config.limits.sockets, allowed) - max(0, held - AT_START)
     if own < MIN_SOCKETS:
         raise TooFewDescriptors("limits.sockets", f"{own} left, {MIN_SOCKETS} are needed")
-    inbound, outbound = share_out(own, config.control is not None)
+    inbound, outbound = split_connections(own, config.control is not None)
     return replace(config, max_inbound=inbound, max_outbound=outbound)
 
 
@@ -387,8 +387,8 @@
     """The configuration that the environment names."""
     config = parse(read(environment))
     if config.control is None and environment.get(CONTROL):
-        inbound, outbound = share_out(config.limits.sockets, True)
-        control = address(CONTROL, environment[CONTROL])
+        inbound, outbound = split_connections(config.limits.sockets, True)
+        control = parse_address(CONTROL, environment[CONTROL])
         return replace(config, control=control, max_inbound=inbound, max_outbound=outbound)
     return config
 
--- a/spoolbarrow/door/keeper.py
+++ b/spoolbarrow/door/keeper.py
@@ -19,7 +19,7 @@
 from spoolbarrow.door.gate import Caller, Gate, Told, no_header, weights
 from spoolbarrow.net.host import Host
 from spoolbarrow.net.log import log, unexpected
-from spoolbarrow.operator import DoorTable, number_of
+from spoolbarrow.operator import DoorTable, index_of
 from spoolbarrow.router import Router
 
 TICKET = "X-Come-Back"
@@ -34,7 +34,7 @@
         self.table = table
         found = list(weights(config.settings))
         for name, weight in table.weights.items():
-            found[number_of(config.tenants, name, f"door.weights.{name}")] = weight
+            found[index_of(config.tenants, name, f"door.weights.{name}")] = weight
         self.settings = d.Settings(
             weights=tuple(found), retry_share=table.retry_share, retry_window_ms=table.retry_window_ms,
             promised_share=table.promised_share, slot_ms=table.slot_ms, grace_ms=table.grace_ms,
--- a/spoolbarrow/errors.py
+++ b/spoolbarrow/errors.py
@@ -32,7 +32,7 @@
             self.remedy = remedy
 
 
-class Defect(Problem):
+class InternalError(Problem):
     """A fault of this program, which nothing foresaw."""
 
     where = "the part that ran into it"
--- a/spoolbarrow/flows/collector.py
+++ b/spoolbarrow/flows/collector.py
@@ -155,10 +155,10 @@
 
     What a torn tail leaves whole is read; then a FlowError tells where the file ends.
     """
-    from spoolbarrow.spool import contents  # its package is needed for files alone
+    from spoolbarrow.spool import read_spool_file  # its package is needed for files alone
 
     session, buffer = Session(enterprise), bytearray()
-    data, torn = contents(path)
+    data, torn = read_spool_file(path)
     buffer += data
     for message in split(buffer):
         yield session.read(message, 0.0)
--- a/spoolbarrow/flows/exporter.py
+++ b/spoolbarrow/flows/exporter.py
@@ -34,7 +34,7 @@
 from spoolbarrow.net.log import log, unexpected
 from spoolbarrow.net.request import Request
 from spoolbarrow.net.taps import Observer, Opened, Side, Why
-from spoolbarrow.operator import FlowsTable, collectors
+from spoolbarrow.operator import FlowsTable, parse_collectors
 
 LOOK_S = 0.1  # between looks at which connections' time-outs have passed
 LOOKS_AT_ONCE = 64  # connections read before the others get a turn
@@ -56,7 +56,7 @@
 
     def __init__(self, table: FlowsTable) -> None:
         self.table = table
-        self.collectors = collectors(table)
+        self.collectors = parse_collectors(table)
         self.tls = _tls(table) if any(c.kind == "tls" for c in self.collectors) else None
         for collector in self.collectors:
             if collector.kind == "file" and not os.access(collector.directory, os.W_OK | os.X_OK):
--- a/spoolbarrow/flows/files.py
+++ b/spoolbarrow/flows/files.py
@@ -57,7 +57,7 @@
 
     def apply(self, table: FlowsTable, tls: Any = None) -> None:
         """Go by other settings."""
-        self._table, self._spool.keep = table, table.file_keep
+        self._table, self._spool.max_files = table, table.file_keep
         self.queue.resize(table.queue_records, table.queue_bytes)
 
     def close(self, within_s: float) -> None:
@@ -70,7 +70,7 @@
     def _run(self) -> None:
         threads = gevent.get_hub().threadpool
         try:
-            threads.apply(self._spool.tidy)
+            threads.apply(self._spool.set_aside_leftovers)
         except OSError as error:
             log("collector_lost", collector=str(self.collector), why=str(error), waiting=len(self.queue))
         while True:
@@ -78,7 +78,7 @@
                 self._woken.clear()
                 while self.queue.first(1):
                     self._write_some(threads)
-                old = now_ms() - self._spool.begun_ms >= self._table.file_ms
+                old = now_ms() - self._spool.opened_ms >= self._table.file_ms
                 if old or self._end.is_set():
                     threads.apply(self._spool.complete)
                 self._failed = False
@@ -102,7 +102,7 @@
 
     def _write_some(self, threads: Any) -> None:
         messages: list[bytes] = []
-        if not self._spool.open:
+        if not self._spool.is_open:
             messages += self._begin()
         if now_ms() - self._statistics_at >= STATISTICS_MS:
             told = self._statistics(self.stream, self.queue)
@@ -118,7 +118,7 @@
         except BaseException:
             self.queue.put_back(taken)  # the file that has them, torn, is put aside
             raise
-        if self._spool.size >= self._table.file_bytes:
+        if self._spool.size_bytes >= self._table.file_bytes:
             threads.apply(self._spool.complete)
 
     def _begin(self) -> list[bytes]:
--- a/spoolbarrow/handover.py
+++ b/spoolbarrow/handover.py
@@ -2,7 +2,7 @@
 
 Owns the files in `$TMPDIR/spoolbarrow/` and who of those there lives. Each process writes only its own files,
 whole or not at all; a lock that it holds for life says that it is there. What the words and the state mean is
-for `admin.words` and `admin.state` to know; nothing here is imported where operators call nowhere and no
+for `admin.overrides` and `admin.state` to know; nothing here is imported where operators call nowhere and no
 socket is inherited.
 """
 
@@ -20,7 +20,7 @@
 from gevent import socket
 from msgspec.structs import replace
 
-from spoolbarrow.config import INHERITED, Config, ConfigError, reserved, share_out
+from spoolbarrow.config import INHERITED_FD_VARIABLE, Config, ConfigError, reserved_descriptors, split_connections
 from spoolbarrow.errors import Problem
 from spoolbarrow.net.accepting import next_connection
 from spoolbarrow.net.clock import unix_offset_s
@@ -47,25 +47,25 @@
 class NotInherited(ConfigError):
     """What the process was started with is no listening TCP socket."""
 
-    where = INHERITED
-    remedy = f"Start it with the older process's listening socket, and have {INHERITED} name its descriptor."
+    where = INHERITED_FD_VARIABLE
+    remedy = f"Start it with the older process's listening socket, and have {INHERITED_FD_VARIABLE} name its descriptor."
 
 
 def inherited(environment: Mapping[str, str] = os.environ) -> socket.socket | None:
     """The listening socket that the environment names, if it does; ConfigError where it is none."""
-    text = environment.get(INHERITED)
+    text = environment.get(INHERITED_FD_VARIABLE)
     if text is None:
         return None
     if not (text.isascii() and text.isdigit()):
-        raise NotInherited(f"{INHERITED}: {text!r} is not the number of a descriptor")
+        raise NotInherited(f"{INHERITED_FD_VARIABLE}: {text!r} is not the number of a descriptor")
     try:
         listener = socket.socket(fileno=int(text))
     except (OSError, OverflowError) as error:
-        raise NotInherited(f"{INHERITED}: {text} is no socket: {error}") from None
+        raise NotInherited(f"{INHERITED_FD_VARIABLE}: {text} is no socket: {error}") from None
     listens = listener.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN)
     if not listens or (listener.family, listener.type) != (socket.AF_INET, socket.SOCK_STREAM):
         listener.detach()
-        raise NotInherited(f"{INHERITED}: {text} is no listening TCP socket")
+        raise NotInherited(f"{INHERITED_FD_VARIABLE}: {text} is no listening TCP socket")
     return listener
 
 
@@ -306,13 +306,13 @@
             return config
         # Each keeps a whole reserve for itself: together they hold no more than one alone.
         control = config.control is not None
-        both = config.max_inbound + config.max_outbound + reserved(control)
-        inbound, outbound = share_out(both // 2, control)
+        both = config.max_inbound + config.max_outbound + reserved_descriptors(control)
+        inbound, outbound = split_connections(both // 2, control)
         return replace(
             config,
             max_inbound=inbound,
             max_outbound=outbound,
-            max_held=config.max_held // 2,
+            max_held_bytes=config.max_held_bytes // 2,
         )
 
     def close(self) -> None:
--- a/spoolbarrow/lab/members.py
+++ b/spoolbarrow/lab/members.py
@@ -15,8 +15,8 @@
 from pathlib import Path
 from typing import Any
 
-from spoolbarrow.cli.calls import Answer, call
-from spoolbarrow.cli.faults import NoAnswer
+from spoolbarrow.cli.http_client import Answer, request_json
+from spoolbarrow.cli.errors import NoAnswer
 from spoolbarrow.lab.process import LISTEN, Process, free_ports
 
 COUNT = 3
@@ -26,7 +26,7 @@
 def ask(address: str, method: str, path: str, body: bytes = b"") -> Answer:
     """What a member answers; status 0 where it does not."""
     try:
-        return call(address, method, path, body)
+        return request_json(address, method, path, body)
     except NoAnswer as error:
         return Answer(0, {"error": str(error)})
 
--- a/spoolbarrow/net/agreement.py
+++ b/spoolbarrow/net/agreement.py
@@ -31,7 +31,7 @@
     for key in OWN:
         del settings[key]
     names = {key: getattr(config, key) for key in ("classes", "zones", "kinds")}
-    rest = [settings, names, to_builtins(config.options), config.resumes, config.load_probes]
+    rest = [settings, names, to_builtins(config.options), config.resumes_streams, config.probes_fetch_load]
     return {
         Item.SETTINGS: digest(rest),
         Item.SHARES: digest([shares, config.tenants]),
--- a/spoolbarrow/net/client.py
+++ b/spoolbarrow/net/client.py
@@ -336,7 +336,7 @@
         self._arrivals.read(was_reading, len(parser.whole) - had)
         if parser.cut_short and parser.fault is not None:
             return self._take_back(parser.fault)
-        if parser.reading and parser.fault is None and self.inbound.held > self.inbound.config.max_held:
+        if parser.reading and parser.fault is None and self.inbound.held > self.inbound.config.max_held_bytes:
             # Guards the memory: bodies that never become whole count as well. The requests before it are
             # as good as ever: refused in their place, one that may have run would be sent again.
             parser.refuse(Fault(503, "no room", b"Retry-After: 1"))
--- a/spoolbarrow/net/connection_pool.py
+++ b/spoolbarrow/net/connection_pool.py
@@ -83,7 +83,7 @@
         """Go by a new configuration."""
         self._config = config
         # Guards against writing to a connection just as the endpoint closes it for idleness.
-        self._idle_ms = config.idle_ms - min(2000.0, 0.2 * config.idle_ms)
+        self._idle_ms = config.endpoint_idle_ms - min(2000.0, 0.2 * config.endpoint_idle_ms)
 
     def take(self, endpoint: str) -> Connection:
         """An idle connection, else a new one; OSError where none comes up, Shortage where none can be had."""
--- a/spoolbarrow/net/destinations.py
+++ b/spoolbarrow/net/destinations.py
@@ -14,7 +14,7 @@
 from msgspec.structs import replace
 
 from spoolbarrow import interface as i
-from spoolbarrow.config import Address, Config, ConfigError, HostList, ListEntry, address
+from spoolbarrow.config import Address, Config, ConfigError, HostList, ListEntry, parse_address
 from spoolbarrow.errors import Problem
 from spoolbarrow.net.discovery_watch import DiscoveryWatch
 from spoolbarrow.net.log import log
@@ -133,7 +133,7 @@
 
     def _set_aside(self, entry: ListEntry) -> None:
         try:
-            where = address("address", entry.address)
+            where = parse_address("address", entry.address)
         except ConfigError:
             self._aside.pop(entry.name, None)
             return
@@ -348,7 +348,7 @@
     def _accepts(self, entry: ListEntry, live: bool) -> bool:
         """Keep what a line says, which may be live news; one that can't be used is logged and left out."""
         try:
-            listens = address("address", entry.address)
+            listens = parse_address("address", entry.address)
         except ConfigError:
             listens = None
         if entry.status not in STATES or listens is None:
--- a/spoolbarrow/net/diagnostics.py
+++ b/spoolbarrow/net/diagnostics.py
@@ -9,7 +9,7 @@
 
 from typing import ClassVar
 
-from spoolbarrow.errors import Defect, Problem
+from spoolbarrow.errors import InternalError, Problem
 
 
 class Diagnostic(Problem):
@@ -48,7 +48,7 @@
 
     event, level = "unexpected", "error"
     where = "`where`: the part that ran into it"
-    remedy = Defect.remedy
+    remedy = InternalError.remedy
 
 
 class Overdue(Diagnostic):
--- a/spoolbarrow/net/drain_schedule.py
+++ b/spoolbarrow/net/drain_schedule.py
@@ -89,20 +89,20 @@
     keep, move = until(options.drain_keep_ms), until(options.drain_move_ms)
     if succeeded:
         keep = min(keep, until(SUCCEEDED_KEEP_MS))
-    elif not config.resumes:
+    elif not config.resumes_streams:
         # Nobody asks for the rest of a stream that SIGKILL cuts off: what is taken must be whole by then.
         keep = min(keep, options.drain_accept_ms)
     answer = until(options.drain_answer_ms)
     steps = {
         Step.END_ANSWERS: keep,
-        Step.REFUSE: min(answer, move if succeeded or config.resumes else keep),
+        Step.REFUSE: min(answer, move if succeeded or config.resumes_streams else keep),
         Step.REFUSE_HALF_READ: answer,
         Step.ANSWER_ALL: answer,
         Step.CLOSE_ALL: until(LONGEST_MS + KILL_MARGIN_MS),
     }
     if not succeeded:
         steps[Step.CLOSE_IDLE] = keep  # else idle connections pass on as long as they are taken
-    if config.resumes:
+    if config.resumes_streams:
         steps[Step.MOVE_STREAMS] = move
     return DrainSchedule(steps, accept, until(PASS_MS), _retry_after(config))
 
--- a/spoolbarrow/net/drainer.py
+++ b/spoolbarrow/net/drainer.py
@@ -70,7 +70,7 @@
 
     def pass_nothing_more(self) -> None:
         """The newer process takes no idle connection any more."""
-        self.state.pass_nothing_more(self._listener.host.now(), self._listener.config.resumes)
+        self.state.pass_nothing_more(self._listener.host.now(), self._listener.config.resumes_streams)
 
     def close(self) -> None:
         """Carry out nothing more."""
--- a/spoolbarrow/net/endpoint.py
+++ b/spoolbarrow/net/endpoint.py
@@ -291,7 +291,7 @@
         try:
             if self._destinations.suspended(endpoint):  # perhaps while the connection came up
                 return i.Outcome.MOOT, None
-            path = b"/metrics/load" if self._config.load_probes else b"/alive"
+            path = b"/metrics/load" if self._config.probes_fetch_load else b"/alive"
             http1.send_pieces(connection.sock, http1.get_pieces(path, connection.address))
             parser, body = http1.ResponseParser(self._config.options.max_head), b""
             while not parser.whole:
--- a/spoolbarrow/net/follow.py
+++ b/spoolbarrow/net/follow.py
@@ -28,7 +28,7 @@
 from spoolbarrow.net.log import log, unexpected
 from spoolbarrow.net.shared_documents import SharedDocuments
 from spoolbarrow.net.store_client import Document, MemberUnavailable, StoreClient
-from spoolbarrow.operator import PARTS
+from spoolbarrow.operator import FLEET_PARTS
 
 if TYPE_CHECKING:
     from spoolbarrow.net.host import Host
@@ -70,11 +70,11 @@
         self._writer.evidence_ms = table.evidence_ms
         for held in self._parts.values():
             held.set_ttl(table.ttl_s)
-        for kind in PARTS.keys() & self._parts.keys() - set(table.parts):
+        for kind in FLEET_PARTS.keys() & self._parts.keys() - set(table.parts):
             self.remove(kind)
         for kind in table.parts:
             if kind not in self._parts:
-                module, _, name = PARTS[kind].partition(":")
+                module, _, name = FLEET_PARTS[kind].partition(":")
                 self.add(getattr(import_module(module), name)(self._router))
         for held in self._parts.values():
             held.watch(self._host, table)
--- a/spoolbarrow/net/overflow.py
+++ b/spoolbarrow/net/overflow.py
@@ -1,7 +1,7 @@
 """Clients for which there is no room: each is told so at once, and its connection ends cleanly.
 
 Owns connections that were accepted and become no client's. They come out of the descriptors set aside for
-them (`config.RESERVED`), so that to be told costs nobody else's place.
+them (`config.RESERVED_DESCRIPTORS`), so that to be told costs nobody else's place.
 """
 
 from __future__ import annotations
--- a/spoolbarrow/net/request_admission.py
+++ b/spoolbarrow/net/request_admission.py
@@ -116,7 +116,7 @@
         return refusal
     settings = inbound.config.settings
     # Guards against running out of memory or over what the platform allows to be open at once.
-    if inbound.held > inbound.config.max_held or host.open_requests() >= settings.max_open:
+    if inbound.held > inbound.config.max_held_bytes or host.open_requests() >= settings.max_open:
         log("no_room", held=inbound.held, open=host.open_requests())
         return settings.max_retry_after_ms
     return None
--- a/spoolbarrow/net/store_client.py
+++ b/spoolbarrow/net/store_client.py
@@ -16,7 +16,7 @@
 import msgspec
 from msgspec import Struct
 
-from spoolbarrow.config import Address, address
+from spoolbarrow.config import Address, parse_address
 from spoolbarrow.net import http1
 from spoolbarrow.net.log import log
 
@@ -82,7 +82,7 @@
     def apply(self, table: FleetTable) -> None:
         """Go by new settings; what is known of members that stay is kept."""
         self._names, self._call_s = table.members, table.call_ms / 1000
-        self._members = [address("fleet.members", text) for text in table.members]
+        self._members = [parse_address("fleet.members", text) for text in table.members]
         self._next_read = self._next_write = self._random.randrange(len(self._members))
 
     def tell(self) -> dict[str, str]:
--- a/spoolbarrow/operator.py
+++ b/spoolbarrow/operator.py
@@ -18,15 +18,15 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from spoolbarrow.config import ConfigError, address, find_faults
+from spoolbarrow.config import ConfigError, parse_address, find_faults
 
-VARIABLE = "SPOOLBARROW_OPERATOR"
+FILE_VARIABLE = "SPOOLBARROW_OPERATOR"
 ENVIRONMENT = {
     "SPOOLBARROW_LOG_LEVEL": ("log", "level"),
     "SPOOLBARROW_LOG_FORMAT": ("log", "format"),
     "SPOOLBARROW_FLOWS_COLLECTORS": ("flows", "collectors"),  # separated by blanks
 }
-NAME_A_FILE = f"Have {VARIABLE} (or `--operator`) name a file that this user can read."
+NAME_A_FILE = f"Have {FILE_VARIABLE} (or `--operator`) name a file that this user can read."
 WRITE_TOML = "Put the line that is named right: the file is TOML, as deploy/operator.toml."
 LISTS = frozenset({("flows", "collectors")})
 
@@ -171,7 +171,7 @@
     """`[fleet]`: the store's members, and what is decided in common (docs/operators/fleet.md)."""
 
     members: Annotated[list[str], Meta(min_length=1, max_length=9)]  # HOST:PORT of their control listeners
-    parts: list[str] = []  # what is decided for all, by name: PARTS
+    parts: list[str] = []  # what is decided for all, by name: FLEET_PARTS
     within_s: Positive = 10.0  # past this without word, the safer of the two versions known
     ttl_s: Positive = 10.0  # of a decision without word; a lease lives half as long
     period_ms: Annotated[float, Meta(ge=50)] = 1000.0  # how often the store is asked
@@ -181,7 +181,7 @@
     only_write: list[str] = []
 
 
-PARTS = {  # by name: module and class, loaded where it is on
+FLEET_PARTS = {  # by name: module and class, loaded where it is on
     "roll": "spoolbarrow.fleet.roll:Roll",
     "pools": "spoolbarrow.net.pools:Split",
 }
@@ -192,14 +192,14 @@
     found = []
     for n, text in enumerate(table.members):
         try:
-            address(f"fleet.members[{n}]", text)
+            parse_address(f"fleet.members[{n}]", text)
         except ConfigError as error:
             found.append(error)
         if text in table.members[:n]:
             found.append(ConfigError(f"fleet.members[{n}]", f"{text} is named twice"))
     for n, name in enumerate(table.parts):
-        if name not in PARTS or name in table.parts[:n]:
-            why = f"{name!r} is none of {', '.join(PARTS)}, or named twice"
+        if name not in FLEET_PARTS or name in table.parts[:n]:
+            why = f"{name!r} is none of {', '.join(FLEET_PARTS)}, or named twice"
             found.append(ConfigError(f"fleet.parts[{n}]", why))
     for n, name in enumerate(table.only_write):
         if name in table.only_read:
@@ -238,14 +238,14 @@
         return f"{self.kind}://{host}:{self.port}"
 
 
-def number_of(names: Mapping[str, int], name: str, key: str) -> int:
+def index_of(names: Mapping[str, int], name: str, key: str) -> int:
     """A tenant's or class's number by its name; ConfigError, naming the key, where there is none of it."""
     if name not in names:
         raise ConfigError(f"{key}: {name!r} is none of {', '.join(names)}")
     return names[name]
 
 
-def collector(key: str, text: str) -> Collector:
+def parse_collector(key: str, text: str) -> Collector:
     """The collector that a text names; ConfigError where it names none.
 
     Addresses are numbers: to look a name up could hold the program up, and may not be possible.
@@ -266,9 +266,9 @@
     return Collector(kind, str(ip), int(port))
 
 
-def collectors(flows: FlowsTable) -> list[Collector]:
+def parse_collectors(flows: FlowsTable) -> list[Collector]:
     """The collectors of a table, in its order; ConfigError names the one at fault."""
-    found = [collector(f"flows.collectors[{n}]", text) for n, text in enumerate(flows.collectors)]
+    found = [parse_collector(f"flows.collectors[{n}]", text) for n, text in enumerate(flows.collectors)]
     for n, one in enumerate(found):
         if one in found[:n]:
             raise ConfigError(f"flows.collectors[{n}]: {one} is named twice")
@@ -294,14 +294,14 @@
 def read(environment: Mapping[str, str] = os.environ) -> tuple[Operator, list[ConfigError]]:
     """The operator's settings and all faults in them; with a fault, the settings are the defaults."""
     raw: dict[str, Any] = {}
-    path = environment.get(VARIABLE)
+    path = environment.get(FILE_VARIABLE)
     if path:
         try:
             raw = tomllib.loads(Path(path).read_text("utf-8"))
         except OSError as error:
-            return Operator(), [ConfigError(VARIABLE, f"{path}: {error.strerror}", NAME_A_FILE)]
+            return Operator(), [ConfigError(FILE_VARIABLE, f"{path}: {error.strerror}", NAME_A_FILE)]
         except (tomllib.TOMLDecodeError, UnicodeDecodeError) as error:
-            return Operator(), [ConfigError(VARIABLE, f"{path}: {error}", WRITE_TOML)]
+            return Operator(), [ConfigError(FILE_VARIABLE, f"{path}: {error}", WRITE_TOML)]
     for variable, (table, key) in ENVIRONMENT.items():
         if (told := environment.get(variable)) is not None:
             inner = raw.setdefault(table, {})
@@ -313,7 +313,7 @@
     operator = msgspec.convert(raw, Operator)
     try:
         if operator.flows is not None:
-            collectors(operator.flows)
+            parse_collectors(operator.flows)
         if operator.failover is not None and operator.failover.hold_most_ms < operator.failover.hold_ms:
             raise ConfigError("failover.hold_most_ms: less than failover.hold_ms")
         if operator.fleet is not None and (faults := fleet_faults(operator.fleet)):
@@ -335,4 +335,4 @@
 
 def named(environment: Mapping[str, str] = os.environ) -> bool:
     """Whether there is anything of the operator's to read."""
-    return bool(environment.get(VARIABLE)) or any(name in environment for name in ENVIRONMENT)
+    return bool(environment.get(FILE_VARIABLE)) or any(name in environment for name in ENVIRONMENT)
--- a/spoolbarrow/reload.py
+++ b/spoolbarrow/reload.py
@@ -21,14 +21,14 @@
 from spoolbarrow.subsystems import Prepared, Subsystems
 
 if TYPE_CHECKING:
-    from spoolbarrow.admin.operations import Operations
+    from spoolbarrow.admin.coordinator import Coordinator
     from spoolbarrow.agree import Item
     from spoolbarrow.operator import Operator
 
 OPERATOR = "SPOOLBARROW_"  # what begins so in the environment is the operator's
 
 
-class Draining(Problem):
+class RouterDraining(Problem):
     """Files are to be adopted by a router that is ending."""
 
     remedy = "Say it to the process that takes its place, which reads the files as they are when it starts."
@@ -49,7 +49,7 @@
     return operator.load()
 
 
-class Descriptors:
+class DescriptorLimit:
     """What this process may hold: its own limit counts where it is lower than the platform's."""
 
     def __init__(self) -> None:
@@ -66,7 +66,7 @@
         if 0 <= soft < wanted:
             resource.setrlimit(resource.RLIMIT_NOFILE, (wanted, hard))
             soft = wanted
-        return config.within(settings, settings.limits.sockets if soft < 0 else soft, self._held)
+        return config.fit_descriptors(settings, settings.limits.sockets if soft < 0 else soft, self._held)
 
 
 class FilesRead(Struct, frozen=True):
@@ -81,7 +81,7 @@
     """Has the router go by its files."""
 
     def __init__(
-        self, host: Host, inbound: Inbound, operations: Operations | None, descriptors: Descriptors
+        self, host: Host, inbound: Inbound, operations: Coordinator | None, descriptors: DescriptorLimit
     ) -> None:
         self._host, self._inbound, self._operations = host, inbound, operations
         self._descriptors = descriptors
@@ -122,7 +122,7 @@
         with self.changing:
             if self._inbound.drainer.state.ends():
                 log("reload_ignored", why="draining")
-                return Draining("", "draining")
+                return RouterDraining("", "draining")
             try:
                 self._act_on_files(wanted)
             except config.ConfigError as error:
--- a/spoolbarrow/serve.py
+++ b/spoolbarrow/serve.py
@@ -14,22 +14,22 @@
 from spoolbarrow.net.host import Host
 from spoolbarrow.net.inbound import Inbound
 from spoolbarrow.net.log import log, refused, standard
-from spoolbarrow.reload import Descriptors, Reloader, operators
+from spoolbarrow.reload import DescriptorLimit, Reloader, operators
 
 if TYPE_CHECKING:
-    from spoolbarrow.admin.operations import Operations
+    from spoolbarrow.admin.coordinator import Coordinator
 
 TIDY_S = 2.0
 
 
-def start(host: Host, inbound: Inbound, operations: Operations | None) -> None:
+def start(host: Host, inbound: Inbound, operations: Coordinator | None) -> None:
     """Listen and begin to decide; CannotListen where an address can't be had."""
     try:
         if operations is None:
             inbound.start()
             host.start()
         else:
-            inbound.start(operations.inherited, operations.alone())
+            inbound.start(operations.inherited_socket, operations.is_oldest())
             operations.start(host, inbound)
     except OSError as error:
         raise config.CannotListen("listen", str(error)) from error
@@ -38,14 +38,14 @@
 def main() -> int:
     """Serve until SIGTERM, then finish what was taken."""
     signal.signal(signal.SIGHUP, signal.SIG_IGN)  # it must not end a program that is not up yet
-    operations: Operations | None = None
-    descriptors = Descriptors()
+    operations: Coordinator | None = None
+    descriptors = DescriptorLimit()
     try:
         settings, operator = descriptors.fit(config.load()), operators()
-        if settings.control is not None or config.INHERITED in os.environ:
-            from spoolbarrow.admin.operations import Operations
+        if settings.control is not None or config.INHERITED_FD_VARIABLE in os.environ:
+            from spoolbarrow.admin.coordinator import Coordinator
 
-            operations = Operations(settings)
+            operations = Coordinator(settings)
             settings = operations.fit(settings)
     except config.ConfigError as error:
         refused("bad_config", error)
--- a/spoolbarrow/shadow/copier.py
+++ b/spoolbarrow/shadow/copier.py
@@ -20,7 +20,7 @@
 from gevent.socket import socket
 
 from spoolbarrow import interface as i
-from spoolbarrow.config import Address, CannotWrite, Config, ConfigError, address
+from spoolbarrow.config import Address, CannotWrite, Config, ConfigError, parse_address
 from spoolbarrow.net import http1
 from spoolbarrow.net.endpoint import NOT_RUN, STREAM
 from spoolbarrow.net.host import Host
@@ -28,7 +28,7 @@
 from spoolbarrow.net.log import log, unexpected
 from spoolbarrow.net.request import Attempt, Request
 from spoolbarrow.net.taps import Observer
-from spoolbarrow.operator import ShadowTable, number_of
+from spoolbarrow.operator import ShadowTable, index_of
 from spoolbarrow.shadow import decide
 from spoolbarrow.shadow.reading import Reading
 from spoolbarrow.spool import Spool
@@ -54,10 +54,10 @@
         self.table = table
         self.limits = _limits(table, config)
         self.key = _key(table)
-        self.texts = frozenset(number_of(config.tenants, name, "shadow.text_for") for name in table.text_for)
+        self.texts = frozenset(index_of(config.tenants, name, "shadow.text_for") for name in table.text_for)
         self.addresses = {}
         for n, text in enumerate(table.candidates):
-            self.addresses[text] = address(f"shadow.candidates[{n}]", text)
+            self.addresses[text] = parse_address(f"shadow.candidates[{n}]", text)
         if table.in_flight > config.max_outbound // DESCRIPTORS_SHARE:
             raise ConfigError(f"shadow.in_flight: more than {config.max_outbound // DESCRIPTORS_SHARE} here")
         if table.directory and not os.access(table.directory, os.W_OK | os.X_OK):
@@ -81,19 +81,19 @@
 
 def _limits(table: ShadowTable, config: Config) -> decide.Limits:
     repeatable = {n for n, cls in enumerate(config.settings.classes) if cls.effect is i.Effect.SAFE}
-    allowed = {number_of(config.classes, name, "shadow.classes") for name in table.classes} or repeatable
+    allowed = {index_of(config.classes, name, "shadow.classes") for name in table.classes} or repeatable
     if not allowed <= repeatable:
         raise ConfigError("shadow.classes: only classes that may be repeated can be copied")
-    denied = {number_of(config.classes, name, "shadow.not_classes") for name in table.not_classes}
-    tenants = {number_of(config.tenants, name, "shadow.tenants") for name in table.tenants}
-    refused = {number_of(config.tenants, name, "shadow.not_tenants") for name in table.not_tenants}
+    denied = {index_of(config.classes, name, "shadow.not_classes") for name in table.not_classes}
+    tenants = {index_of(config.tenants, name, "shadow.tenants") for name in table.tenants}
+    refused = {index_of(config.tenants, name, "shadow.not_tenants") for name in table.not_tenants}
     everyone = tenants or set(config.tenants.values()) or {0}
     shares: dict[tuple[int, int], float] = {}
     for n, told in enumerate(table.shares):
         key = f"shadow.shares[{n}]"
         name = told.cls
-        classes = [number_of(config.classes, name, f"{key}.class")] if name else config.classes.values()
-        of = [number_of(config.tenants, told.tenant, f"{key}.tenant")] if told.tenant else everyone
+        classes = [index_of(config.classes, name, f"{key}.class")] if name else config.classes.values()
+        of = [index_of(config.tenants, told.tenant, f"{key}.tenant")] if told.tenant else everyone
         shares |= {(cls, tenant): told.share for cls in classes for tenant in of}
     return decide.Limits(
         share=table.share,
@@ -466,7 +466,7 @@
 
     def _run(self) -> None:
         apply: Callable[..., Any] = gevent.get_hub().threadpool.apply
-        self._try(partial(apply, self._spool.tidy))
+        self._try(partial(apply, self._spool.set_aside_leftovers))
         while True:
             self._woken.clear()
             while self._lines:
@@ -475,9 +475,9 @@
                 self._held -= len(data)
                 if not self._try(partial(apply, self._spool.append, (data,))):
                     self._try(partial(apply, self._spool.abandon))
-                if self._spool.size >= self._file_bytes:
+                if self._spool.size_bytes >= self._file_bytes:
                     self._try(partial(apply, self._spool.complete))
-            old = time.time() * 1000.0 - self._spool.begun_ms >= self._file_ms
+            old = time.time() * 1000.0 - self._spool.opened_ms >= self._file_ms
             if old or self._end.is_set():
                 self._try(partial(apply, self._spool.complete))
             # Guards against a line that came while the thread was at the file: it was lost at the end.
--- a/spoolbarrow/spool.py
+++ b/spoolbarrow/spool.py
@@ -21,17 +21,17 @@
 class Spool:
     """The files of one directory with one ending; OSError where the disk fails."""
 
-    def __init__(self, directory: Path, ending: str, keep: int) -> None:
-        self._directory, self._ending, self.keep = directory, ending, keep
+    def __init__(self, directory: Path, ending: str, max_files: int) -> None:
+        self._directory, self._ending, self.max_files = directory, ending, max_files
         self._packer = zstandard.ZstdCompressor(level=3)
         self._file: int | None = None
         self._path = directory
         self._count = 0
-        self.size = 0  # bytes of the file under way
-        self.begun_ms = 0.0  # Unix time
+        self.size_bytes = 0  # bytes of the file under way
+        self.opened_ms = 0.0  # Unix time
 
     @property
-    def open(self) -> bool:
+    def is_open(self) -> bool:
         """Whether a file is under way."""
         return self._file is not None
 
@@ -39,19 +39,19 @@
         """Write one frame, to a new file where none is under way."""
         if self._file is None:
             self._count += 1
-            self.begun_ms = time.time() * 1000.0
-            stamp = time.strftime("%Y%m%dT%H%M%S", time.gmtime(self.begun_ms / 1000))
+            self.opened_ms = time.time() * 1000.0
+            stamp = time.strftime("%Y%m%dT%H%M%S", time.gmtime(self.opened_ms / 1000))
             self._path = self._directory / f"{stamp}-{os.getpid()}-{self._count:05d}{self._ending}{PART}"
             self._file = os.open(self._path, os.O_WRONLY | os.O_CREAT | os.O_EXCL, 0o640)
-            self.size = 0
+            self.size_bytes = 0
         frame = self._packer.compress(data)
         while frame:
             done = os.write(self._file, frame)
-            self.size += done
+            self.size_bytes += done
             frame = frame[done:]
 
     def complete(self) -> None:
-        """The file under way is whole: on the disk, and under its name; the oldest over `keep` go."""
+        """The file under way is whole: on the disk, and under its name; the oldest over `max_files` go."""
         if self._file is None:
             return
         os.fsync(self._file)
@@ -60,7 +60,7 @@
         os.rename(self._path, self._path.with_suffix(""))
         endings = (self._ending, self._ending + TORN)
         kept = sorted(path for path in self._directory.iterdir() if path.name.endswith(endings))
-        for old in kept[: -self.keep]:
+        for old in kept[: -self.max_files]:
             old.unlink(missing_ok=True)
 
     def abandon(self) -> None:
@@ -70,7 +70,7 @@
             self._file = None
             self._path.rename(self._path.with_suffix(TORN))
 
-    def tidy(self) -> None:
+    def set_aside_leftovers(self) -> None:
         """Put aside what an earlier run left unfinished; another one's that still runs is left alone."""
         for part in self._directory.glob(f"*{self._ending}{PART}"):
             owner = part.name.split("-")[1]
@@ -79,7 +79,7 @@
                 part.rename(part.with_suffix(TORN))
 
 
-def contents(path: Path) -> tuple[bytes, bool]:
+def read_spool_file(path: Path) -> tuple[bytes, bool]:
     """A file's bytes, unpacked as far as whole frames go, and whether it is torn; plain files as they are."""
     raw = path.read_bytes()
     if not raw.startswith(MAGIC):
--- a/spoolbarrow/store/callers.py
+++ b/spoolbarrow/store/callers.py
@@ -17,7 +17,7 @@
 from msgspec import Struct
 
 from spoolbarrow.config import Address
-from spoolbarrow.errors import Defect
+from spoolbarrow.errors import InternalError
 from spoolbarrow.net import http1
 from spoolbarrow.net.log import unexpected
 from spoolbarrow.store.faults import BadCall, BadDocument, StoreFault
@@ -68,7 +68,7 @@
             status, told = error.answer, {"error": str(error), "remedy": error.remedy, **error.told}
         except Exception as error:
             unexpected("store", error)
-            status, told = 500, {"error": "internal error", "remedy": Defect.remedy}
+            status, told = 500, {"error": "internal error", "remedy": InternalError.remedy}
         text = orjson.dumps(told)
         headers = [("Content-Type", "application/json"), ("Content-Length", str(len(text)))]
         start(f"{status} {HTTPStatus(status).phrase}", [*headers, ("Connection", "close")])
--- a/spoolbarrow/subsystems.py
+++ b/spoolbarrow/subsystems.py
@@ -19,7 +19,7 @@
 from spoolbarrow.net.log import standard
 
 if TYPE_CHECKING:
-    from spoolbarrow.admin.operations import Operations
+    from spoolbarrow.admin.coordinator import Coordinator
     from spoolbarrow.door import keeper
     from spoolbarrow.door.keeper import Keeper
     from spoolbarrow.flows import exporter
@@ -83,7 +83,7 @@
 class Subsystems:
     """All subsystems of one router."""
 
-    def __init__(self, host: Host, inbound: Inbound, operations: Operations | None, files: Files) -> None:
+    def __init__(self, host: Host, inbound: Inbound, operations: Coordinator | None, files: Files) -> None:
         self._host, self._inbound, self._operations, self._files = host, inbound, operations, files
         self._operator: Operator | None = None
         self._flows = Switch(self._start_flows, lambda one: gevent.spawn(one.close))  # collectors may be slow
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -24,8 +24,8 @@
 from spoolbarrow.admin import calls, control
 from spoolbarrow.admin.calls import Call, Verb
 from spoolbarrow.admin.control import Control
-from spoolbarrow.admin.figures import Figures
-from spoolbarrow.admin.orders import Orders
+from spoolbarrow.admin.metrics import Metrics
+from spoolbarrow.admin.commands import OperatorCommands
 from spoolbarrow.config import HostList
 from spoolbarrow.net import destinations, drain_schedule, drainer
 from spoolbarrow.net.drain_log import DrainCounts
@@ -57,7 +57,7 @@
     """A router with an operators' listener: (stage, control, call, engines...)."""
     with stage(*scripts, **changes) as (scene, *engines):
         address = (LISTEN, free_port())
-        listener = Control(scene.host, scene.inbound, Orders(scene.host, scene.inbound), lambda: None)
+        listener = Control(scene.host, scene.inbound, OperatorCommands(scene.host, scene.inbound), lambda: None)
         listener.move(control.listen(address))
 
         def call(path: str, method: str = "POST") -> ResponseParser:
@@ -156,7 +156,7 @@
 
 
 def test_every_class_is_told_from_the_start_and_words_unknown_count_nowhere() -> None:
-    made = Figures(["chat", "deep"])
+    made = Metrics(["chat", "deep"])
     made.answered("deep", "left")
     made.answered("nobody", "served")
     assert made.write(1, 2, 3, 4, DrainCounts(5, 6, 7)).splitlines() == [
--- a/tests/test_agree.py
+++ b/tests/test_agree.py
@@ -90,5 +90,5 @@
 )
 def test_faulty_settings_name_their_key(tmp_path: Path, text: str, fault: str) -> None:
     (tmp_path / "operator.toml").write_text(text)
-    _, faults = operator.read({**os.environ, operator.VARIABLE: str(tmp_path / "operator.toml")})
+    _, faults = operator.read({**os.environ, operator.FILE_VARIABLE: str(tmp_path / "operator.toml")})
     assert len(faults) == 1 and str(faults[0]).startswith(fault)
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -15,19 +15,19 @@
 
 from spoolbarrow import __version__, config, operator
 from spoolbarrow.cli import COMMANDS, main, run
-from spoolbarrow.cli.faults import Faulty, NoAnswer
+from spoolbarrow.cli.errors import BadArgument, NoAnswer
 from spoolbarrow.net.http1 import Message
 from tests.stage import LISTEN, Client, Party, make_config, until
 
 ROOT = Path(__file__).resolve().parent.parent
 
 
-def written(path: Path, text: str) -> dict[str, str]:
+def write_operator_file(path: Path, text: str) -> dict[str, str]:
     path.write_text(text)
-    return {operator.VARIABLE: str(path)}
+    return {operator.FILE_VARIABLE: str(path)}
 
 
-def call(*arguments: str) -> tuple[int, str]:
+def invoke(*arguments: str) -> tuple[int, str]:
     done = CliRunner().invoke(main, arguments, standalone_mode=False)
     status = done.return_value if isinstance(done.return_value, int) else done.exit_code
     return status, done.output
@@ -35,21 +35,21 @@
 
 @pytest.mark.parametrize("name", COMMANDS)
 def test_each_command_explains_itself(name: str) -> None:
-    status, output = call(name, "--help")
+    status, output = invoke(name, "--help")
     assert status == 0 and output.startswith("Usage:")
-    assert name in call("--help")[1]
+    assert name in invoke("--help")[1]
 
 
 def test_version_and_completion() -> None:
-    assert __version__ in call("version")[1]
-    assert "_SPOOLBARROW_COMPLETE" in call("completion", "bash")[1]
+    assert __version__ in invoke("version")[1]
+    assert "_SPOOLBARROW_COMPLETE" in invoke("completion", "bash")[1]
 
 
 def test_check_prints_every_fault_of_both_files_with_its_key(tmp_path: Path) -> None:
     raw = make_config([], limits={"sockets": "many", "memory_mb": "much"}, options={"odd_ms": 1})
     (tmp_path / "config.json").write_bytes(msgspec.json.encode(raw))
-    written(tmp_path / "operator.toml", '[log]\nlevel = "loud"\nsize = 3\n[odd]\n')
-    status, output = call(
+    write_operator_file(tmp_path / "operator.toml", '[log]\nlevel = "loud"\nsize = 3\n[odd]\n')
+    status, output = invoke(
         "check", "--config", str(tmp_path / "config.json"), "--operator", str(tmp_path / "operator.toml")
     )
     lines = output.splitlines()
@@ -60,7 +60,7 @@
 
 def test_check_of_sound_files(tmp_path: Path) -> None:
     (tmp_path / "config.json").write_bytes(msgspec.json.encode(make_config([])))
-    status, output = call(
+    status, output = invoke(
         "check", "--config", str(tmp_path / "config.json"), "--operator", str(ROOT / "deploy/operator.toml")
     )
     assert (status, output) == (0, "no faults\n")
@@ -69,7 +69,7 @@
 @pytest.mark.parametrize("text", ["[log", "log = 3", '[log]\nlevel = "\xff"', "[log]\nlevel = 1"])
 def test_a_faulty_operators_file_is_an_error_of_one_line(text: str, tmp_path: Path) -> None:
     with pytest.raises(config.ConfigError) as fault:
-        operator.load(written(tmp_path / "o.toml", text))
+        operator.load(write_operator_file(tmp_path / "o.toml", text))
     assert str(fault.value).startswith(("SPOOLBARROW_OPERATOR: ", "log")) and "\n" not in str(fault.value)
 
 
@@ -102,7 +102,7 @@
         (("lab", "simulate", "pyproject.toml"), 2, "Error: ", ""),
         (("shadow", "report", "--csv", "/nowhere/t", "tests"), 1, "Error: /nowhere/t: No such file", ""),
         (("store", "serve", "--name", "a", "--member", "b=h:1", "--listen", "h:1", "--control", "h:2",
-          "--directory", "."), 2, "Error: --name: a is no --member", Faulty.remedy),
+          "--directory", "."), 2, "Error: --name: a is no --member", BadArgument.remedy),
     ],
 )  # fmt: skip
 def test_what_is_wrong_has_its_remedy_on_a_second_line(
@@ -118,7 +118,7 @@
 
 
 def test_the_environment_overrides_the_file(tmp_path: Path) -> None:
-    environment = written(tmp_path / "o.toml", '[log]\nlevel = "error"\nformat = "text"\n')
+    environment = write_operator_file(tmp_path / "o.toml", '[log]\nlevel = "error"\nformat = "text"\n')
     assert operator.load(environment).log == operator.LogTable("error", "text")
     assert operator.load({**environment, "SPOOLBARROW_LOG_LEVEL": "debug"}).log.level == "debug"
     assert operator.load({}) == operator.Operator() and not operator.named({})
@@ -128,7 +128,7 @@
     raw = make_config([])
     (tmp_path / "config.json").write_bytes(msgspec.json.encode(raw))
     file = tmp_path / "operator.toml"
-    written(file, '[log]\nlevel = "info"\n')
+    write_operator_file(file, '[log]\nlevel = "info"\n')
     run = [sys.executable, "-m", "spoolbarrow", "serve", "--config", str(tmp_path / "config.json")]
     run += ["--operator", str(file), "--log-format", "text"]
     port = int(raw["listen"].rpartition(":")[2])
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -57,7 +57,7 @@
 def test_limits_share_out_the_machine() -> None:
     made = config.parse(msgspec.json.encode(make_config([], limits={"sockets": 1024, "memory_mb": 64})))
     assert made.max_inbound + made.max_outbound < 1024 - 16
-    assert made.max_held == 16 << 20
+    assert made.max_held_bytes == 16 << 20
     assert (made.tenants, made.seed) == ({"acme": 0, "other": 1}, 0x8C1F)
 
 
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -202,7 +202,7 @@
     discovery.answers = True
     discovery.listen()
     until(router.listed)
-    places = config.share_out(256, False)[0]
+    places = config.split_connections(256, False)[0]
     slow = [Client(router.port).send(ask(X_Correlation_Id=f"s{n}", left=15_000)) for n in range(places)]
     until(lambda: len(engine.requests) == places)
     begun = time.monotonic()
@@ -243,11 +243,11 @@
 
 def test_what_was_open_at_the_start_comes_out_of_what_connections_may_take() -> None:
     made = config.parse(json.dumps(make_config([], 1, limits={"sockets": 256})).encode())
-    few, many = config.within(made, 1000, 6), config.within(made, 200, 48)
+    few, many = config.fit_descriptors(made, 1000, 6), config.fit_descriptors(made, 200, 48)
     assert (few.max_inbound, few.max_outbound) == (made.max_inbound, made.max_outbound) == (112, 112)
-    assert many.max_inbound + many.max_outbound == 200 - 40 - config.RESERVED
+    assert many.max_inbound + many.max_outbound == 200 - 40 - config.RESERVED_DESCRIPTORS
     called = config.parse(json.dumps(make_config([], 1, limits={"sockets": 256}, control="h:1")).encode())
-    assert called.max_inbound + called.max_outbound == 256 - config.RESERVED - config.RESERVED_CONTROL
+    assert called.max_inbound + called.max_outbound == 256 - config.RESERVED_DESCRIPTORS - config.CONTROL_DESCRIPTORS
 
 
 def test_two_processes_of_a_router_hold_together_what_one_may(tmp_path: Path) -> None:
@@ -257,7 +257,7 @@
     try:
         newer.look()
         fitted = newer.fit(made)
-        own = fitted.max_inbound + fitted.max_outbound + config.RESERVED + config.RESERVED_CONTROL
+        own = fitted.max_inbound + fitted.max_outbound + config.RESERVED_DESCRIPTORS + config.CONTROL_DESCRIPTORS
         assert newer.older and own == 128 and fitted.max_inbound == 38
     finally:
         newer.close()
--- a/tests/test_door_serving.py
+++ b/tests/test_door_serving.py
@@ -20,7 +20,7 @@
 from spoolbarrow.interface import RequestArrived
 from spoolbarrow.operator import DoorTable
 from tests.stage import ask, make_config, serve_all, stage, until
-from tests.test_cli import written
+from tests.test_cli import write_operator_file
 
 
 def full(scene: Any, gate: Gate, fullness: float) -> None:
@@ -111,7 +111,7 @@
     made = config.parse(msgspec.json.encode(make_config([])))
     with pytest.raises(ConfigError, match=r"door\.weights\.nobody"):
         Prepared(DoorTable(weights={"nobody": 1.0}), made)
-    _, faults = operator.read(written(tmp_path / "o.toml", "[door]\nslot_ms = 0\nodd = 1\n"))
+    _, faults = operator.read(write_operator_file(tmp_path / "o.toml", "[door]\nslot_ms = 0\nodd = 1\n"))
     assert len(faults) == 2 and "door.slot_ms" in {fault.place for fault in faults}
 
 
--- a/tests/test_drain_state.py
+++ b/tests/test_drain_state.py
@@ -12,8 +12,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from spoolbarrow.admin.orders import Orders
-from spoolbarrow.admin.words import AWAY, Words
+from spoolbarrow.admin.commands import OperatorCommands
+from spoolbarrow.admin.overrides import ROUTER_DRAIN, Overrides
 from spoolbarrow.config import Config, parse
 from spoolbarrow.net import drain_log, drainer
 from spoolbarrow.net.drain_schedule import (
@@ -289,9 +289,9 @@
 @pytest.mark.parametrize("at_start", [True, False])
 def test_a_drain_that_an_earlier_process_was_told_is_old_at_the_start(at_start: bool) -> None:
     with stage(serve_all, options=PATIENT) as (scene, _):
-        orders, other = Orders(scene.host, scene.inbound), Words()
-        other.say(AWAY, True, 1.0)
-        orders.adopt(other, at_start)
+        orders, other = OperatorCommands(scene.host, scene.inbound), Overrides()
+        other.put(ROUTER_DRAIN, True, 1.0)
+        orders.apply_remote(other, at_start)
         assert scene.inbound.drained()
         assert scene.client().send(ask()).answer().status == (503 if at_start else 200)
 
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -37,7 +37,7 @@
         CallFault,
         "Answers of the control listener",
         "error | HTTP",
-        "Besides: 409 where files can't be used or adopted, 503 `NoRoom`, 500 `Defect`, all below.",
+        "Besides: 409 where files can't be used or adopted, 503 `NoRoom`, 500 `InternalError`, all below.",
     ),
     (StoreFault, "Answers of store members", "error | HTTP", ""),
     (Problem, "Commands and configurations", "error | exit status", "2: faulty, 1: failed."),
--- a/tests/test_failover.py
+++ b/tests/test_failover.py
@@ -273,11 +273,11 @@
 
 def test_check_names_a_zone_of_failover_that_the_settings_lack(tmp_path: Path) -> None:
     from tests.stage import make_config
-    from tests.test_cli import call
+    from tests.test_cli import invoke
 
     (tmp_path / "config.json").write_bytes(msgspec.json.encode(make_config([])))
     (tmp_path / "operator.toml").write_text("[failover]\nregions = {west = ['a'], east = ['x']}\n")
-    status, output = call(
+    status, output = invoke(
         "check", "--config", str(tmp_path / "config.json"), "--operator", str(tmp_path / "operator.toml")
     )
     assert status == 2
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -227,7 +227,7 @@
 )
 def test_a_faulty_table_names_its_key(text: str, fault: str, tmp_path: Any) -> None:
     (tmp_path / "operator.toml").write_text(f"[fleet]\n{text}\n")
-    _, faults = operator.read({operator.VARIABLE: str(tmp_path / "operator.toml")})
+    _, faults = operator.read({operator.FILE_VARIABLE: str(tmp_path / "operator.toml")})
     assert faults and str(faults[0]).startswith(fault)
 
 
--- a/tests/test_flows.py
+++ b/tests/test_flows.py
@@ -711,5 +711,5 @@
 )
 def test_a_fault_of_the_table_names_its_key(text: str, key: str, tmp_path: Path) -> None:
     (tmp_path / "o.toml").write_text(f"[flows]\n{text}\n")
-    _, faults = operator.read({operator.VARIABLE: str(tmp_path / "o.toml")})
+    _, faults = operator.read({operator.FILE_VARIABLE: str(tmp_path / "o.toml")})
     assert [fault.place for fault in faults] == [key]
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -19,10 +19,10 @@
 
 from spoolbarrow import handover
 from spoolbarrow import interface as i
-from spoolbarrow.admin import state, words
-from spoolbarrow.admin.orders import Orders
-from spoolbarrow.admin.words import AWAY, Words
-from spoolbarrow.config import INHERITED, ConfigError, HostList, ListEntry
+from spoolbarrow.admin import state, overrides
+from spoolbarrow.admin.commands import OperatorCommands
+from spoolbarrow.admin.overrides import ROUTER_DRAIN, Overrides
+from spoolbarrow.config import INHERITED_FD_VARIABLE, ConfigError, HostList, ListEntry
 from spoolbarrow.handover import Handover, Torn
 from spoolbarrow.net import connection_handover
 from spoolbarrow.net.http1 import Message
@@ -47,26 +47,26 @@
 SETTINGS = i.Settings(nodes=2, classes=(i.RequestClass(aim_ms=1000.0, deadline_ms=5000.0, worth=1.0),))
 
 
-# Words
+# Overrides
 
 
 def test_the_later_word_holds_in_whatever_order_it_is_heard() -> None:
-    one, two = Words(), Words()
-    assert one.say("e0", True, 10.0) and not one.say("e0", True, 11.0) and not two.say("e1", False, 1.0)
-    assert two.say("e0", True, 12.0) and two.say("e0", False, 5.0)  # set back
+    one, two = Overrides(), Overrides()
+    assert one.put("e0", True, 10.0) and not one.put("e0", True, 11.0) and not two.put("e1", False, 1.0)
+    assert two.put("e0", True, 12.0) and two.put("e0", False, 5.0)  # set back
     assert {m: word.on for m, word in one.merge(two).items()} == {"e0": False} and not two.merge(one)
-    assert one.say(AWAY, True, 20.0) and set(two.merge(one)) == {AWAY}
-    one.tidy(30.0 + words.KEPT_MS)
-    assert list(words.read(one.write("n0"), "n0")._words) == [AWAY]  # what was taken back is forgotten
+    assert one.put(ROUTER_DRAIN, True, 20.0) and set(two.merge(one)) == {ROUTER_DRAIN}
+    one.prune(30.0 + overrides.CLEARED_RETENTION_MS)
+    assert list(overrides.decode(one.encode("n0"), "n0")._by_target) == [ROUTER_DRAIN]  # what was taken back is forgotten
 
 
 @pytest.mark.parametrize(
     "text",
-    [b"", b'{"v":1,"name":"n0","wor', b'{"v":9,"name":"n0","words":{}}', Words().write("n1"), b" " * 2**21],
+    [b"", b'{"v":1,"name":"n0","wor', b'{"v":9,"name":"n0","words":{}}', Overrides().encode("n1"), b" " * 2**21],
 )
 def test_words_that_are_torn_or_foreign_are_not_taken(text: bytes) -> None:
     with pytest.raises(ValueError):
-        words.read(text, "n0")
+        overrides.decode(text, "n0")
 
 
 # State
@@ -86,11 +86,11 @@
 def test_what_was_learnt_and_spent_reaches_the_next_process() -> None:
     router = learned()
     known = HostList(5, True, [ListEntry("e0", "127.0.0.1:1", since_ms=9.0)])
-    read = state.read(state.write("n0", known, {"e0": 77.0}, router), "n0")
+    read = state.decode(state.encode("n0", known, {"e0": 77.0}, router), "n0")
     assert read.known == known and read.resumed == {"e0": 77.0}
     other = Router(SETTINGS, 2)
     other.handle(2.0, [i.ReplicaList(i.ListKind.RESTORED, (i.ReplicaEntry("e0"),))])
-    state.install(read, other)
+    state.restore(read, other)
     replica = other.pool.replicas["e0"]
     assert (replica.slow, replica.slow_at, replica.suspect_until) == (2.5, 50.0, 4000.0)
     assert (other.pool.heat, other.pool.request_tokens) == ({7: 3.0}, router.pool.request_tokens)
@@ -99,19 +99,19 @@
 
 
 def test_state_that_does_not_fit_is_left_out() -> None:
-    read = state.read(state.write("n0", HostList(), {}, learned()), "n0")
+    read = state.decode(state.encode("n0", HostList(), {}, learned()), "n0")
     read.pool |= {"heat_sum": "much"}
     read.zones = {"9": (1.0, 2.0, 3.0)}
     read.classes = {"0": {"answer_ms": "much", "missed": [0.1]}, "9": {"answer_ms": 7.0}}
     read.entitlements["9"] = {"debt": 1.0}
     other = Router(SETTINGS, 2)
     guess = vars(Router(SETTINGS, 2).learnt[0])
-    state.install(read, other)
+    state.restore(read, other)
     assert other.pool.zone_load == [0.0] and other.pool.heat_sum == 0.0 and list(other.learnt) == [0]
     assert vars(other.learnt[0]) == guess and list(other.entitlements) == [0]
-    for text in (b"", b'{"v":1', state.write("n1", HostList(), {}, learned())):
+    for text in (b"", b'{"v":1', state.encode("n1", HostList(), {}, learned())):
         with pytest.raises(ValueError):
-            state.read(text, "n0")
+            state.decode(text, "n0")
 
 
 # Who is there
@@ -153,28 +153,28 @@
 
 @pytest.mark.parametrize("text", ["", "three", "-1", "1000000", "99999999999999999999"])
 def test_what_is_no_descriptor_is_a_fault_that_names_its_variable(text: str) -> None:
-    with pytest.raises(ConfigError, match=f"^{INHERITED}: "):
-        handover.inherited({INHERITED: text})
+    with pytest.raises(ConfigError, match=f"^{INHERITED_FD_VARIABLE}: "):
+        handover.inherited({INHERITED_FD_VARIABLE: text})
 
 
 def test_only_a_listening_tcp_socket_is_taken() -> None:
     with socket.socket() as idle, open(os.devnull) as file:
         for number in (idle.fileno(), file.fileno()):
             with pytest.raises(ConfigError, match="no "):
-                handover.inherited({INHERITED: str(number)})
+                handover.inherited({INHERITED_FD_VARIABLE: str(number)})
     assert handover.inherited({}) is None
 
 
 def test_words_of_another_process_are_carried_out() -> None:
     with stage(serve_all) as (scene, _):
-        orders, other = Orders(scene.host, scene.inbound), Words()
-        other.say("e0", True, 1.0)
-        other.say(AWAY, True, 1.0)
-        assert orders.adopt(other) and not orders.adopt(other)
+        orders, other = OperatorCommands(scene.host, scene.inbound), Overrides()
+        other.put("e0", True, 1.0)
+        other.put(ROUTER_DRAIN, True, 1.0)
+        assert orders.apply_remote(other) and not orders.apply_remote(other)
         assert scene.host.destinations.suspended("e0") and scene.inbound.drained()
-        other.say("e0", False, 2.0)
-        other.say(AWAY, False, 2.0)
-        orders.adopt(other)
+        other.put("e0", False, 2.0)
+        other.put(ROUTER_DRAIN, False, 2.0)
+        orders.apply_remote(other)
         assert scene.host.destinations.serving("e0") and not scene.inbound.drained()
 
 
@@ -203,7 +203,7 @@
             **os.environ,
             "NODE_CONFIG": str(file),
             "TMPDIR": str(self.folder),
-            INHERITED: str(descriptor),
+            INHERITED_FD_VARIABLE: str(descriptor),
         }
         with open(self.folder / f"log-{number}", "wb") as log:
             self.processes.append(
--- a/tests/test_handover_races.py
+++ b/tests/test_handover_races.py
@@ -20,8 +20,8 @@
 
 from spoolbarrow import config
 from spoolbarrow import interface as i
-from spoolbarrow.admin.operations import Operations
-from spoolbarrow.config import INHERITED
+from spoolbarrow.admin.coordinator import Coordinator
+from spoolbarrow.config import INHERITED_FD_VARIABLE
 from spoolbarrow.handover import Handover, Torn
 from spoolbarrow.net import connection_handover
 from spoolbarrow.net.drain_schedule import DrainCause, DrainSchedule
@@ -241,17 +241,17 @@
         shared.bind((LISTEN, 0))
         shared.listen(8)
         monkeypatch.setenv("TMPDIR", str(tmp_path))
-        monkeypatch.setenv(INHERITED, str(os.dup(shared.fileno())))
-        older = Operations(config.parse(msgspec.json.encode(raw)))
+        monkeypatch.setenv(INHERITED_FD_VARIABLE, str(os.dup(shared.fileno())))
+        older = Coordinator(config.parse(msgspec.json.encode(raw)))
         older._host, older._inbound = scene.host, scene.inbound
         newer = Handover(str(tmp_path))
         older._handover.look()  # type: ignore[union-attr]
-        assert older.succeeded()
+        assert older.has_successor()
         newer.close()
         assert older.drain() is None
         older.close()
-        assert older.inherited is not None
-        older.inherited.close()
+        assert older.inherited_socket is not None
+        older.inherited_socket.close()
 
 
 def test_a_request_that_comes_as_an_idle_connection_is_tried_is_no_reason_to_pass_no_others(
@@ -272,7 +272,7 @@
             return give_idle(given, send)
 
         monkeypatch.setattr(connection_handover, "give_idle", just_now)
-        operations = Operations(scene.config)
+        operations = Coordinator(scene.config)
         monkeypatch.setattr(operations, "_send_idle", never_sent)
         assert operations._give_idle(held)
         assert client.answer().status == 200
--- a/tests/test_reload_races.py
+++ b/tests/test_reload_races.py
@@ -24,14 +24,14 @@
 from spoolbarrow import interface as i
 from spoolbarrow.admin import state
 from spoolbarrow.admin.control import Counting
-from spoolbarrow.admin.figures import Figures
+from spoolbarrow.admin.metrics import Metrics
 from spoolbarrow.config import ConfigError, HostList
 from spoolbarrow.handover import Torn
 from spoolbarrow.net import connection_handover, pools
 from spoolbarrow.net.http1 import Message
 from spoolbarrow.net.log import standard
 from spoolbarrow.operator import FleetTable
-from spoolbarrow.reload import Descriptors, Reloader
+from spoolbarrow.reload import DescriptorLimit, Reloader
 from spoolbarrow.router import Router
 from tests.stage import (
     EVENTS,
@@ -154,7 +154,7 @@
         serve_all(sock, message)
 
     with stage(wait, settings=settings(FIRST)) as (scene, engine):
-        figures = Figures(scene.config.classes)
+        figures = Metrics(scene.config.classes)
         scene.host.taps.add(Counting(figures, lambda number: list(scene.host.config.classes)[number]))
         asked = scene.client().send(ask(X_Service_Class="once", X_Account="other"))
         until(lambda: engine.requests)
@@ -394,7 +394,7 @@
     old.handle(1.0, [i.ReplicaList(i.ListKind.WHOLE, (i.ReplicaEntry("e0"),))])
     old.handle(2.0, [i.RequestArrived("q", 0, 4000.0, tenant=1)])
     old.entitlements["other"].debt = 0.4
-    state.install(state.read(state.write("n0", HostList(), {}, old), "n0"), new)
+    state.restore(state.decode(state.encode("n0", HostList(), {}, old), "n0"), new)
     assert new.learnt["once"].answer_ms == 5.0 and new.terms[0][2].missed == [0.1, 0.2, 0.3]
     assert new.terms[1][2].home_read == 77.0
     assert new.pool.zone_load == [4.0, 0.0]
@@ -476,7 +476,7 @@
     file = tmp_path / "config.json"
     monkeypatch.setenv("NODE_CONFIG", str(file))
     with stage(serve_all, settings=settings(FIRST)) as (scene, _):
-        reloader = Reloader(scene.host, scene.inbound, None, Descriptors())
+        reloader = Reloader(scene.host, scene.inbound, None, DescriptorLimit())
         stop, second = scene.inbound._stop_listening, []
         listen = f"{LISTEN}:{free_port()}"
 
--- a/tests/test_serving.py
+++ b/tests/test_serving.py
@@ -402,7 +402,7 @@
             gevent.sleep(0.02)
         assert engine.connections == 1
         (connection,) = next(iter(scene.host._endpoints._pool._idle.values()))
-        connection.idle_since -= 0.9 * scene.config.idle_ms  # before the settings' time, not at it
+        connection.idle_since -= 0.9 * scene.config.endpoint_idle_ms  # before the settings' time, not at it
         scene.host._endpoints._pool.sweep()
         until(lambda: engine.ends == 1)
 
--- a/tests/test_shadow.py
+++ b/tests/test_shadow.py
@@ -25,7 +25,7 @@
 from spoolbarrow.shadow import copier as copier_module
 from spoolbarrow.shadow.copier import ENDING, Copier, Prepared, Writer
 from spoolbarrow.shadow.reading import Reading, chain
-from spoolbarrow.spool import contents
+from spoolbarrow.spool import read_spool_file
 from tests.stage import (
     EVENTS,
     HEAD,
@@ -91,7 +91,7 @@
 
 
 def pairs(directory: Path) -> list[dict[str, Any]]:
-    found = [contents(path) for path in sorted(directory.glob(f"*{ENDING}"))]
+    found = [read_spool_file(path) for path in sorted(directory.glob(f"*{ENDING}"))]
     assert not any(torn for _, torn in found)
     return [orjson.loads(line) for data, _ in found for line in data.splitlines()]
 
--- a/tests/test_shutdown_races.py
+++ b/tests/test_shutdown_races.py
@@ -22,11 +22,11 @@
 from msgspec.structs import replace
 
 from spoolbarrow import config
-from spoolbarrow.admin.operations import Operations
+from spoolbarrow.admin.coordinator import Coordinator
 from spoolbarrow.handover import Handover
 from spoolbarrow.net.host import Host
 from spoolbarrow.net.inbound import Inbound
-from spoolbarrow.reload import Descriptors, Reloader
+from spoolbarrow.reload import DescriptorLimit, Reloader
 from tests.stage import (
     LISTEN,
     Client,
@@ -298,10 +298,10 @@
         monkeypatch.setenv("TMPDIR", str(folder))
         self.write()
         settings = config.load()
-        self.operations = Operations(settings)
+        self.operations = Coordinator(settings)
         self.host = Host(settings)
         self.inbound = Inbound(settings, self.host)
-        self.reloader = Reloader(self.host, self.inbound, self.operations, Descriptors())
+        self.reloader = Reloader(self.host, self.inbound, self.operations, DescriptorLimit())
         self.inbound.start()
         self.operations.start(self.host, self.inbound)
 
@@ -398,7 +398,7 @@
 
     def met() -> None:
         program.operations._handover.newer = ["newer"]  # type: ignore[union-attr]
-        program.operations._looked()
+        program.operations._update_limits()
 
     at_the_move(program, met)
     whole = program.host.config.max_outbound
