--- a/benchmarks/event_delay.py
+++ b/benchmarks/event_delay.py
@@ -105,7 +105,7 @@
     """Read a stream to its end; notes how long each timed event took."""
     parser, rest = ResponseParser(16_384), b""
     with connect(port, name) as sock, suppress(OSError, Fault):
-        while not parser.whole:
+        while not parser.complete:
             data = sock.recv(1 << 18)
             if not data:
                 return
--- a/benchmarks/service.py
+++ b/benchmarks/service.py
@@ -101,7 +101,7 @@
     try:
         with socket.create_connection((standin.HOST, port), 5.0) as sock:
             sock.sendall(f"GET /v1/{path} HTTP/1.1\r\n\r\n".encode())
-            while not parser.whole:
+            while not parser.complete:
                 parser.read(sock, buffer)
                 parser.take_body()
     except (OSError, Fault):
--- a/benchmarks/standin.py
+++ b/benchmarks/standin.py
@@ -131,7 +131,7 @@
         parser, first = ResponseParser(16_384), 0.0
         begun = time.perf_counter()
         self._sock.sendall(head.encode() + body)
-        while not parser.whole:
+        while not parser.complete:
             parser.read(self._sock, self._buffer)
             if not first and parser.take_body():
                 first = time.perf_counter()
--- a/spoolbarrow/admin/control.py
+++ b/spoolbarrow/admin/control.py
@@ -71,7 +71,7 @@
 class Versions(Protocol):
     """Who tells which versions this process acts on, where that is on."""
 
-    def tell(self) -> dict[str, Any]:
+    def status(self) -> dict[str, Any]:
         """Every version as it is now."""
         ...
 
@@ -166,13 +166,13 @@
             if call.verb is Verb.ZONES:
                 verdicts = self._host.destinations.verdicts
                 told = {"failover": "off"} if verdicts is None else {"failover": "on", "zones": verdicts}
-                return http1.answer_pieces(200, orjson.dumps(told), True)
+                return http1.response_pieces(200, orjson.dumps(told), True)
             if call.verb in OF_AGREEMENT:
                 return self._agree(call)
             text = self._carry_out(call)
             if call.verb is Verb.METRICS:
-                return http1.answer_pieces(200, text.encode(), True, kind=TEXT)
-            return http1.answer_pieces(200, _told(text), True)
+                return http1.response_pieces(200, text.encode(), True, kind=TEXT)
+            return http1.response_pieces(200, _told(text), True)
         except Problem as error:
             return _refusal(error)
         except Exception as error:
@@ -185,12 +185,12 @@
         if agreement is None:
             raise AgreeOff("", "the operator's file has no [agree]")
         if call.verb is Verb.VERSIONS:
-            return http1.answer_pieces(200, orjson.dumps(agreement.tell()), True)
+            return http1.response_pieces(200, orjson.dumps(agreement.status()), True)
         if call.verb is Verb.CHECK:
-            return http1.answer_pieces(200, orjson.dumps(agreement.check()), True)
+            return http1.response_pieces(200, orjson.dumps(agreement.check()), True)
         log("call", verb=call.verb.value, engine=call.engine)
         agreement.adopt(call.engine)
-        return http1.answer_pieces(200, _told("adopted"), True)
+        return http1.response_pieces(200, _told("adopted"), True)
 
     def _carry_out(self, call: Call) -> str:
         """The answer's text; a Problem where it is no."""
@@ -200,7 +200,7 @@
                 raise NotReady("", "not ready")
             return "ready"
         if verb is Verb.METRICS:
-            known, skipped = self._host.engines()
+            known, skipped = self._host.endpoint_counts()
             inbound = self._inbound
             return self.figures.write(
                 self._host.in_progress(), known, skipped, len(inbound.clients()), inbound.drainer.log.counts
@@ -234,4 +234,4 @@
     else:
         status = next(status for kind, status in ANSWERS if isinstance(error, kind))
     told = {"message": str(error), "code": status, "remedy": error.remedy}
-    return http1.answer_pieces(status, orjson.dumps({"error": told}), True, *headers)
+    return http1.response_pieces(status, orjson.dumps({"error": told}), True, *headers)
--- a/spoolbarrow/admin/operations.py
+++ b/spoolbarrow/admin/operations.py
@@ -25,7 +25,7 @@
 from spoolbarrow.net.client import Client
 from spoolbarrow.net.clock import Clock
 from spoolbarrow.net.drain_schedule import end_schedule
-from spoolbarrow.net.engine_answer import Underway
+from spoolbarrow.net.endpoint_response import InFlightAttempt
 from spoolbarrow.net.host import Host
 from spoolbarrow.net.inbound import Inbound
 from spoolbarrow.net.log import log
@@ -125,9 +125,9 @@
         return taken
 
     def _pass_streams(self) -> None:
-        self._host.give = self._give
+        self._host.hand_over = self._give
 
-    def _give(self, underway: Underway) -> bool:
+    def _give(self, underway: InFlightAttempt) -> bool:
         assert self._handover is not None
         return connection_handover.give(self._host, underway, self._send_stream)
 
@@ -135,7 +135,7 @@
         assert self._handover is not None
         taken = self._handover.send_stream(text, descriptors)
         if not taken:
-            self._host.give = None  # the clock of the drain sees to the rest
+            self._host.hand_over = None  # the clock of the drain sees to the rest
         return taken
 
     def prepare(self, config: Config) -> socket.socket | None:
--- a/spoolbarrow/admin/words.py
+++ b/spoolbarrow/admin/words.py
@@ -11,7 +11,7 @@
 from spoolbarrow.handover import Torn
 
 VERSION = 1
-MOST_BYTES = 1 << 20  # of a file of words: longer than any that MOST_SUSPENDED short names make
+MOST_BYTES = 1 << 20  # of a file of words: longer than any that MAX_SUSPENDED short names make
 KEPT_MS = 60_000.0  # a word that takes one back is kept so long: by then every process has heard it
 AWAY = ""  # the matter that is no engine: whether clients are sent away
 
--- a/spoolbarrow/door/keeper.py
+++ b/spoolbarrow/door/keeper.py
@@ -54,7 +54,7 @@
         self._header = prepared.table.client_header.lower().encode()
         self._prepared = prepared
         self._gate: Gate | None = None
-        host.decide_through(self._make)
+        host.set_decider(self._make)
         self._sayer = gevent.spawn(self._say)
 
     def _make(self, router: Router) -> Gate:
@@ -76,12 +76,12 @@
     def stop(self) -> None:
         """No door from here on; who waits at it goes to the decisions."""
         self._sayer.kill()
-        self._host.decide_through(None)
+        self._host.set_decider(None)
         if self._gate is not None:
-            self._host.ask_again(self._gate.waiting())
+            self._host.resubmit(self._gate.waiting())
 
     def _who(self, event: i.RequestArrived) -> Caller:
-        request = self._host.request(event.request)
+        request = self._host.find_request(event.request)
         if request is None:
             return Caller(0)
         fields = request.message.fields
@@ -125,7 +125,7 @@
     # --- the log
 
     def _told(self, told: Told) -> None:
-        request, away = self._host.request(told.event.request), told.away
+        request, away = self._host.find_request(told.event.request), told.away
         log(
             "door_away", request=away.request, id=request.id if request is not None else "",
             tenant=told.event.tenant, why=away.why, retry_after_ms=round(away.retry_after_ms),
--- a/spoolbarrow/fleet/documents.py
+++ b/spoolbarrow/fleet/documents.py
@@ -133,6 +133,6 @@
         """Number and digest of each shared document and decision that is acted on, by item."""
         ...
 
-    def tell(self) -> dict[str, object]:
+    def status(self) -> dict[str, object]:
         """How it goes, for an operator."""
         ...
--- a/spoolbarrow/fleet/roll.py
+++ b/spoolbarrow/fleet/roll.py
@@ -52,6 +52,6 @@
             return False
         return True
 
-    def tell(self) -> dict[str, object]:
+    def status(self) -> dict[str, object]:
         """For an operator."""
         return {"routers": None if self.routers is None else list(self.routers)}
--- a/spoolbarrow/lab/asked.py
+++ b/spoolbarrow/lab/asked.py
@@ -30,7 +30,7 @@
         sock.sendall(text)
         parser, raw = ResponseParser(16_384), b""
         try:
-            while not parser.whole:
+            while not parser.complete:
                 data = sock.recv(65_536)
                 if not data:
                     parser.end()
@@ -38,7 +38,7 @@
                 raw += data
                 parser.feed(memoryview(data))
         except (ConnectionError, Fault):
-            if not parser.headed:
+            if not parser.head_complete:
                 raise
             return BROKEN, raw
     return parser.status, raw
--- a/spoolbarrow/lab/load.py
+++ b/spoolbarrow/lab/load.py
@@ -168,7 +168,7 @@
                 try:
                     sock.sendall(request)
                     buffer = bytearray(65_536)
-                    while not parser.headed:
+                    while not parser.head_complete:
                         parser.read(sock, buffer)
                 except OSError:
                     if parser.begun:
@@ -178,14 +178,14 @@
                     sock = http1.connect(self.job.targets[target], CONNECT_S)
                     sock.sendall(request)
                     parser = http1.ResponseParser(MAX_HEAD)
-                    while not parser.headed:
+                    while not parser.head_complete:
                         parser.read(sock, buffer)
                 if parser.status == 200:
                     while not (body := b"".join(parser.take_body())):
                         parser.read(sock, buffer)
             if parser.status == 200:
                 return self._stream(record, sock, parser, body, target), 0.0
-            while not parser.whole:
+            while not parser.complete:
                 parser.read(sock, buffer)
             kept = parser.reusable
             retry_after_ms = float(parser.fields.get(b"retry-after", b"0")) * 1000.0
@@ -199,7 +199,7 @@
         except (OSError, http1.Fault, ValueError):
             return "failed", 0.0
         finally:
-            if sock is not None and not (parser.status == 200 and parser.whole and parser.reusable):
+            if sock is not None and not (parser.status == 200 and parser.complete and parser.reusable):
                 sock.close()
 
     def _stream(self, record: Record, sock: Any, parser: Any, body: bytes, target: int) -> str:
@@ -209,7 +209,7 @@
         tail = body
         sock.settimeout(STREAM_S)
         try:
-            while not parser.whole:
+            while not parser.complete:
                 parser.read(sock, buffer)
                 tail = (tail + b"".join(parser.take_body()))[-2048:]
         except (OSError, http1.Fault):
--- a/spoolbarrow/lab/sockets.py
+++ b/spoolbarrow/lab/sockets.py
@@ -130,7 +130,7 @@
             with http1.connect(address, 1.0) as sock:
                 sock.settimeout(1.0)
                 http1.send_pieces(sock, http1.get_pieces(b"/up", address))
-                while not parser.whole:
+                while not parser.complete:
                     parser.read(sock, bytearray(4096))
         except (OSError, http1.Fault):
             return False
--- a/spoolbarrow/net/client.py
+++ b/spoolbarrow/net/client.py
@@ -83,7 +83,7 @@
 
     def unread(self) -> bool:
         """Whether the kernel holds something that its client sent."""
-        return not self._closed and http1.polled(self.sock, select.POLLIN) != 0
+        return not self._closed and http1.poll_now(self.sock, select.POLLIN) != 0
 
     def gone(self) -> bool:
         """Whether its client has closed, reset or half-closed it, whatever stands unread before that end.
@@ -92,7 +92,7 @@
         """
         if self._closed:
             return True
-        told = http1.polled(self.sock, select.POLLIN | select.POLLRDHUP)
+        told = http1.poll_now(self.sock, select.POLLIN | select.POLLRDHUP)
         if not told or told & ENDED:
             return told != 0  # else a system may tell of no half-close: the end is then what is read next
         self.sock.settimeout(0.0)
--- a/spoolbarrow/net/connection_handover.py
+++ b/spoolbarrow/net/connection_handover.py
@@ -16,7 +16,7 @@
 
 from spoolbarrow.handover import Torn
 from spoolbarrow.net.client import Client, Exchange
-from spoolbarrow.net.engine_answer import Underway
+from spoolbarrow.net.endpoint_response import InFlightAttempt
 from spoolbarrow.net.host import Host
 from spoolbarrow.net.http1 import Fault
 from spoolbarrow.net.inbound import Inbound
@@ -59,21 +59,21 @@
     return stream
 
 
-def give(host: Host, underway: Underway, send: Send) -> bool:
+def give(host: Host, underway: InFlightAttempt, send: Send) -> bool:
     """Hand a stream over, asked between two of its chunks; whether it is no longer this process's."""
     request = underway.attempt.request
     exchange = request.answer
     if not isinstance(exchange, Exchange) or request.over:
         return False
     # From here on it is not broken off: closed meanwhile, its descriptors' numbers could be others'.
-    underway.passing = True
+    underway.handing_over = True
     try:
         return exchange.client.pause() and _pass(host, underway, exchange, send)
     finally:
-        underway.passing = False
+        underway.handing_over = False
 
 
-def _pass(host: Host, underway: Underway, exchange: Exchange, send: Send) -> bool:
+def _pass(host: Host, underway: InFlightAttempt, exchange: Exchange, send: Send) -> bool:
     attempt, request = underway.attempt, underway.attempt.request
     stream = Stream(
         VERSION,
@@ -101,7 +101,7 @@
         exchange.client.go_on()
         return False
     log("stream_given", request=request.key, id=request.id)
-    host.given(attempt)
+    host.stream_handed_over(attempt)
     exchange.client.detach()
     return True
 
@@ -164,7 +164,7 @@
         underway = host.endpoints().take_over(attempt, engine, head, stream.tail.encode("latin-1"))
     except (Fault, OSError, UnicodeError) as error:
         # The other process keeps it: nothing of it stays here.
-        host.given(attempt)
+        host.stream_handed_over(attempt)
         exchange.client.detach()
         engine.close()
         raise Torn("", str(error)) from error
@@ -172,7 +172,7 @@
 
     def go() -> None:
         exchange.client.go_on()
-        host.endpoints().carry_on(underway)
+        host.endpoints().resume_stream(underway)
 
     return go
 
--- a/spoolbarrow/net/connection_pool.py
+++ b/spoolbarrow/net/connection_pool.py
@@ -17,7 +17,7 @@
 SETTLE_MS = 5.0  # a connection rests so long: a second answer straight after must not pass for the next
 LONGEST_SETTLE_MS = 1000.0  # where an endpoint's unasked bytes came later, its connections rest longer
 SETTLE_FACTOR = 4.0  # so many times as late as they came
-SHORT_LOG_MS = 5000.0  # between lines of the log about a lack of connections
+SHORTAGE_LOG_INTERVAL_MS = 5000.0  # between lines of the log about a lack of connections
 NO_INCARNATION = -1  # of a connection that leads to nothing that is listed: it is not kept
 
 
@@ -55,7 +55,7 @@
 
     def stale(self) -> bool:
         """Whether the other side closed it or said something unasked while it was idle."""
-        return http1.polled(self.sock, POLLIN) != 0
+        return http1.poll_now(self.sock, POLLIN) != 0
 
     def unasked_ms(self, now: float) -> float:
         """How long after it became idle unasked bytes came, ms; 0 where none did."""
@@ -74,9 +74,9 @@
         # By endpoint, not by address: another one may come to listen where one has gone.
         self._idle: dict[str, deque[Connection]] = {}
         self._settle: dict[str, float] = {}  # ms that connections rest, where it is not SETTLE_MS
-        self._open = 0
+        self._open_count = 0
         # For lack of connections, since the last line of the log about it: how many, why, and its time.
-        self._unsent, self._short_of, self._logged_at = 0, "", -SHORT_LOG_MS
+        self._unsent, self._short_of, self._logged_at = 0, "", -SHORTAGE_LOG_INTERVAL_MS
         self.apply(config)
 
     def apply(self, config: Config) -> None:
@@ -85,7 +85,7 @@
         # Guards against writing to a connection just as the endpoint closes it for idleness.
         self._idle_ms = config.idle_ms - min(2000.0, 0.2 * config.idle_ms)
 
-    def take(self, endpoint: str) -> Connection:
+    def acquire(self, endpoint: str) -> Connection:
         """An idle connection, else a new one; OSError where none comes up, Shortage where none can be had."""
         address, incarnation = self._destinations.address(endpoint), self._destinations.incarnation(endpoint)
         if address is None:
@@ -101,15 +101,15 @@
                 return connection
             self._learn_settle(connection)
             self.drop(connection)
-        if self._open >= self._config.max_outbound and not self._make_room():
+        if self._open_count >= self._config.max_outbound and not self._make_room():
             raise self._short(http1.Shortage("all places for connections to endpoints are taken"))
-        self._open += 1
+        self._open_count += 1
         try:
             sock = http1.connect(address, self._config.connect_timeout_ms / 1000)
             number = self._host.taps.opened(Side.ENDPOINT, sock, self._host.now(), endpoint)
             connection = Connection(endpoint, address, sock, number, incarnation)
         except BaseException as error:  # a cancelled attempt's GreenletExit too: the count must stay true
-            self._open -= 1
+            self._open_count -= 1
             if isinstance(error, http1.Shortage):
                 self._short(error)
             raise
@@ -117,7 +117,7 @@
             return connection
         # Replaced while it came up: at the old address another one may listen by now.
         self.drop(connection)
-        return self.take(endpoint)
+        return self.acquire(endpoint)
 
     def _short(self, error: http1.Shortage) -> http1.Shortage:
         """Kept for the log: one line for many, since a shortage meets all that is sent."""
@@ -128,7 +128,7 @@
         """A connection that another process of this router opened; OSError where it has ended."""
         address: Address = sock.getpeername()[:2]  # where the list has it now may be another process
         number = self._host.taps.opened(Side.ENDPOINT, sock, self._host.now(), endpoint)
-        self._open += 1
+        self._open_count += 1
         listed = self._destinations.address(endpoint) == address
         incarnation = self._destinations.incarnation(endpoint) if listed else NO_INCARNATION
         return Connection(endpoint, address, sock, number, incarnation)
@@ -153,7 +153,7 @@
 
     def drop(self, connection: Connection, why: Why = Why.DONE) -> None:
         """Close a connection; of a request that was broken off nothing more leaves this machine."""
-        self._open -= 1
+        self._open_count -= 1
         self._host.taps.closing(connection.number, why)
         if why is Why.BROKEN:
             break_off(connection.sock)
@@ -174,7 +174,7 @@
                 self.drop(idle.popleft(), Why.IDLE)
             if not idle:
                 del self._idle[endpoint]
-        if self._unsent and self._host.now() - self._logged_at >= SHORT_LOG_MS:
+        if self._unsent and self._host.now() - self._logged_at >= SHORTAGE_LOG_INTERVAL_MS:
             log("no_room_for_attempts", unsent=self._unsent, why=self._short_of)
             self._unsent, self._logged_at = 0, self._host.now()
 
--- a/spoolbarrow/net/destinations.py
+++ b/spoolbarrow/net/destinations.py
@@ -20,7 +20,7 @@
 from spoolbarrow.net.log import log
 from spoolbarrow.wire import STATES
 
-MOST_SUSPENDED = 4096  # names; they stay while their endpoints are gone, so only operators take them out
+MAX_SUSPENDED = 4096  # names; they stay while their endpoints are gone, so only operators take them out
 
 
 class NoRoom(Problem):
@@ -73,7 +73,7 @@
         self._heard = False  # discovery has told this process a list
         # Endpoints of this type, or of this group, never serve: they are told to `_aside_tell`.
         self._aside_type, self._aside_group = "", -1
-        self._aside: dict[str, tuple[str, Address, bool, float]] = {}
+        self._excluded: dict[str, tuple[str, Address, bool, float]] = {}
         self._aside_tell: Callable[[list[tuple[str, Address, bool, float]]], None] | None = None
         self._zones_out: frozenset[str] = frozenset()  # failed by failover's verdict: like suspended
         self._zones_back: dict[str, float] = {}  # returning since, by zone: its endpoints began anew then
@@ -105,7 +105,7 @@
         """Stop watching discovery, for good."""
         self._discovery.close()
 
-    def set_aside(
+    def exclude(
         self, kind: str, group: int, tell: Callable[[list[tuple[str, Address, bool, float]]], None]
     ) -> None:
         """Keep endpoints of a type or a group out of service; `tell` hears them all, now and at each change.
@@ -116,17 +116,17 @@
         changed = (kind, group) != (self._aside_type, self._aside_group)
         self._aside_type, self._aside_group, self._aside_tell = kind, group, tell
         if changed:
-            self._aside.clear()
+            self._excluded.clear()
             leaving = [n for n, one in self._listed.items() if self._is_aside(one.line.type, one.line.group)]
             for name in leaving:
                 listed = self._listed[name]
-                self._aside[name] = (name, listed.address, name in self._serving, listed.line.since_ms)
+                self._excluded[name] = (name, listed.address, name in self._serving, listed.line.since_ms)
                 self._forget(name)
             if leaving:
                 gone = [i.ReplicaEntry(name, state=i.ReplicaState.GONE) for name in leaving]
                 self._tell(i.ReplicaList(i.ListKind.CHANGES, tuple(gone)))
             self._discovery.start_over()
-        tell(list(self._aside.values()))
+        tell(list(self._excluded.values()))
 
     def _is_aside(self, kind: str, group: int) -> bool:
         return (self._aside_type != "" and kind == self._aside_type) or group == self._aside_group
@@ -135,18 +135,18 @@
         try:
             where = address("address", entry.address)
         except ConfigError:
-            self._aside.pop(entry.name, None)
+            self._excluded.pop(entry.name, None)
             return
         if entry.status == "terminated":
-            self._aside.pop(entry.name, None)
+            self._excluded.pop(entry.name, None)
         else:
-            self._aside[entry.name] = (entry.name, where, entry.status == "in_service", entry.since_ms)
+            self._excluded[entry.name] = (entry.name, where, entry.status == "in_service", entry.since_ms)
 
-    def usable(self) -> bool:
+    def any_serving(self) -> bool:
         """Whether some endpoint is in service."""
         return bool(self._serving)
 
-    def told_usable(self) -> bool:
+    def any_listed_serving(self) -> bool:
         """Whether discovery has some endpoint in service, be it suspended or not."""
         return any(listed.serving() for listed in self._listed.values())
 
@@ -225,8 +225,8 @@
         """Send nothing more to an endpoint, whatever discovery says, until it is resumed; NoRoom."""
         if name in self._suspended:
             return
-        if len(self._suspended) >= MOST_SUSPENDED:
-            raise NoRoom("", f"{MOST_SUSPENDED} endpoints are suspended: resume one that is gone")
+        if len(self._suspended) >= MAX_SUSPENDED:
+            raise NoRoom("", f"{MAX_SUSPENDED} endpoints are suspended: resume one that is gone")
         self._suspended.add(name)
         self._taken_out(name)
 
@@ -274,7 +274,7 @@
         """Begin with the list as this router last had it: as configured, or as another process passed it."""
         known = self._config.known if known is None else known
         self._discovery.index, self._resumed = known.index, dict(resumed or {})
-        self.take(known, i.ListKind.RESTORED)
+        self.apply_list(known, i.ListKind.RESTORED)
 
     def _say_again(self, name: str) -> None:
         if name in self._listed:
@@ -303,12 +303,12 @@
         started_at = self._started_at(listed)
         return replace(entry, started_at_ms=started_at) if started_at > entry.started_at_ms else entry
 
-    def take(self, news: HostList, kind: i.ListKind) -> None:
+    def apply_list(self, news: HostList, kind: i.ListKind) -> None:
         """Take over a list, or changes of it, and tell the decisions."""
         if kind is not i.ListKind.CHANGES:
             for name in self._listed.keys() - {entry.name for entry in news.endpoints}:
                 self._forget(name)
-            self._aside.clear()
+            self._excluded.clear()
         live = kind is i.ListKind.CHANGES and self._heard
         self._heard = self._heard or kind in (i.ListKind.CHANGES, i.ListKind.WHOLE)
         entries, aside = [], False
@@ -332,7 +332,7 @@
             else:
                 self._forget(entry.name)
         if self._aside_tell is not None and (aside or kind is not i.ListKind.CHANGES):
-            self._aside_tell(list(self._aside.values()))
+            self._aside_tell(list(self._excluded.values()))
         serving = len(self._serving)
         log("destinations", kind=kind.name.lower(), index=news.index, changed=len(entries), serving=serving)
         self._tell(i.ReplicaList(kind, tuple(entries)))
--- a/spoolbarrow/net/discovery_client.py
+++ b/spoolbarrow/net/discovery_client.py
@@ -51,7 +51,7 @@
     late = gevent.Timeout(limit_ms / 1000, TimeoutError("no whole list in time"))
     with late, http1.connect(discovery, min(CONNECT_MS, limit_ms) / 1000) as sock:
         http1.send_pieces(sock, http1.get_pieces(b"/discovery/hosts", discovery))
-        while not parser.whole:
+        while not parser.complete:
             parser.read(sock, buffer)
             _is_well(parser)
             body += b"".join(parser.take_body())
@@ -64,7 +64,7 @@
 
 
 def _is_well(parser: http1.ResponseParser) -> None:
-    if parser.headed and parser.status != 200:
+    if parser.head_complete and parser.status != 200:
         raise http1.Fault(502, f"discovery answered {parser.status}")
 
 
@@ -95,8 +95,8 @@
     with http1.connect(discovery, min(CONNECT_MS, limit_ms) / 1000) as sock:
         target = b"/discovery/hosts?stream=1&index=%d" % index
         http1.send_pieces(sock, http1.get_pieces(target, discovery))
-        while not parser.whole:
-            begun = parser.headed
+        while not parser.complete:
+            begun = parser.head_complete
             limit = options.watch_silence_ms if begun else limit_ms
             broken: http1.Fault | None = None
             try:
@@ -108,7 +108,7 @@
                     raise Silent
                 raise TimeoutError("no answer in time")
             _is_well(parser)
-            if parser.headed != begun:
+            if parser.head_complete != begun:
                 heard = now()
                 headed()
             for word in _cut(messages, b"".join(parser.take_body())):
--- a/spoolbarrow/net/discovery_watch.py
+++ b/spoolbarrow/net/discovery_watch.py
@@ -28,7 +28,7 @@
 class ListKeeper(Protocol):
     """Who keeps the endpoints that discovery lists."""
 
-    def take(self, news: HostList, kind: i.ListKind) -> None:
+    def apply_list(self, news: HostList, kind: i.ListKind) -> None:
         """Take over a list, or changes of it, and tell the decisions."""
 
 
@@ -198,7 +198,7 @@
                 lambda _: discovery_client.whole(discovery, options, options.call_timeout_ms),
                 lambda found: found.index,
             )
-            self._news(news)
+            self._accept_list(news)
 
         def begin(headed: Callable[[], object]) -> tuple[HostList | None, Iterator[HostList | None]]:
             words = self._words(options.call_timeout_ms, headed)
@@ -249,7 +249,7 @@
         """Ask an agent for the whole list, then read a watch on it to its end."""
         news = discovery_client.ask_agent(self._config.discovery, self._config.options)
         self._take_part()
-        self._news(news)
+        self._accept_list(news)
         self._agent_heard.set()
         self._read_words(self._words(discovery_client.AGENT_ANSWER_MS))
 
@@ -269,7 +269,7 @@
     def _take_word(self, word: HostList | None) -> None:
         """Take a list, or an empty line (None): discovery is there and has nothing new."""
         if word is not None:
-            self._news(word)
+            self._accept_list(word)
         else:
             self._heard()
             if not self._spoke:
@@ -278,10 +278,10 @@
 
     # Lists and their versions
 
-    def _news(self, news: HostList) -> None:
+    def _accept_list(self, news: HostList) -> None:
         self._check(news)
         kind = i.ListKind.WHOLE if news.snapshot else i.ListKind.CHANGES
-        self._keeper.take(news, kind)
+        self._keeper.apply_list(news, kind)
         self.index = news.index
         self._end_refusal()
         self._heard()
--- a/spoolbarrow/net/endpoint.py
+++ b/spoolbarrow/net/endpoint_client.py
@@ -12,16 +12,16 @@
 from spoolbarrow.net import http1
 from spoolbarrow.net.connection_pool import Connection, ConnectionPool
 from spoolbarrow.net.destinations import DestinationSet
-from spoolbarrow.net.engine_answer import TAIL, AnswerReader, Underway
-from spoolbarrow.net.load_report import LOAD, kept_tokens, parse_load, tail_report
+from spoolbarrow.net.endpoint_response import TAIL, AnswerReader, InFlightAttempt
+from spoolbarrow.net.load_report import LOAD_HEADER, kept_tokens, parse_load, tail_report
 from spoolbarrow.net.log import log, unexpected
 from spoolbarrow.net.request import Attempt
 from spoolbarrow.net.request_writing import await_sent, send_while
 from spoolbarrow.net.taps import Taps, Why
 
 RECV = 65536  # bytes read at once
-NOT_RUN = b"x-unprocessed"
-KIND, STREAM = b"content-type", b"text/event-stream"
+UNPROCESSED_HEADER = b"x-unprocessed"
+KIND, EVENT_STREAM_TYPE = b"content-type", b"text/event-stream"
 OLDEST_TOLD_MS = 100.0  # a request's last byte leaves so long after its head, which tells the time left
 MOST_FOREGONE_MS = 2000.0  # by so much less is told at most where an endpoint takes requests in slowly,
 ONE_FLIGHT = (
@@ -48,19 +48,19 @@
     def claim(self, attempt: Attempt) -> bool:
         """An attempt's first event has come: whether it is the client's."""
 
-    def ended(
+    def end_attempt(
         self, attempt: Attempt, outcome: i.Outcome, kept: int = 0, report: i.Report | None = None
     ) -> None:
         """The outcome of an attempt."""
 
-    def probed(self, endpoint: str, outcome: i.Outcome, lag: float, report: i.Report | None) -> None:
+    def probe_done(self, endpoint: str, outcome: i.Outcome, lag: float, report: i.Report | None) -> None:
         """The result of a probe."""
 
-    def passes(self, underway: Underway) -> bool:
+    def passes(self, underway: InFlightAttempt) -> bool:
         """Between two chunks of a stream: whether it has just gone to another process of this router."""
 
 
-class Endpoints:
+class EndpointClient:
     """Carries out attempts and probes, each in a greenlet of its own."""
 
     def __init__(self, config: Config, destinations: DestinationSet, host: Caller) -> None:
@@ -102,7 +102,7 @@
 
     def take_over(
         self, attempt: Attempt, sock: socket, head: list[tuple[bytes, bytes]], tail: bytes
-    ) -> Underway:
+    ) -> InFlightAttempt:
         """A stream that another process of this router has begun.
 
         OSError where its connection has ended, Fault where this process can't read its head: it is not taken.
@@ -114,15 +114,15 @@
         parser.feed(memoryview(b"HTTP/1.1 200 OK\r\n" + lines + b"\r\n"))
         connection = self._pool.adopt(attempt.endpoint, sock)
         attempt.connection = connection.number
-        underway = Underway(attempt, connection, parser)
+        underway = InFlightAttempt(attempt, connection, parser)
         underway.tail, underway.claimed = tail, True
         return underway
 
-    def carry_on(self, underway: Underway) -> None:
+    def resume_stream(self, underway: InFlightAttempt) -> None:
         """Go on with a stream that was taken over."""
         underway.attempt.greenlet = gevent.spawn(self._attempt, underway.attempt, underway)
 
-    def _attempt(self, attempt: Attempt, underway: Underway | None) -> None:
+    def _attempt(self, attempt: Attempt, underway: InFlightAttempt | None) -> None:
         outcome, kept, report = i.Outcome.RESET, 0, None
         try:
             outcome, kept, report = self._exchange(attempt) if underway is None else self._read(underway)
@@ -142,7 +142,7 @@
             unexpected("attempt", error)
         finally:
             # Also where the greenlet is killed: then the outcome stands already, and this one is ignored.
-            self._host.ended(attempt, outcome, kept, report)
+            self._host.end_attempt(attempt, outcome, kept, report)
 
     def _exchange(self, attempt: Attempt) -> tuple[i.Outcome, int, i.Report | None]:
         """Send the request and pass its stream on; any error after the last byte is a reset."""
@@ -151,23 +151,23 @@
             return moot, 0, None
         options = self._config.options
         parser = http1.ResponseParser(options.max_head, options.max_body)
-        return self._read(Underway(attempt, connection, parser))
+        return self._read(InFlightAttempt(attempt, connection, parser))
 
-    def _read(self, underway: Underway) -> tuple[i.Outcome, int, i.Report | None]:
+    def _read(self, underway: InFlightAttempt) -> tuple[i.Outcome, int, i.Report | None]:
         attempt, connection, parser = underway.attempt, underway.connection, underway.parser
         attempt.running, whole, reusable = underway, False, False
         try:
             reader = AnswerReader(parser, connection.sock, self._buffer, self._config.options)
-            while not parser.whole:
+            while not parser.complete:
                 reader.read()
                 if parser.status == 200 and not parser.framed():
                     # A head cut short: what is left of it would pass for events, and any end for the last.
                     raise http1.Fault(502, "a stream without an end")
-                if parser.status == 200 and not parser.fields.get(KIND, b"").lower().startswith(STREAM):
+                if parser.status == 200 and not parser.fields.get(KIND, b"").lower().startswith(EVENT_STREAM_TYPE):
                     # Guards against what an endpoint says unasked passing for the answer to this request.
                     raise http1.Fault(502, "a 200 that is no stream of events")
                 parts = underway.passable(parser.take_body())
-                if parser.status == 200 and (parts or (parser.whole and not underway.claimed)):
+                if parser.status == 200 and (parts or (parser.complete and not underway.claimed)):
                     if not underway.claimed:
                         if not self._host.claim(attempt):
                             return i.Outcome.CANCELLED, 0, None  # another attempt was first
@@ -180,7 +180,7 @@
                         whole = True  # for this process: only its descriptor is closed
                         return i.Outcome.CANCELLED, 0, None
             whole, reusable = True, parser.reusable
-            report = parse_load(parser.fields.get(LOAD, b"")) or tail_report(underway.tail)
+            report = parse_load(parser.fields.get(LOAD_HEADER, b"")) or tail_report(underway.tail)
             return self._outcome(attempt, parser), kept_tokens(underway.tail), report
         finally:
             attempt.running = None
@@ -192,7 +192,7 @@
     def _outcome(self, attempt: Attempt, parser: http1.ResponseParser) -> i.Outcome:
         if parser.status == 200:
             return i.Outcome.SERVED
-        if parser.status in (503, 504) and parser.fields.get(NOT_RUN) == b"1":
+        if parser.status in (503, 504) and parser.fields.get(UNPROCESSED_HEADER) == b"1":
             return i.Outcome.FULL
         log("endpoint_error", request=attempt.request.key, endpoint=attempt.endpoint, status=parser.status)
         return i.Outcome.REJECTED if parser.status in CLIENTS_FAULT else i.Outcome.ERROR
@@ -200,7 +200,7 @@
     def _write(self, attempt: Attempt) -> tuple[Connection | None, i.Outcome]:
         """A connection with the whole request written to it, or why there is none."""
         try:
-            connection = self._pool.take(attempt.endpoint)
+            connection = self._pool.acquire(attempt.endpoint)
         except http1.Shortage:
             raise
         except OSError as error:
@@ -278,11 +278,11 @@
         except Exception as error:
             unexpected("probe", error)
         finally:
-            self._host.probed(endpoint, outcome, self._host.now() - begun, report)
+            self._host.probe_done(endpoint, outcome, self._host.now() - begun, report)
 
     def _ask_load(self, endpoint: str) -> tuple[i.Outcome, i.Report | None]:
         try:
-            connection = self._pool.take(endpoint)
+            connection = self._pool.acquire(endpoint)
         except http1.Shortage:
             raise
         except OSError as error:
@@ -294,13 +294,13 @@
             path = b"/metrics/load" if self._config.load_probes else b"/alive"
             http1.send_pieces(connection.sock, http1.get_pieces(path, connection.address))
             parser, body = http1.ResponseParser(self._config.options.max_head), b""
-            while not parser.whole:
+            while not parser.complete:
                 parser.read(connection.sock, self._buffer)
                 body += b"".join(parser.take_body())
                 if len(body) > RECV:
                     raise http1.Fault(502, "load report too long")
             whole, reusable = True, parser.reusable
-            report = parse_load(body) or parse_load(parser.fields.get(LOAD, b""))
+            report = parse_load(body) or parse_load(parser.fields.get(LOAD_HEADER, b""))
             return probe_outcome(parser), report
         finally:
             if reusable:
@@ -318,5 +318,5 @@
     if parser.status == 200:
         return i.Outcome.SERVED
     if parser.status == 503:
-        return i.Outcome.FULL if parser.fields.get(NOT_RUN) == b"1" else i.Outcome.TIMEOUT
+        return i.Outcome.FULL if parser.fields.get(UNPROCESSED_HEADER) == b"1" else i.Outcome.TIMEOUT
     return i.Outcome.ERROR
--- a/spoolbarrow/net/engine_answer.py
+++ b/spoolbarrow/net/endpoint_response.py
@@ -21,14 +21,14 @@
 MOST_UNREAD = 1 << 20  # bytes in the kernel that are searched for a stream's end
 
 
-class Underway:
+class InFlightAttempt:
     """An attempt that was written, and its answer as far as it has come."""
 
     def __init__(self, attempt: Attempt, connection: Connection, parser: http1.ResponseParser) -> None:
         self.attempt, self.connection, self.parser = attempt, connection, parser
         self.tail = b""  # the last of what was passed on
         self.claimed = False  # its stream is the client's
-        self.passing = False  # on its way to another process of this router
+        self.handing_over = False  # on its way to another process of this router
         self._held: list[bytes] = []  # of a first event that is not whole yet
         self._held_bytes = 0
         self._held_end = b""  # its last bytes: an event's end may come in two pieces
@@ -46,18 +46,18 @@
         self._held += parts
         self._held_bytes += len(new)
         self._held_end = searched[1 - LONGEST_EVENT_END :]
-        if self.parser.whole or self._held_bytes >= MOST_HELD or any(end in searched for end in EVENT_ENDS):
+        if self.parser.complete or self._held_bytes >= MOST_HELD or any(end in searched for end in EVENT_ENDS):
             parts, self._held = self._held, []
             return parts
         return []
 
-    def stays(self) -> bool:
+    def must_finish(self) -> bool:
         """Whether it must not be broken off: its endpoint has finished it, or another process may have it.
 
         Guards streams whose clients read slowly: their ends stand unread in the kernel. One whose last event
         has come ends at once; a silent endpoint is noticed as ever.
         """
-        if self.passing or self.parser.whole or DONE in b"\n" + self.tail:
+        if self.handing_over or self.parser.complete or DONE in b"\n" + self.tail:
             return True
         try:
             unread = self.connection.sock.recv(MOST_UNREAD, MSG_PEEK) if self.connection.stale() else b""
@@ -84,7 +84,7 @@
     def read(self) -> None:
         """Parse what comes next; Fault where a piece does not end, TimeoutError where a stream stops."""
         parser = self._parser
-        begun = parser.in_chunk or parser.in_size or (parser.begun and not parser.headed)
+        begun = parser.in_chunk or parser.in_size or (parser.begun and not parser.head_complete)
         if begun:
             if self._piece != parser.pieces:
                 self._piece, self._left_s = parser.pieces, self._options.piece_ms / 1000
@@ -101,5 +101,5 @@
             if self._left_s <= 0 and self._piece == parser.pieces:
                 raise http1.Fault(502, "no end of a head or a chunk")
         else:
-            self._sock.settimeout(self._options.stream_silence_ms / 1000 if parser.headed else None)
+            self._sock.settimeout(self._options.stream_silence_ms / 1000 if parser.head_complete else None)
             parser.read(self._sock, self._buffer)
--- a/spoolbarrow/net/exchange.py
+++ b/spoolbarrow/net/exchange.py
@@ -105,7 +105,7 @@
         """A whole answer, written by a greenlet of its own: the caller must not wait for a slow client."""
         body = orjson.dumps({"error": {"message": reason, "code": status}}) if status != 200 else b"{}"
         closing = self._closing()
-        pieces = http1.answer_pieces(status, body, closing, *headers)
+        pieces = http1.response_pieces(status, body, closing, *headers)
         gevent.spawn(self._write_whole, pieces, closing)
 
     def pass_on(self, parts: list[bytes]) -> None:
--- a/spoolbarrow/net/failover.py
+++ b/spoolbarrow/net/failover.py
@@ -1,6 +1,6 @@
 """Failover on the sockets: outcomes heard through the taps, verdicts weighed each period, applied to the set.
 
-Owns the evidence that waits to be weighed (bounded: what comes beyond `MOST_HEARD` in one period is dropped
+Owns the evidence that waits to be weighed (bounded: what comes beyond `MAX_OUTCOMES` in one period is dropped
 and counted), the checks of endpoints in doubt (`MOST_CHECKS` at once; beyond it none is made, and the pure
 part names others later) and the last verdicts. The verdicts are the pure part's (`spoolbarrow.failover`);
 the destination set masks a failed zone's endpoints as a suspension does, and lists a returning zone's as
@@ -25,7 +25,7 @@
     from spoolbarrow.net.request import Attempt
     from spoolbarrow.operator import FailoverTable
 
-MOST_HEARD = 8192  # outcomes in one period
+MAX_OUTCOMES = 8192  # outcomes in one period
 FAILING = frozenset({i.Outcome.UNREACHABLE, i.Outcome.TIMEOUT, i.Outcome.RESET})  # no connection, or silence
 MOST_CHECKS = 16
 MAX_HEAD = 4096  # of a check's answer
@@ -50,16 +50,16 @@
     )
 
 
-class ZoneWatch(Observer):
-    """Hears outcomes of attempts and probes; `told` has the last verdicts by zone and region."""
+class ZoneMonitor(Observer):
+    """Hears outcomes of attempts and probes; `verdicts` has the last verdicts by zone and region."""
 
     def __init__(self, host: Host, table: FailoverTable) -> None:
         self._host, self._table = host, table
         self._verdicts = Verdicts(settings(table, host.config.settings.probing), host.config.zones)
         self._checks: set[gevent.Greenlet[..., None]] = set()
-        self._heard: list[Heard] = []
-        self.dropped = self._told_dropped = 0  # outcomes beyond MOST_HEARD in a period, and those logged
-        self.told: dict[str, Verdict] = {}
+        self._outcomes: list[Heard] = []
+        self.dropped = self._told_dropped = 0  # outcomes beyond MAX_OUTCOMES in a period, and those logged
+        self.verdicts: dict[str, Verdict] = {}
         host.taps.add(self)
         self._loop = gevent.spawn(self._run)
 
@@ -103,7 +103,7 @@
             with gevent.Timeout(limit), http1.connect(where, limit) as sock:
                 http1.send_pieces(sock, http1.get_pieces(b"/alive", where))
                 parser, buffer = http1.ResponseParser(MAX_HEAD), bytearray(MAX_HEAD)
-                while not parser.headed:
+                while not parser.head_complete:
                     parser.read(sock, buffer)
                 well = True
         except http1.Shortage:  # nothing was asked
@@ -114,8 +114,8 @@
         self._hear(Heard(endpoint, now, well, now - begun if well else -1.0))
 
     def _hear(self, heard: Heard) -> None:
-        if len(self._heard) < MOST_HEARD:
-            self._heard.append(heard)
+        if len(self._outcomes) < MAX_OUTCOMES:
+            self._outcomes.append(heard)
         else:
             self.dropped += 1
 
@@ -123,15 +123,15 @@
         while True:
             gevent.sleep(self._table.period_ms / 1000)
             try:
-                self.weigh(self._host.now())
+                self.evaluate(self._host.now())
             except Exception as error:  # never into serving: the zones stay as last told
                 unexpected("failover", error)
 
-    def weigh(self, now: float) -> None:
+    def evaluate(self, now: float) -> None:
         """Weigh what was heard since the last time, and apply the verdicts that changed."""
         destinations = self._host.destinations
         listing = destinations.listing()
-        heard, self._heard = self._heard, []
+        heard, self._outcomes = self._outcomes, []
         if self.dropped > self._told_dropped:
             log("failover_dropped", outcomes=self.dropped - self._told_dropped, since_start=self.dropped)
             self._told_dropped = self.dropped
@@ -144,10 +144,10 @@
                 check.link(self._checks.discard)
         out, back = masks(told, listing)
         for name, verdict in told.items():
-            last = self.told.get(name)
+            last = self.verdicts.get(name)
             if last is None or last.state is not verdict.state:
                 log("failover", place=name, state=verdict.state.value, reason=verdict.reason)
-        self.told = told
+        self.verdicts = told
         shown: dict[str, dict[str, object]] = {
             name: {"state": v.state.value, "reason": v.reason, "since_ms": v.since_ms, "share": v.share}
             for name, v in told.items()
--- a/spoolbarrow/net/fleet_part.py
+++ b/spoolbarrow/net/fleet_part.py
@@ -24,7 +24,7 @@
 class Telling(Protocol):
     """A part that has something to tell operators."""
 
-    def tell(self) -> dict[str, object]:
+    def status(self) -> dict[str, object]:
         """As JSON."""
         ...
 
@@ -108,7 +108,7 @@
             return None
         return self._adopted.number, digest([self._adopted.epoch, self._adopted.body])
 
-    def tell(self) -> dict[str, object]:
+    def status(self) -> dict[str, object]:
         """Its lease and decision, and what the part itself tells."""
         seen, adopted = self.claim.seen, self._adopted
         standing = None if seen is None else seen.standing
@@ -119,7 +119,7 @@
             "number": None if adopted is None else adopted.number,
             "refused": self._acting.refused,
             "silent": self.silent_since > 0,
-            **(self.part.tell() if isinstance(self.part, Telling) else {}),
+            **(self.part.status() if isinstance(self.part, Telling) else {}),
         }
 
     def _part_adopts(self, now: float, body: bytes | None) -> bool:
--- a/spoolbarrow/net/host.py
+++ b/spoolbarrow/net/host.py
@@ -21,8 +21,8 @@
 from spoolbarrow.config import Config, HostList
 from spoolbarrow.net.clock import Clock
 from spoolbarrow.net.destinations import DestinationSet
-from spoolbarrow.net.endpoint import Endpoints
-from spoolbarrow.net.engine_answer import Underway
+from spoolbarrow.net.endpoint_client import EndpointClient
+from spoolbarrow.net.endpoint_response import InFlightAttempt
 from spoolbarrow.net.fairness import give_way
 from spoolbarrow.net.http1 import Message
 from spoolbarrow.net.inbox import Inbox
@@ -63,7 +63,7 @@
         self.taps = Taps()
         self.fleet: InCommon | None = None  # where the store is followed; versions are told of it
         self.destinations = DestinationSet(config, self._post, self._endpoint_left, self.now)
-        self._endpoints = Endpoints(config, self.destinations, self)
+        self._endpoints = EndpointClient(config, self.destinations, self)
         self._router = Router(config.settings, config.seed)
         self._decider: Decider = self._router
         self._requests: dict[str, Request] = {}
@@ -83,7 +83,7 @@
             i.Subscribe: self._subscribe,
         }
         self._loop: gevent.Greenlet[[], None] | None = None
-        self.give: Callable[[Underway], bool] | None = None  # where streams go to another process
+        self.hand_over: Callable[[InFlightAttempt], bool] | None = None  # where streams go to another process
 
     def start(
         self,
@@ -100,7 +100,7 @@
             self.destinations.hear_first()  # the decisions expect news unasked
         self._loop = gevent.spawn(self._run)
 
-    def decides(self) -> bool:
+    def is_deciding(self) -> bool:
         """Whether what is taken is decided on: not while a first list is waited for."""
         return self._loop is not None
 
@@ -111,7 +111,7 @@
         self._endpoints.apply(config)
         self.destinations.apply(config)
 
-    def endpoints(self) -> Endpoints:
+    def endpoints(self) -> EndpointClient:
         """Who carries attempts out."""
         return self._endpoints
 
@@ -135,24 +135,24 @@
         """Requests that were taken and are not answered whole."""
         return sum(not request.over for request in self._requests.values())
 
-    def engines(self) -> tuple[int, int]:
+    def endpoint_counts(self) -> tuple[int, int]:
         """How many endpoints are listed, and how many of them get nothing now, by hand or by choice."""
         now, pool = self.now(), self._router.pool.replicas
         listed = self.destinations.names()
         chosen = {name for name, replica in pool.items() if now < replica.suspect_until}
         return len(listed), sum(name in chosen or self.destinations.suspended(name) for name in listed)
 
-    def decide_through(self, make: Callable[[Router], Decider] | None) -> None:
+    def set_decider(self, make: Callable[[Router], Decider] | None) -> None:
         """Put something before the decisions from the next batch on; None: nothing."""
         self._decider = self._router if make is None else make(self._router)
 
-    def ask_again(self, events: list[i.RequestArrived]) -> None:
+    def resubmit(self, events: list[i.RequestArrived]) -> None:
         """Requests that were taken and not decided on; not those whose clients have gone meanwhile."""
         for event in events:
             if event.request in self._requests:
                 self._post(event)
 
-    def request(self, key: str) -> Request | None:
+    def find_request(self, key: str) -> Request | None:
         """One that is open, by the host's name for it."""
         return self._requests.get(key)
 
@@ -190,7 +190,7 @@
             return
         self._settle(request, "left")
         if request.stream is not None:
-            self.ended(request.stream, i.Outcome.CANCELLED)
+            self.end_attempt(request.stream, i.Outcome.CANCELLED)
         self._post(i.RequestGone(request.key))
         self._forget(request)
 
@@ -202,11 +202,11 @@
         for request in [r for r in self._requests.values() if r.stream is not None and not r.over]:
             stream = request.stream
             assert stream is not None
-            if stream.running is not None and stream.running.stays():
+            if stream.running is not None and stream.running.must_finish():
                 continue
             self._settle(request, "moved")
             request.answer.abort()
-            self.ended(stream, i.Outcome.CANCELLED)
+            self.end_attempt(stream, i.Outcome.CANCELLED)
 
     def answer_all(self, retry_after_ms: float) -> None:
         """Give what waits for its first event its final answer: refused where no endpoint can have run it."""
@@ -252,7 +252,7 @@
         self._post(i.StreamStarted(request.key, attempt.number, attempt.endpoint, lag))
         return True
 
-    def ended(
+    def end_attempt(
         self, attempt: Attempt, outcome: i.Outcome, kept: int = 0, report: i.Report | None = None
     ) -> None:
         """The one outcome of an attempt; a later one is ignored."""
@@ -278,15 +278,15 @@
         self._forget(request)
         attempt.stop()
 
-    def passes(self, underway: Underway) -> bool:
+    def passes(self, underway: InFlightAttempt) -> bool:
         """Whether a stream has just gone to another process of this router."""
-        return self.give is not None and self.give(underway)
+        return self.hand_over is not None and self.hand_over(underway)
 
-    def given(self, attempt: Attempt) -> None:
+    def stream_handed_over(self, attempt: Attempt) -> None:
         """Another process has taken this stream over: nothing more of it is told here."""
         if not attempt.request.over:
             self._settle(attempt.request, "given")
-        self.ended(attempt, i.Outcome.CANCELLED)
+        self.end_attempt(attempt, i.Outcome.CANCELLED)
 
     def take_over(
         self, stream: Taken, facts: i.RequestArrived, answer: Answer, connection: int
@@ -313,7 +313,7 @@
         if self.taps.active:
             self.taps.request_taken(request, facts)
 
-    def probed(self, endpoint: str, outcome: i.Outcome, lag: float, report: i.Report | None) -> None:
+    def probe_done(self, endpoint: str, outcome: i.Outcome, lag: float, report: i.Report | None) -> None:
         """The result of a probe."""
         if self.taps.active:
             if report is not None:
@@ -412,7 +412,7 @@
         if request is None or request.stream is not None:
             return
         for attempt in list(request.attempts):
-            self.ended(attempt, i.Outcome.TIMEOUT)
+            self.end_attempt(attempt, i.Outcome.TIMEOUT)
         if not request.over:
             # Not sooner: the decisions hear of the deadline in this tick and mostly answer in the next.
             patience = min(OVERDUE_TICKS * self.config.settings.tick_ms, OVERDUE_MS)
@@ -435,18 +435,18 @@
         attempt = Attempt(request, len(request.attempts), action.replica, self.now())
         request.attempts.append(attempt)
         if len(request.attempts) > request.max_attempts or not self.may_send(attempt):
-            return self.ended(attempt, i.Outcome.MOOT)
+            return self.end_attempt(attempt, i.Outcome.MOOT)
         if action.max_wait_ms > 0:
             self._at(attempt.sent_at + action.max_wait_ms, lambda: self._expire(attempt))
         try:
             self._endpoints.send(attempt)
         except Exception as error:
             unexpected("send", error)
-            self.ended(attempt, i.Outcome.MOOT)  # else its request would wait for its deadline
+            self.end_attempt(attempt, i.Outcome.MOOT)  # else its request would wait for its deadline
 
     def _expire(self, attempt: Attempt) -> None:
         if attempt.request.stream is not attempt:
-            self.ended(attempt, i.Outcome.TIMEOUT)
+            self.end_attempt(attempt, i.Outcome.TIMEOUT)
 
     def _fail_fast(self, action: i.Refuse) -> None:
         request = self._requests.get(action.request)
@@ -478,7 +478,7 @@
         if request is not None and action.attempt < len(request.attempts):
             attempt = request.attempts[action.attempt]
             if request.stream is not attempt:
-                self.ended(attempt, i.Outcome.CANCELLED)
+                self.end_attempt(attempt, i.Outcome.CANCELLED)
 
     def _probe(self, action: i.Probe) -> None:
         self._endpoints.probe(action.replica)
--- a/spoolbarrow/net/http1.py
+++ b/spoolbarrow/net/http1.py
@@ -56,7 +56,7 @@
         self._max_head, self._max_chunk = max_head, max_chunk
         self.status = 0
         self.fields: dict[bytes, bytes] = {}
-        self.headed = self.whole = self.reusable = False
+        self.head_complete = self.complete = self.reusable = False
         self.begun = False  # its head has begun
         self.in_chunk = False  # a chunk was announced whose end has not come
         self.between = False  # what was fed ended where a chunk or the head did
@@ -71,20 +71,20 @@
 
     def feed(self, data: memoryview) -> None:
         """Parse what came next; a Fault says that this is no answer."""
-        if not self.headed:
+        if not self.head_complete:
             self._head += len(data)
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
-            if not self.whole:
+            if not self.complete:
                 if isinstance(error.__context__, Fault):
                     raise error.__context__ from error
                 raise Fault(502, f"malformed answer: {error}") from error
             self.reusable = False  # the answer came whole; what follows it is nobody's
-        if not self.headed and self._head > self._max_head:
+        if not self.head_complete and self._head > self._max_head:
             raise Fault(502, "head too large")
         self._last = (self._last + bytes(data[-2:]))[-2:]
-        outside = self.headed and not (self.in_chunk or self.whole)
+        outside = self.head_complete and not (self.in_chunk or self.complete)
         self.between = outside and self._last == b"\r\n"
         had, self.in_size = self.in_size, outside and not self.between and b"transfer-encoding" in self.fields
         self.pieces += self.in_size and not had
@@ -106,9 +106,9 @@
 
     def end(self) -> None:
         """The connection ended: an answer without a length is whole now, any other is broken."""
-        if not self.headed or (self.framed() and not self.whole):
+        if not self.head_complete or (self.framed() and not self.complete):
             raise ConnectionResetError("the connection ended inside an answer")
-        self.whole, self.reusable = True, False
+        self.complete, self.reusable = True, False
 
     def framed(self) -> bool:
         """Whether its head tells where it ends."""
@@ -121,21 +121,21 @@
 
     def on_message_begin(self) -> None:
         """httptools: an answer's first byte; a second one on one request is a fault."""
-        if self.whole:
+        if self.complete:
             raise Fault(502, "bytes after the answer")
         self.begun = True
         self.pieces += 1
 
     def on_header(self, name: bytes, value: bytes | None) -> None:
         """httptools: one whole field."""
-        if not self.headed:
+        if not self.head_complete:
             self.fields[name.lower()] = without_padding(value)
 
     def on_headers_complete(self) -> None:
         """httptools: the head is whole; an interim one (1xx) is skipped."""
         status = self._parser.get_status_code()
         if status >= 200:
-            self.status, self.headed = status, True
+            self.status, self.head_complete = status, True
 
     def on_chunk_header(self) -> None:
         """httptools: a chunk's size."""
@@ -155,8 +155,8 @@
 
     def on_message_complete(self) -> None:
         """httptools: the answer is whole, unless it was an interim one."""
-        if self.headed:
-            self.whole, self.reusable = True, self._parser.should_keep_alive()
+        if self.head_complete:
+            self.complete, self.reusable = True, self._parser.should_keep_alive()
         else:
             self.begun, self.fields = False, {}
 
@@ -165,7 +165,7 @@
     return b"%s:%d" % (address[0].encode(), address[1])
 
 
-def polled(sock: socket, events: int) -> int:
+def poll_now(sock: socket, events: int) -> int:
     """Which of poll's `events`, or an end or error, a connection tells of now; 0 for none. Never waits."""
     watched = select.poll()  # not select: that fails on descriptors of 1,024 and more
     watched.register(sock.fileno(), events)
@@ -235,7 +235,7 @@
     return [b"GET ", target, b" HTTP/1.1\r\nHost: ", _host(address), b"\r\n\r\n"]
 
 
-def answer_pieces(
+def response_pieces(
     status: int, body: bytes, close: bool, *headers: bytes, kind: bytes = b"application/json"
 ) -> list[bytes]:
     """A whole answer; its body is JSON unless `kind` says what else."""
@@ -251,10 +251,10 @@
     """Write all pieces in as few calls as the kernel takes; blocks its greenlet, raises OSError."""
     rest: list[bytes | memoryview] = [piece for piece in pieces if piece]
     while rest:
-        remove_sent(rest, sock.sendmsg(rest[:IOV_MAX]))
+        drop_sent(rest, sock.sendmsg(rest[:IOV_MAX]))
 
 
-def remove_sent(rest: list[bytes | memoryview], sent: int) -> None:
+def drop_sent(rest: list[bytes | memoryview], sent: int) -> None:
     """Take so many bytes off the front of what is still to be written."""
     done = 0
     while done < len(rest) and sent >= len(rest[done]):
--- a/spoolbarrow/net/inbound.py
+++ b/spoolbarrow/net/inbound.py
@@ -83,7 +83,7 @@
         """Whether clients may be sent here."""
         drains = self.drainer.state
         ending = drains.ends() and not drains.succeeded()
-        return self.host.decides() and not (ending or drains.called()) and self.host.destinations.usable()
+        return self.host.is_deciding() and not (ending or drains.called()) and self.host.destinations.any_serving()
 
     def drained(self) -> bool:
         """Whether an operator drained this router by hand."""
@@ -91,7 +91,7 @@
 
     def able(self) -> bool:
         """Whether this process could serve; also where operators' words keep clients or endpoints from it."""
-        return not self.drainer.state.ends() and self.host.destinations.told_usable()
+        return not self.drainer.state.ends() and self.host.destinations.any_listed_serving()
 
     def drain_by_call(self, passed_ms: float = 0.0) -> None:
         """Have no clients until `activate`, as an operator said, or said so long ago.
--- a/spoolbarrow/net/last_answer.py
+++ b/spoolbarrow/net/last_answer.py
@@ -43,6 +43,6 @@
 
 def _leave_unread(sock: socket.socket) -> None:
     looks = 0
-    while looks < LOOKS and not http1.polled(sock, ENDED) & ENDED:
+    while looks < LOOKS and not http1.poll_now(sock, ENDED) & ENDED:
         gevent.sleep(LOOK_S)
         looks += not tcpinfo.awaits_peer(sock)
--- a/spoolbarrow/net/load_report.py
+++ b/spoolbarrow/net/load_report.py
@@ -7,7 +7,7 @@
 from spoolbarrow import interface as i
 from spoolbarrow.wire import load_report
 
-LOAD = b"x-backend-load"  # the header of an answer that tells it
+LOAD_HEADER = b"x-backend-load"  # the header of an answer that tells it
 MAX_LOAD = 1e6  # nothing that is reported is larger
 SHORT_NAMES = {"util": "load_share", "queue": "depth"}  # as sockets name them: the settings' names
 
--- a/spoolbarrow/net/overflow.py
+++ b/spoolbarrow/net/overflow.py
@@ -18,7 +18,7 @@
 LINGER_MS = 500.0  # a client that was told so may still be sending so long, where nobody else must be told
 LOG_MS = 5000.0  # between lines of the log about it
 REFUSAL = b"".join(
-    http1.answer_pieces(
+    http1.response_pieces(
         503, orjson.dumps({"error": {"message": "no room for more connections", "code": 503}}), True,
         b"Retry-After: 1",
     )
--- a/spoolbarrow/net/pools.py
+++ b/spoolbarrow/net/pool_split.py
@@ -1,7 +1,7 @@
 """The pool's split on the sockets: requests are noted, and what is decided is told; it steers nothing.
 
 Owns the adapter between a host and `spoolbarrow.pools`, a part of the fleet's decisions: an observer of the
-taps that notes prompts, answers, paces and reports, bounded (`MOST_OPEN` requests, `TAIL` bytes of each), and
+taps that notes prompts, answers, paces and reports, bounded (`MAX_TRACKED_REQUESTS` requests, `TAIL` bytes of each), and
 what operators are told of the split. It may neither wait nor raise into serving. A decision is made in the
 follower's own greenlet, which gives way to serving between its pieces; that and every word to the store are
 the follower's. The decisions about requests do not use the split.
@@ -26,7 +26,7 @@
     from spoolbarrow.net.request import Attempt, Request
     from spoolbarrow.operator import FleetTable
 
-MOST_OPEN = 20_000  # requests followed at a time; one beyond is not noted
+MAX_TRACKED_REQUESTS = 20_000  # requests followed at a time; one beyond is not noted
 TAIL = 1024  # bytes kept of a stream's end, where it tells its usage
 MOST_TYPE = 64  # characters of an engine type's name
 MOST_TOKENS = 1e6  # an answer that tells more tells nothing
@@ -65,7 +65,7 @@
         self.tail = b""
 
 
-def usage(tail: bytes) -> Usage | None:
+def parse_usage(tail: bytes) -> Usage | None:
     """The usage at a stream's end; None where it tells none that can be."""
     at = tail.rfind(b'"usage"')
     start = tail.rfind(b"data:", 0, at) if at >= 0 else -1
@@ -78,7 +78,7 @@
     return found if found is not None and 0 <= found.completion_tokens <= MOST_TOKENS else None
 
 
-class Split(Observer):
+class PoolSplit(Observer):
     """The part, as the follower has it; `watch` gives it its host."""
 
     kind = "pools"
@@ -90,12 +90,12 @@
         self._named: object = None  # classes and tenants by which the notes count
         self._config: object = None  # as it was last looked at
         self._listing: object = None  # of which the engines are
-        self._open: dict[str, _Open] = {}
+        self._tracked: dict[str, _Open] = {}
         self._decided_at = -1e18
         self._decisions = 0  # made here
         self._decided: dict[str, object] | None = None  # of the last of them
         self._plan: split.Plan | None = None  # as it was last adopted, one without a split as well
-        self.unnoted = 0  # requests beyond MOST_OPEN
+        self.untracked = 0  # requests beyond MAX_TRACKED_REQUESTS
 
     # The follower's side
 
@@ -112,7 +112,7 @@
         if self._host is not None:
             self._host.taps.remove(self)
         self._host = None
-        self._open.clear()
+        self._tracked.clear()
 
     def summary(self, now: float) -> bytes:
         """What this router has seen."""
@@ -147,7 +147,7 @@
             log("fleet_split", readers=readers, engines=len(self._pools.engines), why=why)
         return adopted
 
-    def tell(self) -> dict[str, object]:
+    def status(self) -> dict[str, object]:
         """The split that stands, or why there is none, and this router's own evidence."""
         pools, plan, seen = self._pools, self._plan, self._pools.notes.seen
         stands = None
@@ -169,7 +169,7 @@
                 "asked": round(sum(cell.weight() for cell in cells), 1),
                 "answered": round(sum(cell.answered for cell in cells), 1),
                 "late": round(sum(cell.late for cell in cells), 1),
-                "types": sorted(seen.paces), "open": len(self._open), "unnoted": self.unnoted,
+                "types": sorted(seen.paces), "open": len(self._tracked), "unnoted": self.untracked,
             },
         }  # fmt: skip
 
@@ -210,14 +210,14 @@
         """Followed from here on, if its prompt is told: that of a stream taken over from a process is not."""
         if facts.prompt_tokens <= 0:
             return
-        if len(self._open) >= MOST_OPEN:
-            self.unnoted += 1
+        if len(self._tracked) >= MAX_TRACKED_REQUESTS:
+            self.untracked += 1
             return
-        self._open[request.key] = _Open(facts)
+        self._tracked[request.key] = _Open(facts)
 
     def passed_on(self, request: Request, parts: list[bytes]) -> None:
         """Events are counted, and the end kept."""
-        one = self._open.get(request.key)
+        one = self._tracked.get(request.key)
         if one is not None:
             for part in parts:
                 one.events += part.count(b"data:")
@@ -225,7 +225,7 @@
 
     def request_answered(self, request: Request) -> None:
         """Noted, whatever became of it; not where its numbers stand for other classes or tenants by now."""
-        one = self._open.pop(request.key, None)
+        one = self._tracked.pop(request.key, None)
         if one is None or self._host is None:
             return
         if self._host.config is not self._config:
@@ -247,7 +247,7 @@
 
     def request_over(self, request: Request, now: float) -> None:
         """Guards the table: whatever ends here is followed no more."""
-        self._open.pop(request.key, None)
+        self._tracked.pop(request.key, None)
 
     def probe_answered(self, endpoint: str, report: i.Report) -> None:
         """How full an engine is."""
@@ -256,7 +256,7 @@
             self._pools.notes.report(self._host.now(), kind, report.busy_share, report.memory_share)
 
     def _served(self, now: float, request: Request, one: _Open, stream: Attempt) -> None:
-        facts, notes, told = one.facts, self._pools.notes, usage(one.tail)
+        facts, notes, told = one.facts, self._pools.notes, parse_usage(one.tail)
         kept = told.prompt_tokens_details if told is not None else None
         tokens = told.completion_tokens if told is not None and told.completion_tokens else one.events
         unread = max(0.0, float(facts.prompt_tokens - (kept.cached_tokens if kept is not None else 0)))
--- a/spoolbarrow/net/request.py
+++ b/spoolbarrow/net/request.py
@@ -114,7 +114,7 @@
 class Running(Protocol):
     """An attempt's answer while it is read."""
 
-    def stays(self) -> bool:
+    def must_finish(self) -> bool:
         """Whether it must not be broken off now."""
 
 
--- a/spoolbarrow/net/request_writing.py
+++ b/spoolbarrow/net/request_writing.py
@@ -37,13 +37,13 @@
             if not may_go_on():
                 return False
         else:
-            http1.remove_sent(rest, sent)
+            http1.drop_sent(rest, sent)
     return True
 
 
 def await_sent(sock: socket, may_go_on: Callable[[], bool]) -> bool:
     """Wait until the kernel has sent all that it was handed, or an answer has come; whether either came."""
-    while tcpinfo.unsent(sock) and not http1.polled(sock, select.POLLIN):
+    while tcpinfo.unsent(sock) and not http1.poll_now(sock, select.POLLIN):
         gevent.sleep(UNSENT_LOOK_S)
         # Looked at again: from the caller's word to the close nothing must leave.
         if not may_go_on() and tcpinfo.unsent(sock):
--- a/spoolbarrow/net/shared_documents.py
+++ b/spoolbarrow/net/shared_documents.py
@@ -72,7 +72,7 @@
                 found[key] = (shared.newest.revision, digest(acts))
         return found
 
-    def tell(self, now: float) -> dict[str, object]:
+    def status(self, now: float) -> dict[str, object]:
         """By document: its revision, the mode it is applied in, and how many versions were unreadable."""
         return {
             key: {
--- a/spoolbarrow/net/store_client.py
+++ b/spoolbarrow/net/store_client.py
@@ -85,7 +85,7 @@
         self._members = [address("fleet.members", text) for text in table.members]
         self._next_read = self._next_write = self._random.randrange(len(self._members))
 
-    def tell(self) -> dict[str, str]:
+    def status(self) -> dict[str, str]:
         """By member, why it could not be read from; empty where it could."""
         return {self._names[n]: self._errors.get(where, "") for n, where in enumerate(self._members)}
 
@@ -162,7 +162,7 @@
         try:
             with gevent.Timeout(seconds), http1.connect(where, seconds) as sock:
                 http1.send_pieces(sock, [head % (method, target.encode(), len(body)), body])
-                while not parser.whole:
+                while not parser.complete:
                     parser.read(sock, buffer)
                     came = parser.take_body()
                     parts += came
--- a/spoolbarrow/net/follow.py
+++ b/spoolbarrow/net/store_follower.py
@@ -5,7 +5,7 @@
 was no word for too long. No request waits for either. What is decided, and by whom, is decided in
 `spoolbarrow.fleet`, which is pure.
 
-The calls are in `store_client`, what is written in `fleet_writing`, and what documents do to the router in
+The calls are in `store_client`, what is written in `fleet_writer`, and what documents do to the router in
 `shared_documents` and `fleet_part`.
 """
 
@@ -24,7 +24,7 @@
 from spoolbarrow.fleet import lease
 from spoolbarrow.fleet.evidence import incarnation
 from spoolbarrow.net.fleet_part import FleetPart
-from spoolbarrow.net.fleet_writing import FleetWriter
+from spoolbarrow.net.fleet_writer import FleetWriter
 from spoolbarrow.net.log import log, unexpected
 from spoolbarrow.net.shared_documents import SharedDocuments
 from spoolbarrow.net.store_client import Document, MemberUnavailable, StoreClient
@@ -39,7 +39,7 @@
 MIN_PAUSE_MS = 10.0
 
 
-class Follower:
+class StoreFollower:
     """Follows the store for one process; `changed` is called when shares were applied anew."""
 
     def __init__(self, host: Host, table: FleetTable, changed: Callable[[], None]) -> None:
@@ -109,17 +109,17 @@
                 found[f"fleet/{kind}"] = version
         return found
 
-    def tell(self) -> dict[str, object]:
+    def status(self) -> dict[str, object]:
         """How it goes."""
         now = self._host.now()
         return {
             "word_ms": round(now - self._word_at) if self._word_at > 0 else None,
             "upto": self._after,
-            "members": self._store.tell(),
+            "members": self._store.status(),
             "dropped": self._dropped,
-            "documents": self._shared.tell(now),
+            "documents": self._shared.status(now),
             "balancers": self._host.config.settings.nodes,
-            "parts": {kind: held.tell() for kind, held in self._parts.items()},
+            "parts": {kind: held.status() for kind, held in self._parts.items()},
         }
 
     # The loops
--- a/spoolbarrow/net/agreement.py
+++ b/spoolbarrow/net/version_monitor.py
@@ -24,7 +24,7 @@
 OWN = ("node", "zone")  # of the settings: each router's own
 
 
-def of_files(config: Config, operator: Operator) -> dict[Item, str]:
+def file_digests(config: Config, operator: Operator) -> dict[Item, str]:
     """The digests of what both files say, as it was understood."""
     settings: dict[str, Any] = to_builtins(config.settings)
     shares = settings.pop("tenants")
@@ -39,7 +39,7 @@
     }
 
 
-class Files(Protocol):
+class ConfigFiles(Protocol):
     """Who reads both files, as at SIGHUP."""
 
     def check(self) -> tuple[dict[Item, str], int]:
@@ -102,27 +102,27 @@
     remedy = "Raise `agree.revision` with each change, also where old contents come back."
 
 
-class Agreement:
+class VersionMonitor:
     """The ledger of one process, looked at each period."""
 
-    def __init__(self, host: Surroundings, gate: Gate, operator: Operator, files: Files) -> None:
+    def __init__(self, host: Surroundings, gate: Gate, operator: Operator, files: ConfigFiles) -> None:
         self._host, self._gate, self._files = host, gate, files
         self.ledger = Ledger()
         self._listing: object = None
         self.apply(operator)
         self._loop = gevent.spawn(self._run)
 
-    def refuse(self, config: Config, operator: Operator) -> None:
+    def check_revision(self, config: Config, operator: Operator) -> None:
         """Outdated where these files must not be acted on after those that are."""
         assert operator.agree is not None
-        if why := self.ledger.refused(operator.agree.revision, of_files(config, operator)):
+        if why := self.ledger.refused(operator.agree.revision, file_digests(config, operator)):
             raise Outdated(why)
 
     def apply(self, operator: Operator) -> None:
         """These files are acted on from now on."""
         assert operator.agree is not None
         self._table = operator.agree
-        for item, contents in of_files(self._host.config, operator).items():
+        for item, contents in file_digests(self._host.config, operator).items():
             self._note(item, self._table.revision, contents)
 
     def stop(self) -> None:
@@ -161,12 +161,12 @@
             elif self.ledger.versions.pop(item, None) is not None:
                 log("version", item=item.value, number=0, digest="")
 
-    def tell(self) -> dict[str, Any]:
+    def status(self) -> dict[str, Any]:
         """Every version as it is now, for an operator."""
         self.look()
         fleet = self._host.fleet
         return {
-            **({} if fleet is None else {"fleet": fleet.tell()}),
+            **({} if fleet is None else {"fleet": fleet.status()}),
             "agree": "on",
             "router": self._host.config.name,
             "within_s": self._table.within_s,
--- a/spoolbarrow/operator.py
+++ b/spoolbarrow/operator.py
@@ -183,7 +183,7 @@
 
 PARTS = {  # by name: module and class, loaded where it is on
     "roll": "spoolbarrow.fleet.roll:Roll",
-    "pools": "spoolbarrow.net.pools:Split",
+    "pools": "spoolbarrow.net.pool_split:PoolSplit",
 }
 
 
--- a/spoolbarrow/reload.py
+++ b/spoolbarrow/reload.py
@@ -101,12 +101,12 @@
     @staticmethod
     def _contents(files: FilesRead) -> tuple[dict[Item, str], int]:
         operator = files.prepared.operator
-        from spoolbarrow.net.agreement import of_files
+        from spoolbarrow.net.version_monitor import file_digests
 
         if operator is None or operator.agree is None:
             remedy = "Keep the table `[agree]` in the operator's file."
             raise config.ConfigError("agree", "missing", remedy)
-        return of_files(files.settings, operator), operator.agree.revision
+        return file_digests(files.settings, operator), operator.agree.revision
 
     def reload(self, wanted: str = "") -> Problem | None:
         """Go by the configuration files as they are now, where they have the digest `wanted` or any will do.
--- a/spoolbarrow/shadow/copier.py
+++ b/spoolbarrow/shadow/copier.py
@@ -22,9 +22,9 @@
 from spoolbarrow import interface as i
 from spoolbarrow.config import Address, CannotWrite, Config, ConfigError, address
 from spoolbarrow.net import http1
-from spoolbarrow.net.endpoint import NOT_RUN, STREAM
+from spoolbarrow.net.endpoint_client import UNPROCESSED_HEADER, EVENT_STREAM_TYPE
 from spoolbarrow.net.host import Host
-from spoolbarrow.net.load_report import LOAD, parse_load
+from spoolbarrow.net.load_report import LOAD_HEADER, parse_load
 from spoolbarrow.net.log import log, unexpected
 from spoolbarrow.net.request import Attempt, Request
 from spoolbarrow.net.taps import Observer
@@ -165,7 +165,7 @@
         """Go by other settings; with a share of 0 every copy ends now."""
         self._prepared, table = prepared, prepared.table
         self._act(self._decider.configure(self._host.now(), prepared.limits))
-        self._host.destinations.set_aside(table.candidate_type, table.candidate_group, self._pooled)
+        self._host.destinations.exclude(table.candidate_type, table.candidate_group, self._pooled)
         if self._writer is not None and str(self._writer.directory) != table.directory:
             gevent.spawn(self._writer.close, CLOSE_S)
             self._writer = None
@@ -177,7 +177,7 @@
         self._host.taps.remove(self)
         self._ticker.kill()
         self._act(self._decider.stop(self._host.now()))
-        self._host.destinations.set_aside("", -1, lambda entries: None)
+        self._host.destinations.exclude("", -1, lambda entries: None)
         self._pairs.clear()
         self._say()
 
@@ -300,18 +300,18 @@
     def _read(self, key: str, sock: socket, pair: _Pair, engine: str, most: int) -> None:
         options = self._host.config.options
         parser, buffer, size = http1.ResponseParser(options.max_head, most), bytearray(RECV), 0
-        while not parser.whole:
+        while not parser.complete:
             parser.read(sock, buffer)
             parts = parser.take_body()
             size += sum(map(len, parts))
             if size > most:
                 raise Failed("answer too large")
-            if parser.headed and parser.status != 200:
+            if parser.head_complete and parser.status != 200:
                 if parser.status in (400, 404, 405, 413, 422):
                     raise Moot(f"answered {parser.status}")  # its client's fault, not the candidate's
-                full = parser.status in (503, 504) and parser.fields.get(NOT_RUN) == b"1"
+                full = parser.status in (503, 504) and parser.fields.get(UNPROCESSED_HEADER) == b"1"
                 raise Failed("turned away" if full else f"answered {parser.status}")
-            if parser.headed and not parser.fields.get(b"content-type", b"").lower().startswith(STREAM):
+            if parser.head_complete and not parser.fields.get(b"content-type", b"").lower().startswith(EVENT_STREAM_TYPE):
                 raise Failed("no stream of events")
             if parts:
                 now = self._host.now()
@@ -319,7 +319,7 @@
                     self._act(self._decider.handle(now, [decide.Started(key)]))
                 pair.copy.feed(b"".join(parts), now - pair.copy_sent)
                 gevent.sleep(READ_PAUSE_S if size > most // 4 else 0)
-        report = parse_load(parser.fields.get(LOAD, b""))
+        report = parse_load(parser.fields.get(LOAD_HEADER, b""))
         if report is not None and report.unread_tokens >= 0:
             told = decide.Report(engine, report.unread_tokens)
             self._act(self._decider.handle(self._host.now(), [told]))
--- a/spoolbarrow/subsystems.py
+++ b/spoolbarrow/subsystems.py
@@ -24,9 +24,9 @@
     from spoolbarrow.door.keeper import Keeper
     from spoolbarrow.flows import exporter
     from spoolbarrow.flows.exporter import Exporter
-    from spoolbarrow.net.agreement import Agreement, Files
-    from spoolbarrow.net.failover import ZoneWatch
-    from spoolbarrow.net.follow import Follower
+    from spoolbarrow.net.version_monitor import VersionMonitor, ConfigFiles
+    from spoolbarrow.net.failover import ZoneMonitor
+    from spoolbarrow.net.store_follower import StoreFollower
     from spoolbarrow.operator import FailoverTable, FleetTable, Operator
     from spoolbarrow.shadow import copier
     from spoolbarrow.shadow.copier import Copier
@@ -83,7 +83,7 @@
 class Subsystems:
     """All subsystems of one router."""
 
-    def __init__(self, host: Host, inbound: Inbound, operations: Operations | None, files: Files) -> None:
+    def __init__(self, host: Host, inbound: Inbound, operations: Operations | None, files: ConfigFiles) -> None:
         self._host, self._inbound, self._operations, self._files = host, inbound, operations, files
         self._operator: Operator | None = None
         self._flows = Switch(self._start_flows, lambda one: gevent.spawn(one.close))  # collectors may be slow
@@ -107,7 +107,7 @@
             operator.fleet,
         )
         if prepared.agree is not None and self._agreement.running is not None:
-            self._agreement.running.refuse(settings, prepared.agree)
+            self._agreement.running.check_revision(settings, prepared.agree)
         return prepared
 
     def apply(self, prepared: Prepared) -> None:
@@ -128,7 +128,7 @@
         self._fleet.apply(prepared.fleet)
 
     @property
-    def failover(self) -> ZoneWatch | None:
+    def failover(self) -> ZoneMonitor | None:
         """Failover's watch, where it is on."""
         return self._failover.running
 
@@ -159,20 +159,20 @@
 
         return Keeper(self._host, prepared)
 
-    def _start_failover(self, table: FailoverTable) -> ZoneWatch:
-        from spoolbarrow.net.failover import ZoneWatch
+    def _start_failover(self, table: FailoverTable) -> ZoneMonitor:
+        from spoolbarrow.net.failover import ZoneMonitor
 
-        return ZoneWatch(self._host, table)
+        return ZoneMonitor(self._host, table)
 
-    def _start_agreement(self, operator: Operator) -> Agreement:
-        from spoolbarrow.net.agreement import Agreement
+    def _start_agreement(self, operator: Operator) -> VersionMonitor:
+        from spoolbarrow.net.version_monitor import VersionMonitor
 
-        return Agreement(self._host, self._inbound, operator, self._files)
+        return VersionMonitor(self._host, self._inbound, operator, self._files)
 
-    def _start_fleet(self, table: FleetTable) -> Follower:
-        from spoolbarrow.net.follow import Follower
+    def _start_fleet(self, table: FleetTable) -> StoreFollower:
+        from spoolbarrow.net.store_follower import StoreFollower
 
-        return Follower(self._host, table, self._shares_changed)
+        return StoreFollower(self._host, table, self._shares_changed)
 
     def _shares_changed(self) -> None:
         """Tenants have other shares than their file says: the door goes by them, too."""
--- a/tests/stage.py
+++ b/tests/stage.py
@@ -128,7 +128,7 @@
     def answer(self) -> ResponseParser:
         """The next whole answer, its body in `text`; ConnectionResetError where it is cut off."""
         parser = ResponseParser(16384)
-        while not parser.whole:
+        while not parser.complete:
             if data := self.sock.recv(1):  # byte by byte: an answer that follows stays unread
                 parser.feed(memoryview(data))
             else:
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -150,7 +150,7 @@
 def test_a_fault_behind_a_call_is_told_and_reaches_nothing_else(monkeypatch: pytest.MonkeyPatch) -> None:
     with operated(serve_all) as (scene, _, call, _):
         with monkeypatch.context() as broken:
-            broken.setattr(scene.host, "engines", lambda: 1 / 0)
+            broken.setattr(scene.host, "endpoint_counts", lambda: 1 / 0)
             assert call("metrics", "GET").status == 500
         assert call("metrics", "GET").status == 200 and scene.client().send(ask()).answer().status == 200
 
@@ -222,7 +222,7 @@
 
 def news(scene: Any, *entries: dict[str, Any], whole: bool = False) -> None:
     raw = {"index": 9, "snapshot": whole, "endpoints": list(entries)}
-    scene.host.destinations._discovery._news(msgspec.convert(raw, HostList))
+    scene.host.destinations._discovery._accept_list(msgspec.convert(raw, HostList))
 
 
 def test_nothing_goes_to_a_suspended_engine_whatever_discovery_says() -> None:
@@ -247,14 +247,14 @@
 
 def test_an_engine_suspended_while_a_connection_came_up_gets_neither_prompt_nor_probe() -> None:
     with operated(serve_all) as (scene, _, call, engine):
-        take = scene.host._endpoints._pool.take
+        take = scene.host._endpoints._pool.acquire
 
         def slow_take(endpoint: str) -> Any:
             connection = take(endpoint)
             scene.host.destinations.suspend(endpoint)
             return connection
 
-        scene.host._endpoints._pool.take = slow_take
+        scene.host._endpoints._pool.acquire = slow_take
         scene.host._endpoints.probe("e0")
         until(lambda: scene.heard(i.ProbeAnswered))
         assert scene.heard(i.ProbeAnswered)[0].outcome is i.Outcome.MOOT
@@ -266,7 +266,7 @@
 
 
 def test_the_table_of_suspensions_is_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(destinations, "MOST_SUSPENDED", 1)
+    monkeypatch.setattr(destinations, "MAX_SUSPENDED", 1)
     with operated(serve_all, serve_all) as (_, _, call, *_):
         assert [call(f"engines/e{n}/suspend").status for n in (0, 0, 1)] == [200, 200, 503]
         assert call("engines/e0/resume").status == 200 and call("engines/e1/suspend").status == 200
@@ -386,13 +386,13 @@
 
 
 def test_zones_tell_failover_off_and_then_its_verdicts() -> None:
-    from spoolbarrow.net.failover import ZoneWatch
+    from spoolbarrow.net.failover import ZoneMonitor
     from spoolbarrow.operator import FailoverTable
 
     with operated(serve_all) as (scene, _, call, _engine):
         assert msgspec.json.decode(b"".join(call("zones", "GET").take_body())) == {"failover": "off"}
-        watch = ZoneWatch(scene.host, FailoverTable(period_ms=600_000.0))
-        watch.weigh(scene.host.now())
+        watch = ZoneMonitor(scene.host, FailoverTable(period_ms=600_000.0))
+        watch.evaluate(scene.host.now())
         told = msgspec.json.decode(b"".join(call("zones", "GET").take_body()))
         assert told["failover"] == "on" and told["zones"]["a"]["state"] == "healthy"
         watch.stop()
--- a/tests/test_agree.py
+++ b/tests/test_agree.py
@@ -12,7 +12,7 @@
 
 from spoolbarrow import config, operator
 from spoolbarrow.agree import COMPARED, Item, Ledger, Version, differences, digest, files
-from spoolbarrow.net.agreement import of_files
+from spoolbarrow.net.version_monitor import file_digests
 from tests.stage import make_config
 
 CONTENTS = {Item.SETTINGS: "s", Item.SHARES: "t", Item.OPERATOR: "o"}
@@ -69,7 +69,7 @@
     def of(**changes: object) -> dict[Item, str]:
         raw = make_config([])
         raw["settings"].update({"Zones": ["a", "b"], **changes})
-        return of_files(config.parse(msgspec.json.encode(raw)), made)
+        return file_digests(config.parse(msgspec.json.encode(raw)), made)
 
     assert of() == of(Me=3, MyZone=1)
     more = of(Tenants=[{"Name": "acme", "Portion": 0.7}, {"Name": "other", "Portion": 0.3}])
--- a/tests/test_answer_races.py
+++ b/tests/test_answer_races.py
@@ -32,11 +32,11 @@
     stage,
     until,
 )
-from tests.test_gone import ENDS
+from tests.test_client_disconnects import DISCONNECTS
 
 END = b"0\r\n\r\n"
 WHOLE = HEAD + b"".join(map(chunk, EVENTS)) + END
-LONG = b"x" * 200_000  # a body that an engine which reads nothing does not take in whole
+LONG_BODY = b"x" * 200_000  # a body that an engine which reads nothing does not take in whole
 SMALL = 4096  # bytes of a socket's buffer
 RESTARTED = 1000.0  # Unix ms: another start than the one listed before, and so long ago that it is not cold
 
@@ -74,12 +74,12 @@
             scene.host.stop()
 
 
-def stuck(sock: socket.socket) -> bool:
+def window_full(sock: socket.socket) -> bool:
     """Whether this connection has come to a stop with more to read than its window takes."""
     return bool(sock.recv(1, socket.MSG_PEEK))
 
 
-def rest_of(sock: socket.socket) -> RequestParser:
+def read_rest(sock: socket.socket) -> RequestParser:
     """All that still comes, parsed; until the other side ends it."""
     parser = RequestParser(16384, 262144)
     while True:
@@ -92,19 +92,19 @@
         parser.feed(memoryview(data))
 
 
-@ENDS
+@DISCONNECTS
 @pytest.mark.parametrize("cancelling", [True, False])
 def test_a_request_half_written_is_not_written_whole_for_a_client_that_has_gone(
     cancelling: bool, go: Any, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The engine reads on only after the client's end was heard; it must never have the whole of it."""
     with unread_engine(monkeypatch, cancelling) as (scene, machine):
-        client = scene.client().send(ask(LONG))
+        client = scene.client().send(ask(LONG_BODY))
         engine, _ = machine.accept()
-        until(lambda: stuck(engine))
+        until(lambda: window_full(engine))
         go(client)
         until(lambda: scene.heard(i.RequestGone))
-        assert not rest_of(engine).whole
+        assert not read_rest(engine).whole
         until(lambda: scene.host.open_requests() == 0)
 
 
@@ -114,12 +114,12 @@
 ) -> None:
     """A drain tells its client that no engine can have run it; the engine reads on only then."""
     with unread_engine(monkeypatch, cancelling) as (scene, machine):
-        client = scene.client().send(ask(LONG))
+        client = scene.client().send(ask(LONG_BODY))
         engine, _ = machine.accept()
-        until(lambda: stuck(engine))
+        until(lambda: window_full(engine))
         scene.host.answer_all(100.0)
         assert client.answer().status == 503
-        assert not rest_of(engine).whole
+        assert not read_rest(engine).whole
         until(lambda: scene.host.open_requests() == 0)
         until(lambda: outcomes(scene))
         assert outcomes(scene)[0] in i.NEVER_RAN | {i.Outcome.CANCELLED}
@@ -130,20 +130,20 @@
     with unread_engine(monkeypatch, True) as (scene, machine):
         now = scene.host.now()
         scene.host.now = lambda: now
-        client = scene.client().send(ask(LONG))
+        client = scene.client().send(ask(LONG_BODY))
         engine, _ = machine.accept()
-        until(lambda: stuck(engine))
+        until(lambda: window_full(engine))
         parser = RequestParser(16384, 262144)
         while not parser.whole:
             parser.feed(memoryview(engine.recv(65536)))
-        assert parser.whole[0].body == LONG
+        assert parser.whole[0].body == LONG_BODY
         engine.sendall(WHOLE)
         assert client.answer().status == 200
 
 
 def news(scene: Any, *lines: ListEntry) -> None:
     """Discovery says this now."""
-    scene.host.destinations._discovery._news(HostList(100, False, list(lines)))
+    scene.host.destinations._discovery._accept_list(HostList(100, False, list(lines)))
 
 
 def line(name: str, port: int, since_ms: float = 0.0) -> ListEntry:
@@ -305,9 +305,9 @@
         machine.listen(1)
         scene = Stage(make_config([entry("e0", machine.getsockname()[1])]))
         try:
-            client = scene.client().send(ask(LONG))
+            client = scene.client().send(ask(LONG_BODY))
             engine, _ = machine.accept()
-            until(lambda: stuck(engine))
+            until(lambda: window_full(engine))
             engine.sendall(b"HTTP/1.1 413 Content Too Large\r\nContent-Length: 0\r\n\r\n")
             engine.close()  # over unread bytes: reset
             assert client.answer().status == 400
@@ -348,10 +348,10 @@
         pool = scene.host.endpoints()._pool
         assert scene.client().send(ask()).answer().status == 200
         until(lambda: scene.host.open_requests() == 0 and pool._idle)
-        take = pool.take
+        take = pool.acquire
 
         def taken(endpoint: str) -> Any:
-            pool.take = take
+            pool.acquire = take
             pool._idle["e0"][0].idle_since -= 1000.0  # it has settled
             connection = take(endpoint)
             if how == "spoke":
@@ -362,7 +362,7 @@
             assert connection.stale()
             return connection
 
-        pool.take = taken
+        pool.acquire = taken
         scene.client().send(ask(X_Correlation_Id="next")).answer()
         until(lambda: len(outcomes(scene)) > 1)
         expected = {"closed": i.Outcome.RESET, "reset": i.Outcome.UNREACHABLE, "spoke": i.Outcome.ERROR}
@@ -470,7 +470,7 @@
 
         def claimed(attempt: Any) -> bool:
             claims: bool = claim(attempt) if event_first else False
-            host.ended(request.attempts[0], i.Outcome.RESET)
+            host.end_attempt(request.attempts[0], i.Outcome.RESET)
             if event_first:
                 host._fail(i.Fail(request.key))
             else:
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -160,11 +160,11 @@
 def test_serving_imports_no_command_line() -> None:
     unwanted = (
         "{'click', 'tomllib', 'spoolbarrow.operator', 'spoolbarrow.failover', 'spoolbarrow.net.failover', "
-        "'spoolbarrow.agree', 'spoolbarrow.net.agreement', 'spoolbarrow.store', 'gevent.pywsgi', "
+        "'spoolbarrow.agree', 'spoolbarrow.net.version_monitor', 'spoolbarrow.store', 'gevent.pywsgi', "
         "'http.client', 'spoolbarrow.fleet.documents', "
-        "'spoolbarrow.net.follow', 'spoolbarrow.net.store_client', 'spoolbarrow.net.shared_documents', "
-        "'spoolbarrow.net.fleet_part', 'spoolbarrow.net.fleet_writing', "
-        "'spoolbarrow.net.pools', 'spoolbarrow.pools', 'spoolbarrow.sessions'}"
+        "'spoolbarrow.net.store_follower', 'spoolbarrow.net.store_client', 'spoolbarrow.net.shared_documents', "
+        "'spoolbarrow.net.fleet_part', 'spoolbarrow.net.fleet_writer', "
+        "'spoolbarrow.net.pool_split', 'spoolbarrow.pools', 'spoolbarrow.sessions'}"
     )
     code = f"import spoolbarrow.serve, sys; print({unwanted} & set(sys.modules))"
     done = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True)
--- a/tests/test_gone.py
+++ b/tests/test_client_disconnects.py
@@ -51,7 +51,7 @@
     client.sock.close()
 
 
-ENDS = pytest.mark.parametrize("go", [close, reset, half_close, with_more_unread])
+DISCONNECTS = pytest.mark.parametrize("go", [close, reset, half_close, with_more_unread])
 
 
 def await_in_kernel(inside: client_connection.Client, what: int) -> None:
@@ -71,7 +71,7 @@
     return any(isinstance(event, kind) for event in events)
 
 
-@ENDS
+@DISCONNECTS
 @pytest.mark.parametrize("moment", ["held", "retry", "hedge"])
 def test_nothing_begins_for_a_client_that_went_in_the_same_batch(
     moment: str, go: Callable[[Any], None]
@@ -87,7 +87,7 @@
         if NOW in events:
             go_now()
             return actions + kept
-        if moment == "retry" and has(i.AttemptEnded, events) and not scene.host.request("1").over:
+        if moment == "retry" and has(i.AttemptEnded, events) and not scene.host.find_request("1").over:
             go_now()
         if has(i.RequestArrived, events) and moment == "held":
             kept.extend(action for action in actions if isinstance(action, i.Send))
@@ -109,7 +109,7 @@
         assert sum(len(engine.requests) for engine in engines) == (moment in ("retry", "hedge"))
 
 
-@ENDS
+@DISCONNECTS
 def test_nothing_is_written_for_a_client_that_went_while_its_connection_came_up(
     go: Callable[[Any], None], monkeypatch: pytest.MonkeyPatch
 ) -> None:
@@ -155,7 +155,7 @@
             scene.host.stop()
 
 
-@ENDS
+@DISCONNECTS
 def test_the_decisions_never_hear_of_a_client_that_went_before_it_was_accepted(
     go: Callable[[Any], None], monkeypatch: pytest.MonkeyPatch
 ) -> None:
@@ -204,7 +204,7 @@
             assert client.answer().status == status
 
 
-@ENDS
+@DISCONNECTS
 def test_a_process_that_stood_still_begins_nothing_for_clients_that_went_meanwhile(
     go: Callable[[Any], None], tmp_path: Path
 ) -> None:
@@ -222,7 +222,7 @@
         assert [m.fields[b"x-correlation-id"] for m in made.engine.requests] == [b"last"]
 
 
-@ENDS
+@DISCONNECTS
 def test_a_client_that_the_host_found_gone_leaves_no_connection(go: Callable[[Any], None]) -> None:
     """The host settles its request just before its reader's turn, which then has no request to end."""
 
--- a/tests/test_client_races.py
+++ b/tests/test_client_races.py
@@ -19,7 +19,7 @@
 from spoolbarrow.net.http1 import Message
 from spoolbarrow.net.request import Attempt
 from tests.stage import EVENTS, HEAD, Client, ask, chunk, serve_all, stage, until
-from tests.test_gone import ENDS
+from tests.test_client_disconnects import DISCONNECTS
 
 END = b"0\r\n\r\n"
 
@@ -103,7 +103,7 @@
         assert [m.fields[b"x-correlation-id"] for m in engine.requests] == [b"first"]
 
 
-@ENDS
+@DISCONNECTS
 def test_a_client_that_goes_behind_a_malformed_request_is_noticed(go: Any) -> None:
     """What follows a fault is not read, its end neither; the request before it still waits for its engine."""
 
@@ -252,7 +252,7 @@
             until(inside.unread)
         else:
             read_as_its_reader_ends(inside, client, raw, inside.unread)
-        scene.host.give = lambda underway: connection_handover.give(scene.host, underway, newer.take)
+        scene.host.hand_over = lambda underway: connection_handover.give(scene.host, underway, newer.take)
         go.set()
         until(lambda: newer.taken and inside not in scene.inbound._clients)
         with newer.taken[0] as passed:
--- a/tests/test_deadlines.py
+++ b/tests/test_deadlines.py
@@ -17,8 +17,8 @@
 from spoolbarrow.net import http1, tcpinfo
 from spoolbarrow.net.http1 import RequestParser
 from tests.stage import Stage, ask, entry, make_config, serve_all, stage, turns, until
-from tests.test_answer_races import LONG, outcomes, rest_of, silent, stuck, unread_engine
-from tests.test_gone import ENDS
+from tests.test_answer_races import LONG_BODY, outcomes, read_rest, silent, window_full, unread_engine
+from tests.test_client_disconnects import DISCONNECTS
 
 SMALL = 4096  # bytes of a socket's buffer
 BEYOND_MS = 200.0  # over what may pass between the head's time and the request's last byte
@@ -66,72 +66,72 @@
 def test_a_request_half_written_too_long_is_not_written_on(monkeypatch: pytest.MonkeyPatch) -> None:
     """Its head tells the time as it was; the engine reads on once that is too much."""
     with unread_engine(monkeypatch, True) as (scene, machine):
-        client = scene.client().send(ask(LONG))
+        client = scene.client().send(ask(LONG_BODY))
         engine, _ = machine.accept()
-        until(lambda: stuck(engine))
+        until(lambda: window_full(engine))
         pass_time(scene, BEYOND_MS)
         until(lambda: outcomes(scene))
         assert outcomes(scene)[0] is i.Outcome.UNREACHABLE
-        assert not rest_of(engine).whole
+        assert not read_rest(engine).whole
         assert client.answer().status == 503  # no other engine, and it never ran
 
 
 def test_a_request_that_this_machine_holds_too_long_never_comes_to_its_engine() -> None:
     """The kernel took the whole of it, and the engine's window is full."""
     with slow_engine() as (scene, machine):
-        client = scene.client().send(ask(LONG))
+        client = scene.client().send(ask(LONG_BODY))
         engine, _ = machine.accept()
-        until(lambda: handed_over(scene) and stuck(engine))
+        until(lambda: handed_over(scene) and window_full(engine))
         pass_time(scene, BEYOND_MS)
         until(lambda: outcomes(scene))
         assert outcomes(scene)[0] is i.Outcome.UNREACHABLE
-        assert not rest_of(engine).whole
+        assert not read_rest(engine).whole
         assert client.answer().status == 503
 
 
-@ENDS
+@DISCONNECTS
 @pytest.mark.parametrize("cancelling", [True, False])
 def test_what_this_machine_holds_of_a_request_does_not_go_on_after_its_client_went(
     cancelling: bool, go: Any
 ) -> None:
     """Closed as usual, the kernel would send the rest: the engine would begin it for nobody."""
     with slow_engine(Cancelling=cancelling) as (scene, machine):
-        client = scene.client().send(ask(LONG))
+        client = scene.client().send(ask(LONG_BODY))
         engine, _ = machine.accept()
-        until(lambda: handed_over(scene) and stuck(engine))
+        until(lambda: handed_over(scene) and window_full(engine))
         go(client)
         until(lambda: scene.heard(i.RequestGone) and scene.host.open_requests() == 0)
-        assert not rest_of(engine).whole
+        assert not read_rest(engine).whole
 
 
 def test_what_this_machine_holds_of_a_request_does_not_go_on_after_its_deadline() -> None:
     with slow_engine() as (scene, machine):
-        client = scene.client().send(ask(LONG))
+        client = scene.client().send(ask(LONG_BODY))
         engine, _ = machine.accept()
-        until(lambda: handed_over(scene) and stuck(engine))
+        until(lambda: handed_over(scene) and window_full(engine))
         (key,) = scene.host._requests
         scene.host._deadline(key)
         assert client.answer().status in (503, 504)
-        assert not rest_of(engine).whole
+        assert not read_rest(engine).whole
 
 
 def test_an_engine_that_takes_long_requests_in_slowly_is_told_less_time_for_the_next() -> None:
     """So that it can be used at all: each longer wait that was given up leaves more room."""
     with slow_engine() as (scene, machine):
-        scene.client().send(ask(LONG))
+        scene.client().send(ask(LONG_BODY))
         engine, _ = machine.accept()
-        until(lambda: handed_over(scene) and stuck(engine))
+        until(lambda: handed_over(scene) and window_full(engine))
         pass_time(scene, BEYOND_MS)
         until(lambda: outcomes(scene))
         pass_time(scene, 5000.0)  # long enough for it not to count as silent any more
-        scene.client().send(ask(LONG, X_Correlation_Id="again"))
+        scene.client().send(ask(LONG_BODY, X_Correlation_Id="again"))
         engine, _ = machine.accept()
-        until(lambda: handed_over(scene) and stuck(engine))
+        until(lambda: handed_over(scene) and window_full(engine))
         pass_time(scene, BEYOND_MS)
         message = whole_of(engine)
         (request,) = scene.host._requests.values()
         left = request.deadline - scene.host.now()
-        assert message.body == LONG and int(message.fields[b"x-time-left-ms"]) <= left + SLACK_MS
+        assert message.body == LONG_BODY and int(message.fields[b"x-time-left-ms"]) <= left + SLACK_MS
 
 
 def test_the_kernel_tells_what_it_has_not_sent() -> None:
@@ -142,7 +142,7 @@
         sock = http1.connect(machine.getsockname(), 10.0)
         with sock, machine.accept()[0]:
             assert not tcpinfo.unsent(sock)
-            sock.sendall(LONG)
+            sock.sendall(LONG_BODY)
             assert tcpinfo.unsent(sock)
 
 
@@ -176,7 +176,7 @@
             (request,) = scene.host._requests.values()
             (attempt,) = request.attempts
             greenlet, attempt.greenlet = attempt.greenlet, None  # its kill comes a turn later
-            scene.host.ended(attempt, i.Outcome.CANCELLED)
+            scene.host.end_attempt(attempt, i.Outcome.CANCELLED)
             gevent.spawn(greenlet.kill, block=False)
         return sock
 
@@ -187,7 +187,7 @@
         assert not engine.requests and outcomes(scene)[0] is i.Outcome.CANCELLED
 
 
-@ENDS
+@DISCONNECTS
 def test_the_connection_of_an_attempt_ends_as_soon_as_its_client_went(go: Any) -> None:
     with stage(silent) as (scene, engine):
         client = scene.client().send(ask())
@@ -201,7 +201,7 @@
     """The door is taken away in the tick in which the client went: the decisions would keep it for ever."""
     with stage(serve_all) as (scene, engine):
         scene.host._post(i.RequestGone("7"))
-        scene.host.ask_again([i.RequestArrived("7", cls=0, budget_ms=5000.0)])
+        scene.host.resubmit([i.RequestArrived("7", cls=0, budget_ms=5000.0)])
         assert scene.client().send(ask()).answer().status == 200
         until(lambda: not scene.host._router.requests)
         assert [event.request for event in scene.heard(i.RequestArrived)] == ["1"]
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -21,7 +21,7 @@
 from spoolbarrow.lab.cluster import LISTEN, Process
 from spoolbarrow.lab.loopback import most_files
 from spoolbarrow.net import connection_pool, http1
-from spoolbarrow.net.failover import ZoneWatch
+from spoolbarrow.net.failover import ZoneMonitor
 from spoolbarrow.operator import FailoverTable
 from tests.stage import HEAD, Client, Party, ask, chunk, entry, make_config, serve_all, stage, until
 
@@ -292,13 +292,13 @@
 ) -> None:
     """Each request has its one answer at once, no engine is left out, one line of the log tells of it."""
     monkeypatch.setattr(
-        connection_pool, "SHORT_LOG_MS", 1e9
+        connection_pool, "SHORTAGE_LOG_INTERVAL_MS", 1e9
     )  # a busy machine must not pass for a second period
     with stage(serve_all, serve_all) as (scene, *engines):
         pool, replicas = scene.host._endpoints._pool, scene.host._router.pool.replicas.values()
         with monkeypatch.context() as lacking:
             if lack == "places":
-                lacking.setattr(pool, "_open", scene.config.max_outbound)
+                lacking.setattr(pool, "_open_count", scene.config.max_outbound)
             else:
                 lacking.setattr(http1, "socket", none_left)
             for n in range(3):
@@ -323,11 +323,11 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     with stage(serve_all) as (scene, engine):
-        watch = ZoneWatch(scene.host, FailoverTable(period_ms=600_000.0))
+        watch = ZoneMonitor(scene.host, FailoverTable(period_ms=600_000.0))
         with monkeypatch.context() as lacking:
             lacking.setattr(http1, "socket", none_left)
             watch._check("e0", ("127.0.0.1", engine.port))
-        assert not watch._heard
+        assert not watch._outcomes
         watch._check("e0", ("127.0.0.1", engine.port))
-        assert [heard.ok for heard in watch._heard] == [True]
+        assert [heard.ok for heard in watch._outcomes] == [True]
         watch.stop()
--- a/tests/test_drain.py
+++ b/tests/test_drain.py
@@ -30,7 +30,7 @@
 from spoolbarrow.net import connection_handover, drainer
 from spoolbarrow.net.connection_pool import Connection
 from spoolbarrow.net.drain_schedule import NEVER_MS, Step, end_schedule
-from spoolbarrow.net.engine_answer import Underway
+from spoolbarrow.net.endpoint_response import InFlightAttempt
 from spoolbarrow.net.http1 import Message, ResponseParser
 from spoolbarrow.net.request import Attempt
 from tests.stage import (
@@ -175,7 +175,7 @@
     """The whole answer whose first byte was read."""
     parser = ResponseParser(16384)
     parser.feed(memoryview(begun))
-    while not parser.whole:
+    while not parser.complete:
         seen = client.sock.recv(65536, socket.MSG_PEEK)
         size = seen.find(END) + len(END) if END in seen else max(1, len(seen) - len(END))
         data = client.sock.recv(size)  # never more: an answer that follows stays unread
@@ -492,13 +492,13 @@
     with engine, sock:
         request: Any = None  # nothing is asked of it
         connection = Connection("e", ("", 1), sock, 1)
-        underway = Underway(Attempt(request, 0, "e", 0.0), connection, ResponseParser(16384))
+        underway = InFlightAttempt(Attempt(request, 0, "e", 0.0), connection, ResponseParser(16384))
         underway.parser.feed(memoryview(HEAD + read))
         underway.tail = b"".join(underway.parser.take_body())
         engine.sendall(unread)
-        assert underway.stays() is stays
+        assert underway.must_finish() is stays
         engine.close()
-        assert underway.stays() is stays
+        assert underway.must_finish() is stays
 
 
 def nothing_unsent(sock: socket.socket) -> bool:
@@ -625,7 +625,7 @@
         sock.sendall(chunk(EVENTS[1]) + END)
 
     with stage(in_two) as (scene, _):
-        scene.host.give = lambda underway: connection_handover.give(scene.host, underway, send)
+        scene.host.hand_over = lambda underway: connection_handover.give(scene.host, underway, send)
         client = scene.client().send(ask())
         asked_for.wait()
         scene.host.move_streams()
--- a/tests/test_started_meanwhile.py
+++ b/tests/test_endpoint_restarts.py
@@ -24,7 +24,7 @@
 def starts_anew(scene: Any, port: int) -> None:
     """Discovery tells that the engine has just started."""
     line = entry("e0", port, since_ms=scene.host.now())
-    scene.host.destinations._discovery._news(HostList(9, False, [msgspec.convert(line, ListEntry)]))
+    scene.host.destinations._discovery._accept_list(HostList(9, False, [msgspec.convert(line, ListEntry)]))
 
 
 def test_a_request_is_not_written_to_an_engine_that_started_as_its_connection_came_up(
--- a/tests/test_failover.py
+++ b/tests/test_failover.py
@@ -217,12 +217,12 @@
 
 
 def state(watch: Any, place: str) -> State:
-    return watch.told[place].state  # type: ignore[no-any-return]
+    return watch.verdicts[place].state  # type: ignore[no-any-return]
 
 
 def test_a_failed_zone_gets_no_new_work_and_returns_cold() -> None:
     from spoolbarrow import interface as i
-    from spoolbarrow.net.failover import ZoneWatch
+    from spoolbarrow.net.failover import ZoneMonitor
     from spoolbarrow.operator import FailoverTable
     from tests.stage import ask, make_config, serve_all, stage, until
 
@@ -232,18 +232,18 @@
         scene.host.destinations.restore(scene.config.known)
         replicas = scene.host._router.pool.replicas
         until(lambda: "e2" in replicas and replicas["e2"].zone == 1)
-        watch = ZoneWatch(scene.host, FailoverTable(period_ms=600_000.0, regions={"all": ["a", "b"]}))
+        watch = ZoneMonitor(scene.host, FailoverTable(period_ms=600_000.0, regions={"all": ["a", "b"]}))
         now = scene.host.now()
         for name in ("e0", "e1"):
             watch.probe_ended(name, i.Outcome.UNREACHABLE, 0.0)
-        watch.weigh(now)
+        watch.evaluate(now)
         assert state(watch, "a") is State.SUSPECT and replicas["e0"].serving
-        watch.weigh(now + 1000.0)
+        watch.evaluate(now + 1000.0)
         assert state(watch, "a") is State.FAILED and state(watch, "all") is State.SUSPECT
         until(lambda: not replicas["e0"].serving and not replicas["e1"].serving)
         assert scene.client().send(ask()).answer().status == 200
         assert far.requests and not near.requests and not other.requests
-        watch.weigh(now + 3500.0)  # the failures aged out; the hold is over
+        watch.evaluate(now + 3500.0)  # the failures aged out; the hold is over
         assert state(watch, "a") is State.RETURNING
         until(lambda: replicas["e0"].serving)
         assert replicas["e0"].started_at >= now + 1000.0  # cold: rule 4's ramp takes it from here
@@ -292,12 +292,12 @@
     from spoolbarrow.operator import FailoverTable
     from tests.stage import serve_all, stage
 
-    monkeypatch.setattr(failover, "MOST_HEARD", 1)
+    monkeypatch.setattr(failover, "MAX_OUTCOMES", 1)
     with stage(serve_all) as (scene, _):
-        watch = failover.ZoneWatch(scene.host, FailoverTable(period_ms=600_000.0))
+        watch = failover.ZoneMonitor(scene.host, FailoverTable(period_ms=600_000.0))
         for _ in range(3):
             watch.probe_ended("e0", i.Outcome.SERVED, 1.0)
-        watch.weigh(scene.host.now())
+        watch.evaluate(scene.host.now())
         watch.stop()
     assert watch.dropped == 2 and '"event":"failover_dropped","outcomes":2' in capfd.readouterr().err
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -20,7 +20,7 @@
 from spoolbarrow.fleet.roll import Roll
 from spoolbarrow.interface import Tenant
 from spoolbarrow.lab.leases import Broken, play
-from spoolbarrow.net.follow import Follower
+from spoolbarrow.net.store_follower import StoreFollower
 from tests.stage import Party, make_config, stage, until
 
 AGE = 1000.0
@@ -208,7 +208,7 @@
     bodies = [Roll("b").summary(0.0), roll.summary(0.0), roll.summary(0.0), b"17", b"\xff", b'""']
     made = roll.decide(0.0, bodies, None)
     assert made == roll.decide(0.0, bodies[::-1], made) == msgspec.json.encode(["a", "b"])
-    assert roll.adopt(0.0, made) and roll.tell() == {"routers": ["a", "b"]}
+    assert roll.adopt(0.0, made) and roll.status() == {"routers": ["a", "b"]}
     assert not roll.adopt(0.0, b"garbage") and roll.routers is None
     assert roll.decide(0.0, [], made) is None and roll.adopt(0.0, None)
 
@@ -272,13 +272,13 @@
 
 
 @contextmanager
-def following(*parts: str, members: int = 1) -> Iterator[tuple[Any, Follower, list[Store]]]:
+def following(*parts: str, members: int = 1) -> Iterator[tuple[Any, StoreFollower, list[Store]]]:
     stores = [Store() for _ in range(members)]
     named = [f"127.0.0.1:{store.party.port}" for store in stores]
     table = operator.FleetTable(named, list(parts), 1.0, 2.0, 50.0, 50.0, 500.0)
     with stage() as (made, *_):
         laid: list[Any] = []
-        follower = Follower(made.host, table, lambda: laid.append(made.host.config.settings.tenants))
+        follower = StoreFollower(made.host, table, lambda: laid.append(made.host.config.settings.tenants))
         try:
             yield made.host, follower, stores
         finally:
@@ -331,7 +331,7 @@
         until(lambda: follower.versions().get("fleet/roll"))
         spoken = store.documents[own]
         later = store.write(own, told("n0", "later", 1, b'"n0"').decode())
-        until(lambda: follower.tell()["parts"]["roll"]["silent"])  # type: ignore[index]
+        until(lambda: follower.status()["parts"]["roll"]["silent"])  # type: ignore[index]
         assert store.documents[own][0] == later > spoken[0]
         until(lambda: store.documents[own][0] > later)
         assert d.read(own, store.documents[own][1], d.Summary).incarnation != "later"
--- a/tests/test_fleet_pools.py
+++ b/tests/test_fleet_pools.py
@@ -30,7 +30,7 @@
 from spoolbarrow.lab.cluster import Answer, Load, call
 from spoolbarrow.lab.followed import Followed, at_key, until
 from spoolbarrow.lab.members import ask
-from spoolbarrow.net import pools
+from spoolbarrow.net import pool_split
 from spoolbarrow.net.http1 import Fault, Message
 from spoolbarrow.net.request import Attempt, Request
 from spoolbarrow.net.taps import Taps
@@ -326,7 +326,7 @@
 
 def test_what_requests_showed_is_noted_and_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
     """Served, left in the middle, refused, and one too many; a usage that can't be is none."""
-    monkeypatch.setattr(pools, "MOST_OPEN", 3)
+    monkeypatch.setattr(pool_split, "MAX_TRACKED_REQUESTS", 3)
     classes = (i.RequestClass(1000.0, 5000.0, 1.0, token_aim_ms=40.0),)
     lines = [ListEntry("e0", "", "z", "big")]
     host: Any = SimpleNamespace(
@@ -339,7 +339,7 @@
             listing=dict, seen=lambda: (1, lines), serving=lambda name: True, starting=lambda name: False
         ),
     )
-    part = pools.Split("r0")
+    part = pool_split.PoolSplit("r0")
     part.watch(host, FleetTable(["m"], only_read=["big"]))
 
     def request(key: str) -> Any:
@@ -366,9 +366,9 @@
     assert sketch.quantile(cell.cut, 0.5) == pytest.approx(2, abs=0.2)
     assert sketch.quantile(cell.unread, 0.1) == pytest.approx(600, rel=0.05)
     assert sketch.quantile(pace.read, 0.5) == pytest.approx(800_000 / 600, rel=0.05)
-    assert part._pools.engines["e0"].only == "read" and part.unnoted == 1 and not part._open
+    assert part._pools.engines["e0"].only == "read" and part.untracked == 1 and not part._tracked
     for tail in (b"", b'data: {"usage":{"completion_tokens":-1}}\n', b'data: {"usage":[]}\n', b'"usage"'):
-        assert pools.usage(tail) is None
+        assert pool_split.parse_usage(tail) is None
     part.end()
     assert not host.taps.active
     both = FleetTable(["127.0.0.1:7200"], only_read=["big"], only_write=["small", "big"])
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -359,7 +359,7 @@
             return True
 
         old.send = send
-        old.host.give = lambda underway: connection_handover.give(old.host, underway, old.send)
+        old.host.hand_over = lambda underway: connection_handover.give(old.host, underway, old.send)
         yield old, new, engine
 
 
@@ -378,7 +378,7 @@
         until(lambda: new.host.in_progress() == 1)
         until(lambda: not old.inbound._clients and old.host.open_requests() == 0)
         assert old.heard(i.AttemptEnded)[0].closed and old.host.in_progress() == 0
-        assert old.host._endpoints._pool._open == 0 and new.host._endpoints._pool._open == 1
+        assert old.host._endpoints._pool._open_count == 0 and new.host._endpoints._pool._open_count == 1
         step.set()
         answer = client.answer()
         assert answer.status == 200 and b"".join(answer.take_body()) == b"".join(EVENTS)
--- a/tests/test_handover_races.py
+++ b/tests/test_handover_races.py
@@ -171,7 +171,7 @@
         with pytest.raises(Torn):
             connection_handover.take(new.host, new.inbound, text, numbers)
         assert not new.inbound._clients and not new.host.open_requests() and not new.host.is_open("9b1f")
-        assert new.host._endpoints._pool._open == 0
+        assert new.host._endpoints._pool._open_count == 0
         assert [end.recv(1) for end in ends] == [b"", b""]  # no descriptor stays
 
 
--- a/tests/test_http1.py
+++ b/tests/test_http1.py
@@ -76,7 +76,7 @@
     parser = ResponseParser(16384)
     for piece in cut(early + head + body + b"0\r\n\r\n", cuts):
         parser.feed(piece)
-    assert (parser.status, parser.whole, parser.reusable) == (200, True, True)
+    assert (parser.status, parser.complete, parser.reusable) == (200, True, True)
     assert b"".join(parser.take_body()) == b"".join(parts)
     assert parser.fields == {b"b": b"c", b"transfer-encoding": b"chunked"}
 
@@ -93,7 +93,7 @@
         answer.end()
     except (Fault, ConnectionResetError):
         return
-    assert answer.whole and not answer.reusable
+    assert answer.complete and not answer.reusable
 
 
 @pytest.mark.parametrize(
@@ -142,7 +142,7 @@
 def test_an_answer_followed_by_more_is_whole_but_its_connection_is_not_used_again() -> None:
     parser = ResponseParser(500)
     parser.feed(memoryview(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nokHTTP/1.1 500 No\r\n"))
-    assert (parser.status, parser.take_body(), parser.whole, parser.reusable) == (200, [b"ok"], True, False)
+    assert (parser.status, parser.take_body(), parser.complete, parser.reusable) == (200, [b"ok"], True, False)
 
 
 def test_an_answer_cut_off_is_a_reset_whatever_it_promised() -> None:
@@ -185,7 +185,7 @@
         assert fields[b"content-length"] == b"2" and fields[b"connection"] == b"close"
     assert (b"X-Account", b"acme two") in request.headers
     assert (request.body, request.keep_alive) == (b"hi", False)
-    assert (answer.take_body(), answer.whole, answer.reusable) == ([b"hi"], True, False)
+    assert (answer.take_body(), answer.complete, answer.reusable) == ([b"hi"], True, False)
 
 
 @pytest.mark.parametrize("pad", [b" ", b"   "])
--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -10,7 +10,7 @@
 
 ROOT = Path(spoolbarrow.__file__).parent
 WAY = ("serve.py", "reload.py", "subsystems.py", "handover.py", "router.py", "interface.py")
-OBSERVERS = {"agreement", "failover", "connection_handover", "pools"}  # of net/: they come in from above
+OBSERVERS = {"version_monitor", "failover", "connection_handover", "pool_split"}  # of net/: they come in from above
 
 
 def imports() -> dict[str, set[str]]:
@@ -41,7 +41,7 @@
     observers = {f"spoolbarrow.net.{name}" for name in OBSERVERS}
     inside = {name: its for name, its in found.items() if name.startswith("spoolbarrow.net.")}
     assert {name for name, its in inside.items() if its & observers} == set()
-    assert not found["spoolbarrow.net.agreement"] & {"spoolbarrow.net.host", "spoolbarrow.net.inbound"}
+    assert not found["spoolbarrow.net.version_monitor"] & {"spoolbarrow.net.host", "spoolbarrow.net.inbound"}
 
 
 LONGEST = 400  # lines of a module on the way of a request
--- a/tests/test_lab_sockets.py
+++ b/tests/test_lab_sockets.py
@@ -58,7 +58,7 @@
 
     def answer(self) -> tuple[ResponseParser, bytes]:
         parser, buffer, body = ResponseParser(16384), bytearray(65536), b""
-        while not parser.whole:
+        while not parser.complete:
             parser.read(self.sock, buffer)
             body += b"".join(parser.take_body())
         return parser, body
--- a/tests/test_pipeline_terms.py
+++ b/tests/test_pipeline_terms.py
@@ -14,4 +14,4 @@
     with stage(serve_all) as (scene, _):
         client = scene.client().send(b"".join(ask(X_Correlation_Id=id) for id in ids) + behind)
         for _id in ids:
-            assert client.answer().whole
+            assert client.answer().complete
--- a/tests/test_read_requests.py
+++ b/tests/test_read_requests.py
@@ -80,9 +80,9 @@
         if ended:
             far.shutdown(socket.SHUT_WR)
         near.sendall(b"crossing")
-        until(lambda: http1.polled(far, select.POLLIN) and not tcpinfo.awaits_peer(far))
+        until(lambda: http1.poll_now(far, select.POLLIN) and not tcpinfo.awaits_peer(far))
         far.close()
-        until(lambda: http1.polled(near, select.POLLIN) & (select.POLLHUP | select.POLLERR))
+        until(lambda: http1.poll_now(near, select.POLLIN) & (select.POLLHUP | select.POLLERR))
         assert near.recv(100) == b"answer"
         if ended:
             assert near.recv(100) == b""  # no error either: the end had come before the reset
@@ -207,7 +207,7 @@
         far, _ = listener.accept()
     with near, far:
         near.sendall(ask("one") + ask("two"))
-        until(lambda: http1.polled(far, select.POLLIN))
+        until(lambda: http1.poll_now(far, select.POLLIN))
         overflow = Overflow()
         overflow.refuse(far, 0.0)
         far.settimeout(0.0)
--- a/tests/test_reload_races.py
+++ b/tests/test_reload_races.py
@@ -27,7 +27,7 @@
 from spoolbarrow.admin.figures import Figures
 from spoolbarrow.config import ConfigError, HostList
 from spoolbarrow.handover import Torn
-from spoolbarrow.net import connection_handover, pools
+from spoolbarrow.net import connection_handover, pool_split
 from spoolbarrow.net.http1 import Message
 from spoolbarrow.net.log import standard
 from spoolbarrow.operator import FleetTable
@@ -175,7 +175,7 @@
         serve_all(sock, message)
 
     with stage(wait, settings=settings(FIRST)) as (scene, engine):
-        part = pools.Split("n0")
+        part = pool_split.PoolSplit("n0")
         part.watch(scene.host, FleetTable(["m"]))
         asked = scene.client().send(ask(b"waits", X_Service_Class="once"))
         until(lambda: engine.requests)
@@ -245,7 +245,7 @@
     with stage(serve_all, serve_all, settings=settings(FIRST | zones)) as (scene, *engines):
         listed = [entry("near", engines[0].port), entry("far", engines[1].port, zone="b")]
         known = config.parse(msgspec.json.encode(make_config(listed, settings=settings(zones)))).known
-        scene.host.destinations.take(known, i.ListKind.WHOLE)
+        scene.host.destinations.apply_list(known, i.ListKind.WHOLE)
         pool = scene.host.router().pool
         until(lambda: [replica.id for replica in pool.local] == ["near"])
         far = pool.replicas["far"]
@@ -268,7 +268,7 @@
         pool, destinations = scene.host.router().pool, scene.host.destinations
         listed = [entry("near", engine.port), entry("far", engine.port, zone="b")]
         known = config.parse(msgspec.json.encode(make_config(listed, settings=settings(zones)))).known
-        destinations.take(known, i.ListKind.WHOLE)
+        destinations.apply_list(known, i.ListKind.WHOLE)
         assert "near" not in pool.replicas  # it is told, and no batch was since
         apply(scene, FIRST | {"Zones": ["b", "a"], "MyZone": 1})
         until(lambda: "near" in pool.replicas)
@@ -289,7 +289,7 @@
         router = scene.host.router()
         asked = scene.client().send(ask())
         until(lambda: engine.requests)
-        scene.host.destinations.take(HostList(9, True, []), i.ListKind.WHOLE)
+        scene.host.destinations.apply_list(HostList(9, True, []), i.ListKind.WHOLE)
         until(lambda: not router.pool.replicas)
         apply(scene, FIRST | {"Zones": ["b"], "MyZone": 0})
         seen.set()
@@ -315,7 +315,7 @@
             )()
             return True
 
-        old.host.give = lambda underway: connection_handover.give(old.host, underway, send)
+        old.host.hand_over = lambda underway: connection_handover.give(old.host, underway, send)
         yield old, new, engine
 
 
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -258,8 +258,8 @@
         assert 300.0 <= pool._settle["e0"] <= 1000.0
         (rested,) = pool._idle["e0"]
         rested.idle_since = scene.host.now()
-        assert pool.take("e0") is not rested  # it has not rested long enough
-        pool._open -= 1
+        assert pool.acquire("e0") is not rested  # it has not rested long enough
+        pool._open_count -= 1
         pool.forget("e0")
         assert not pool._settle
 
@@ -300,7 +300,7 @@
         scene.client().send(ask()).answer()
         until(lambda: scene.host._endpoints._pool._idle)
         listed = parse(msgspec.json.encode(make_config([entry("new", engine.port)]))).known
-        scene.host.destinations.take(listed, i.ListKind.WHOLE)
+        scene.host.destinations.apply_list(listed, i.ListKind.WHOLE)
         until(lambda: engine.ends == 1)
         assert scene.client().send(ask()).answer().status == 200
         assert engine.connections == 2
--- a/tests/test_serving.py
+++ b/tests/test_serving.py
@@ -20,7 +20,7 @@
 from spoolbarrow.net import client as client_module
 from spoolbarrow.net import http1
 from spoolbarrow.net.drain_schedule import DrainCause, DrainSchedule
-from spoolbarrow.net.endpoint import probe_outcome
+from spoolbarrow.net.endpoint_client import probe_outcome
 from spoolbarrow.net.http1 import Message, ResponseParser
 from spoolbarrow.net.load_report import parse_load
 from tests import stage as st
@@ -349,14 +349,14 @@
 def test_an_endpoint_withdrawn_while_its_connection_came_up_is_not_written_to() -> None:
     """Guards the drain rule: its clock runs to the first byte sent, not to the decision."""
     with stage(serve_all) as (scene, engine):
-        take = scene.host._endpoints._pool.take
+        take = scene.host._endpoints._pool.acquire
 
         def slow_take(address: Any) -> Any:
             connection = take(address)
             scene.host.destinations._serving.discard("e0")
             return connection
 
-        scene.host._endpoints._pool.take = slow_take
+        scene.host._endpoints._pool.acquire = slow_take
         assert scene.client().send(ask()).answer().status == 503
         assert told_outcomes(scene) == [i.Outcome.UNREACHABLE] and not engine.requests
 
--- a/tests/test_shadow.py
+++ b/tests/test_shadow.py
@@ -349,12 +349,12 @@
             assert len(parties[0].requests) == 8 == len(parties[1].requests)
             draining = [entry("new", parties[1].port, type="candidate", group=7, status="terminating")]
             news = config.HostList(8, False, msgspec.convert(draining, list[config.ListEntry]))
-            scene.host.destinations.take(news, i.ListKind.CHANGES)
+            scene.host.destinations.apply_list(news, i.ListKind.CHANGES)
             live(scene)
             assert copier._decider.dropped["no engine with room"] == 1
             news.endpoints[0].status = "terminated"
-            scene.host.destinations.take(news, i.ListKind.CHANGES)
-            assert not copier._decider._engines and not scene.host.destinations._aside
+            scene.host.destinations.apply_list(news, i.ListKind.CHANGES)
+            assert not copier._decider._engines and not scene.host.destinations._excluded
         for party in parties:
             party.close()
 
@@ -363,7 +363,7 @@
     with stage(turn_away) as (scene, _), candidate(serve_all) as party:
         with shadowing(scene, settings(party)) as copier:
             assert scene.client().send(ask()).answer().status == 503
-            scene.host.probed("e0", i.Outcome.SERVED, 1.0, i.Report(0.1, 9000.0))
+            scene.host.probe_done("e0", i.Outcome.SERVED, 1.0, i.Report(0.1, 9000.0))
             found = copier._pressure(7.0)
             assert (found.lag_ms, found.refused_share, found.unread_tokens) == (7.0, 1.0, 9000.0)
             copier._decider.handle(scene.host.now(), [found])
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock_steps.py
@@ -112,7 +112,7 @@
     def hear(self, kind: i.ListKind, since_ms: float, name: str = "e0") -> float:
         """How long ago, ms, an engine has started by the last list."""
         line = msgspec.convert(entry(name, 1, since_ms=since_ms), ListEntry)
-        self.made.take(HostList(8, kind is not i.ListKind.CHANGES, [line]), kind)
+        self.made.apply_list(HostList(8, kind is not i.ListKind.CHANGES, [line]), kind)
         (told,) = self.told[-1].entries
         return self.clock() - told.started_at_ms
 
--- a/tests/test_watch_races.py
+++ b/tests/test_watch_races.py
@@ -170,7 +170,7 @@
         until(lambda: len(one.told) == 2)
         line = chunk(listing(8, entry("e0", 1, status="terminating")))
         in_one_turn(
-            lambda: one.set.set_aside("shadow", -1, lambda entries: None),
+            lambda: one.set.exclude("shadow", -1, lambda entries: None),
             lambda: service.watches[0].sendall(line),
         )
         until(lambda: len(service.watches) == 2)
@@ -197,7 +197,7 @@
     try:
         before_it_is_taken(monkeypatch, 50, lambda: host.apply(new.config("automatic")))
         gevent.spawn(host.start)
-        until(host.decides)
+        until(host.is_deciding)
         assert host.destinations.seen()[0] == 3 and host.destinations.names() == ["e1"]
     finally:
         host.stop()
@@ -490,7 +490,7 @@
         for index, changes in enumerate(CHANGES[name], 8):
             lines = [entry("e0", engine.port, **change) for change in changes]
             news = HostList(index, False, msgspec.convert(lines, list[ListEntry]))
-            scene.host.destinations._discovery._news(news)
+            scene.host.destinations._discovery._accept_list(news)
         gate.set()
         assert asked.answer().status == 200
         until(lambda: not scene.host.open_requests())
@@ -506,7 +506,7 @@
         until(lambda: engine.requests)
         for index, status in ((8, "terminating"), (9, "in_service")):
             line = msgspec.convert(entry("e0", engine.port, status=status), ListEntry)
-            scene.host.destinations._discovery._news(HostList(index, False, [line]))
+            scene.host.destinations._discovery._accept_list(HostList(index, False, [line]))
         gate.set()
         assert asked.answer().status == 200
         until(lambda: not scene.host.open_requests())
@@ -526,13 +526,13 @@
         back = entry("e0", port, since_ms=0.0 if gone else now_unix_ms() - LONG_WARM_MS)
         news = HostList(9, False, msgspec.convert([*gone, back], list[ListEntry]))
         alone = msgspec.convert([entry("e1", other.port, status="terminated")], list[ListEntry])
-        scene.host.destinations._discovery._news(HostList(8, False, alone))
+        scene.host.destinations._discovery._accept_list(HostList(8, False, alone))
 
         def change_meanwhile(where: tuple[str, int], timeout_s: float) -> Sock:
             sock = connect(where, timeout_s)
             if where[1] == old.port and not changed:
                 changed.append(sock)
-                scene.host.destinations._discovery._news(news)
+                scene.host.destinations._discovery._accept_list(news)
             return sock
 
         monkeypatch.setattr(http1, "connect", change_meanwhile)
