--- a/spoolbarrow/operator.py
+++ b/spoolbarrow/operator.py
@@ -183,7 +183,7 @@
 
 FLEET_PARTS = {  # by name: module and class, loaded where it is on
     "roll": "spoolbarrow.fleet.membership:Membership",
-    "pools": "spoolbarrow.net.pools:Split",
+    "pools": "spoolbarrow.net.pool_split:PoolSplit",
 }
 
 
