--- a/benchmarks/event_delay.py
+++ b/benchmarks/event_delay.py
@@ -37,7 +37,7 @@
 from spoolbarrow import config
 from spoolbarrow import interface as i
 from spoolbarrow.net.host import Host
-from spoolbarrow.net.http1 import Fault, Message, ResponseParser
+from spoolbarrow.net.http1 import HttpError, Message, ResponseParser
 from spoolbarrow.net.inbound import Inbound
 
 ROOT = Path(__file__).resolve().parent.parent
@@ -104,7 +104,7 @@
 def read(port: int, name: str, delays: list[float]) -> None:
     """Read a stream to its end; notes how long each timed event took."""
     parser, rest = ResponseParser(16_384), b""
-    with connect(port, name) as sock, suppress(OSError, Fault):
+    with connect(port, name) as sock, suppress(OSError, HttpError):
         while not parser.whole:
             data = sock.recv(1 << 18)
             if not data:
--- a/benchmarks/flows.py
+++ b/benchmarks/flows.py
@@ -33,7 +33,7 @@
 from spoolbarrow.flows.elements import CONNECTION, REQUESTS  # noqa: E402
 from spoolbarrow.flows.encode import IPFIX, Stream, Writer  # noqa: E402
 from spoolbarrow.flows.sender import Sender  # noqa: E402
-from spoolbarrow.net.log import standard  # noqa: E402
+from spoolbarrow.net.log import default_log  # noqa: E402
 from spoolbarrow.operator import Collector, FlowsTable  # noqa: E402
 
 OWN = 32_473
@@ -95,7 +95,7 @@
     octets = packets = 0.0
     for port, counted in load.counted.items():
         ours = sums.get(port, [0] * 4)
-        theirs = (counted.sent, counted.received, counted.segments_sent, counted.segments_received)
+        theirs = (counted.bytes_sent, counted.bytes_received, counted.segments_sent, counted.segments_received)
         off = [abs(a - b) / b for a, b in zip(ours, theirs, strict=True)]
         octets, packets = max(octets, *off[:2]), max(packets, *off[2:])
     return {"octets": round(octets, 5), "packets": round(packets, 5)}
@@ -166,7 +166,7 @@
     arguments.add_argument("--short", action="store_true", help="ends within 45 s")
     short = arguments.parse_args().short
     seconds = 22.0 if short else 240.0
-    standard.configure("error")
+    default_log.configure("error")
     with tempfile.TemporaryDirectory() as directory:
         rig = Collecting(Path(directory))
         try:
--- a/benchmarks/gone.py
+++ b/benchmarks/gone.py
@@ -39,7 +39,7 @@
 ROOT = Path(__file__).resolve().parent.parent
 KINDS = {
     "as_it_is": "",
-    "read_only": "from spoolbarrow.net.client import Client; Client.gone = lambda self: self._closed; ",
+    "read_only": "from spoolbarrow.net.client import ClientConnection; ClientConnection.disconnected = lambda self: self._closed; ",
 }
 PAIRS = 2
 ALLOWED_S = 0.1  # the operators' term
@@ -80,8 +80,8 @@
             while data := sock.recv(65_536):
                 came = time.monotonic() - tcpinfo.last_received_ms(sock) / 1000
                 parser.feed(memoryview(data))
-                while parser.whole:
-                    message = parser.whole.popleft()
+                while parser.complete:
+                    message = parser.complete.popleft()
                     name = message.fields.get(b"x-correlation-id", b"").decode()
                     self.begun.setdefault(name, []).append(came)
                     if answer:
--- a/benchmarks/service.py
+++ b/benchmarks/service.py
@@ -31,7 +31,7 @@
 from rig import ENGINES, EVENTS, FIRST_MS, GAP_MS  # noqa: E402
 
 from spoolbarrow.config import INHERITED  # noqa: E402
-from spoolbarrow.net.http1 import Fault, ResponseParser  # noqa: E402
+from spoolbarrow.net.http1 import HttpError, ResponseParser  # noqa: E402
 
 CLIENTS = 24
 SILENT = 20  # callers that say nothing: more than the listener holds
@@ -104,7 +104,7 @@
             while not parser.whole:
                 parser.read(sock, buffer)
                 parser.take_body()
-    except (OSError, Fault):
+    except (OSError, HttpError):
         return 0, (time.perf_counter() - begun) * 1000
     return parser.status, (time.perf_counter() - begun) * 1000
 
@@ -125,7 +125,7 @@
             begun = time.monotonic()
             try:
                 timed = client.ask(f"{worker}-{number}", worker * 100_003 + number)
-            except (OSError, Fault):
+            except (OSError, HttpError):
                 self.unheard += 1  # the connection was closed under the request
                 client = standin.Client(self._port)
                 continue
--- a/benchmarks/standin.py
+++ b/benchmarks/standin.py
@@ -120,7 +120,7 @@
         self._buffer = bytearray(65_536)
 
     def ask(self, name: str, session: int = 0x7F3A) -> Timed:
-        """One request; OSError or Fault where its answer is none."""
+        """One request; OSError or HttpError where its answer is none."""
         body = b'{"model":"chat","stream":true}'
         head = (
             f"POST /v1/chat/completions HTTP/1.1\r\nHost: api\r\nX-Correlation-Id: {name}\r\n"
--- a/spoolbarrow/admin/calls.py
+++ b/spoolbarrow/admin/calls.py
@@ -11,7 +11,7 @@
 from msgspec import Struct
 
 from spoolbarrow.errors import Problem
-from spoolbarrow.net.http1 import Fault, Message
+from spoolbarrow.net.http1 import HttpError, Message
 
 
 class CallFault(Problem):
@@ -27,7 +27,7 @@
 
     remedy = "Say it again as docs/operators/on-call.md has it, by `curl`."
 
-    def __init__(self, fault: Fault) -> None:
+    def __init__(self, fault: HttpError) -> None:
         super().__init__("", str(fault))
         self.answer, self.headers = fault.status, fault.headers
 
--- a/spoolbarrow/admin/control.py
+++ b/spoolbarrow/admin/control.py
@@ -24,11 +24,11 @@
 from spoolbarrow.net.accepting import next_connection
 from spoolbarrow.net.destinations import NoRoom
 from spoolbarrow.net.host import Host
-from spoolbarrow.net.http1 import Fault
+from spoolbarrow.net.http1 import HttpError
 from spoolbarrow.net.inbound import Inbound
-from spoolbarrow.net.log import log, unexpected
+from spoolbarrow.net.log import log, log_exception
 from spoolbarrow.net.request import Request
-from spoolbarrow.net.taps import Observer
+from spoolbarrow.net.observers import Observer
 
 CALLERS = 16  # connections at once: their descriptors are set aside from the clients'
 CALL_S = 3.0  # a caller that has not said what it wants by then is told so
@@ -53,9 +53,9 @@
 
     def request_answered(self, request: Request) -> None:
         """A request has its answer."""
-        self._figures.answered(request.class_name, request.answered)
+        self._figures.answered(request.class_name, request.answer_kind)
 
-    def turned_away(self, cls: int, how: str) -> None:
+    def request_declined(self, cls: int, how: str) -> None:
         """A request was answered without being taken."""
         self._figures.answered(self._name(cls), how)
 
@@ -93,7 +93,7 @@
         self._host, self._inbound, self._orders, self._agreement = host, inbound, orders, agreement
         self.figures = Figures(host.config.classes)
         self._counting = Counting(self.figures, self._class)
-        host.taps.add(self._counting)
+        host.observers.add(self._counting)
         self._silent: dict[socket.socket, gevent.Greenlet[..., None]] = {}  # oldest first
         self._listener: socket.socket | None = None
         self._accepting: gevent.Greenlet[..., None] | None = None
@@ -112,7 +112,7 @@
 
     def close(self) -> None:
         """Stop listening; callers under way are cut off."""
-        self._host.taps.remove(self._counting)
+        self._host.observers.remove(self._counting)
         self._stop_listening()
         gevent.killall(list(self._silent.values()))
 
@@ -137,14 +137,14 @@
             with sock:
                 try:
                     with gevent.Timeout(CALL_S):
-                        while not parser.whole and parser.fault is None:
+                        while not parser.complete and parser.error is None:
                             data = sock.recv(RECV)
                             if not data:
                                 return
                             parser.feed(memoryview(data))
                     pieces = self._answer(parser)
                 except gevent.Timeout:
-                    pieces = _refusal(BadCall(Fault(408, "no whole call in time")))
+                    pieces = _refusal(BadCall(HttpError(408, "no whole call in time")))
                 sock.settimeout(LINGER_S)
                 http1.send_pieces(sock, pieces)
                 sock.shutdown(socket.SHUT_WR)
@@ -154,15 +154,15 @@
         except OSError:
             pass  # the caller has gone
         except Exception as error:
-            unexpected("control", error)
+            log_exception("control", error)
         finally:
             self._silent.pop(sock, None)
 
     def _answer(self, parser: http1.RequestParser) -> list[bytes]:
         try:
-            if parser.fault is not None and not parser.whole:
-                raise BadCall(parser.fault)
-            call = calls.read(parser.whole.popleft())
+            if parser.error is not None and not parser.complete:
+                raise BadCall(parser.error)
+            call = calls.read(parser.complete.popleft())
             if call.verb is Verb.ZONES:
                 verdicts = self._host.destinations.verdicts
                 told = {"failover": "off"} if verdicts is None else {"failover": "on", "zones": verdicts}
@@ -176,7 +176,7 @@
         except Problem as error:
             return _refusal(error)
         except Exception as error:
-            unexpected("call", error)
+            log_exception("call", error)
             return _refusal(Defect("", "internal error"))
 
     def _agree(self, call: Call) -> list[bytes]:
@@ -196,7 +196,7 @@
         """The answer's text; a Problem where it is no."""
         verb = call.verb
         if verb is Verb.READY:
-            if not self._inbound.able():
+            if not self._inbound.can_serve():
                 raise NotReady("", "not ready")
             return "ready"
         if verb is Verb.METRICS:
--- a/spoolbarrow/admin/operations.py
+++ b/spoolbarrow/admin/operations.py
@@ -20,11 +20,11 @@
 from spoolbarrow.admin.control import Control, Versions, listen
 from spoolbarrow.admin.orders import Orders
 from spoolbarrow.config import Config
-from spoolbarrow.handover import Handover, Torn
+from spoolbarrow.handover import Handover, HandoverDataError
 from spoolbarrow.net import connection_handover
-from spoolbarrow.net.client import Client
+from spoolbarrow.net.client import ClientConnection
 from spoolbarrow.net.clock import Clock
-from spoolbarrow.net.drain_schedule import end_schedule
+from spoolbarrow.net.drain_schedule import shutdown_schedule
 from spoolbarrow.net.engine_answer import Underway
 from spoolbarrow.net.host import Host
 from spoolbarrow.net.inbound import Inbound
@@ -37,7 +37,7 @@
     def __init__(self, config: Config) -> None:
         """ConfigError where what is inherited can't be used."""
         self._config = config
-        self.inherited = handover.inherited()
+        self.inherited = handover.inherited_listener()
         self._handover: Handover | None = None
         self._control: Control | None = None
         self._shared = False  # another process lives
@@ -52,7 +52,7 @@
 
     def fit(self, config: Config) -> Config:
         """A configuration with this process's part of the room."""
-        return config if self._handover is None else self._handover.fit(config)
+        return config if self._handover is None else self._handover.divide_limits(config)
 
     def clock(self) -> Clock:
         """The clock that all processes of this router go by."""
@@ -72,9 +72,9 @@
         self._orders = orders = Orders(host, inbound)
         passed = None
         if self._handover is not None:
-            dead = self._handover.look()
-            self._adopt(self._handover.others_words(dead), at_start=True)
-            self._handover.forget(dead)
+            dead = self._handover.refresh_peers()
+            self._adopt(self._handover.read_peer_overrides(dead), at_start=True)
+            self._handover.remove_files(dead)
             orders.tell = self._tell
             self._tell()  # what the dead were told is this process's to pass on from here
             passed = self._read_state(self._handover.await_state())
@@ -89,33 +89,33 @@
         if self._handover is not None and self.inherited is not None:
             self._handover.start(self._looked, self._adopt, self._write_state)
             try:
-                self._handover.listen_for_streams(partial(connection_handover.take, host, inbound))
+                self._handover.listen_for_streams(partial(connection_handover.receive, host, inbound))
             except OSError as error:
                 log("handover_failed", what="streams", why=str(error))  # a path that is too long, say
 
-    def drain(self) -> Callable[[Client], bool] | None:
+    def drain(self) -> Callable[[ClientConnection], bool] | None:
         """SIGTERM has come: what passes idle connections on, where a newer process takes clients.
 
         Streams that last pass on to it by themselves.
         """
         if self._handover is not None:
             with suppress(OSError):
-                self._handover.look()  # the newer one may have ended since the last look
+                self._handover.refresh_peers()  # the newer one may have ended since the last look
         if not self.succeeded():
             return None
-        gevent.spawn_later(end_schedule(self._inbound.config, True).pass_on / 1000, self._pass_streams)
+        gevent.spawn_later(shutdown_schedule(self._inbound.config, True).handover_ms / 1000, self._pass_streams)
         return self._give_idle
 
-    def _give_idle(self, client: Client) -> bool:
+    def _give_idle(self, client: ClientConnection) -> bool:
         """Whether the next idle connection may be tried, too.
 
         One whose next request is coming in is served here, and that is no reason to give up on the others.
         """
         if self._unheard:
             return False
-        if client.unread() or connection_handover.give_idle(client, self._send_idle):
+        if client.has_unread() or connection_handover.send_idle(client, self._send_idle):
             return True
-        return not client.idle() or client.unread()  # its request came just now
+        return not client.idle() or client.has_unread()  # its request came just now
 
     def _send_idle(self, text: bytes, descriptors: Sequence[int]) -> bool | None:
         assert self._handover is not None
@@ -129,7 +129,7 @@
 
     def _give(self, underway: Underway) -> bool:
         assert self._handover is not None
-        return connection_handover.give(self._host, underway, self._send_stream)
+        return connection_handover.send_stream(self._host, underway, self._send_stream)
 
     def _send_stream(self, text: bytes, descriptors: Sequence[int]) -> bool | None:
         assert self._handover is not None
@@ -165,7 +165,7 @@
 
     def _looked(self) -> None:
         """Guards the limits of the router: two processes have them together."""
-        shared = self._handover is not None and self._handover.shared()
+        shared = self._handover is not None and self._handover.has_peers()
         if shared is not self._shared:
             self._shared = shared
             fitting = self.fit(self._config)
@@ -174,14 +174,14 @@
 
     def _tell(self) -> None:
         assert self._handover is not None
-        self._handover.write_words(self._orders.words.write(self._config.name))
+        self._handover.write_overrides(self._orders.words.write(self._config.name))
 
     def _adopt(self, texts: list[bytes], at_start: bool = False) -> None:
         changed = False
         for text in texts:
             try:
                 changed |= self._orders.adopt(words.read(text, self._config.name), at_start)
-            except Torn as error:
+            except HandoverDataError as error:
                 log("handover_failed", what="words", why=str(error), remedy=error.remedy)
         if changed:
             self._tell()
@@ -197,6 +197,6 @@
             return None
         try:
             return state.read(text, self._config.name)
-        except Torn as error:
+        except HandoverDataError as error:
             log("handover_failed", what="state", why=str(error), remedy=error.remedy)
             return None
--- a/spoolbarrow/admin/orders.py
+++ b/spoolbarrow/admin/orders.py
@@ -6,7 +6,7 @@
 
 from spoolbarrow.admin.words import AWAY, Words
 from spoolbarrow.net.destinations import NoRoom
-from spoolbarrow.net.drain_schedule import LONG_AGO_MS
+from spoolbarrow.net.drain_schedule import ALL_STEPS_REACHED_MS
 from spoolbarrow.net.host import Host
 from spoolbarrow.net.inbound import Inbound
 from spoolbarrow.net.log import log
@@ -32,7 +32,7 @@
 
     def drain(self) -> None:
         """Clients are sent away."""
-        self._inbound.drain_by_call()
+        self._inbound.begin_operator_drain()
         self._say(AWAY, True)
 
     def activate(self) -> None:
@@ -66,6 +66,6 @@
 
     def _adopt_drain(self, on: bool, at_start: bool) -> None:
         if on:
-            self._inbound.drain_by_call(LONG_AGO_MS if at_start else 0.0)
+            self._inbound.begin_operator_drain(ALL_STEPS_REACHED_MS if at_start else 0.0)
         else:
             self._inbound.activate()
--- a/spoolbarrow/admin/state.py
+++ b/spoolbarrow/admin/state.py
@@ -12,7 +12,7 @@
 from msgspec import Struct
 
 from spoolbarrow.config import HostList
-from spoolbarrow.handover import Torn
+from spoolbarrow.handover import HandoverDataError
 from spoolbarrow.router import Entitlement, Router
 
 VERSION = 2  # 1 told what was learnt by positions of classes, tenants and zones
@@ -90,13 +90,13 @@
 
 
 def read(text: bytes, name: str) -> State:
-    """The state in a text; Torn where it is torn, of another version or another router."""
+    """The state in a text; HandoverDataError where it is torn, of another version or another router."""
     try:
         state = msgspec.json.decode(text, type=State)
     except msgspec.DecodeError as error:
-        raise Torn("", str(error)) from error
+        raise HandoverDataError("", str(error)) from error
     if state.v != VERSION or state.name != name:
-        raise Torn("", f"version {state.v} of {state.name!r}")
+        raise HandoverDataError("", f"version {state.v} of {state.name!r}")
     return state
 
 
--- a/spoolbarrow/admin/words.py
+++ b/spoolbarrow/admin/words.py
@@ -8,7 +8,7 @@
 import msgspec
 from msgspec import Struct
 
-from spoolbarrow.handover import Torn
+from spoolbarrow.handover import HandoverDataError
 
 VERSION = 1
 MOST_BYTES = 1 << 20  # of a file of words: longer than any that MOST_SUSPENDED short names make
@@ -66,15 +66,15 @@
 
 
 def read(text: bytes, name: str) -> Words:
-    """The words in a file's text; Torn where they are torn, foreign or of another version."""
+    """The words in a file's text; HandoverDataError where they are torn, foreign or of another version."""
     if len(text) > MOST_BYTES:
-        raise Torn("", "too large")
+        raise HandoverDataError("", "too large")
     try:
         file = msgspec.json.decode(text, type=_File)
     except msgspec.DecodeError as error:
-        raise Torn("", str(error)) from error
+        raise HandoverDataError("", str(error)) from error
     if file.v != VERSION or file.name != name:
-        raise Torn("", f"version {file.v} of {file.name!r}")
+        raise HandoverDataError("", f"version {file.v} of {file.name!r}")
     words = Words()
     words._words = file.words
     return words
--- a/spoolbarrow/cli/store.py
+++ b/spoolbarrow/cli/store.py
@@ -68,7 +68,7 @@
     import gevent
     from gevent.event import Event
 
-    from spoolbarrow.net.log import log, standard
+    from spoolbarrow.net.log import log, default_log
     from spoolbarrow.store.member import Member
     from spoolbarrow.store.raft import Settings
 
@@ -84,12 +84,12 @@
         Settings(election_ms=1000.0, beat_ms=100.0),
         most_pages,
     )
-    standard.start()
+    default_log.start()
     log("store_started", member=name, listen=listen, control=control)
     told_to_end.wait()
     made.close()
     log("store_ended", member=name)
-    standard.stop()
+    default_log.stop()
     return 0
 
 
--- a/spoolbarrow/door/keeper.py
+++ b/spoolbarrow/door/keeper.py
@@ -18,7 +18,7 @@
 from spoolbarrow.door import door as d
 from spoolbarrow.door.gate import Caller, Gate, Told, no_header, weights
 from spoolbarrow.net.host import Host
-from spoolbarrow.net.log import log, unexpected
+from spoolbarrow.net.log import log, log_exception
 from spoolbarrow.operator import DoorTable, number_of
 from spoolbarrow.router import Router
 
@@ -62,7 +62,7 @@
         header = self._show if prepared.table.tickets else no_header
         self._gate = Gate(
             router, prepared.settings, self._salt, self._who, self._told,
-            lambda error: unexpected("door", error), header,
+            lambda error: log_exception("door", error), header,
         )  # fmt: skip
         return self._gate
 
@@ -87,7 +87,7 @@
         fields = request.message.fields
         name = fields.get(self._header, b"") if self._header else b""
         if not name:
-            name = self._prefix(request.answer.peer())
+            name = self._prefix(request.answer.client_address())
         client = xxhash.xxh3_64_intdigest(name, self._salt ^ event.tenant)
         prompt = xxhash.xxh3_64_intdigest(request.message.body, self._salt ^ event.session)
         repeat = True if fields.get(b"x-repeat") == REPEAT else None
--- a/spoolbarrow/flows/collector.py
+++ b/spoolbarrow/flows/collector.py
@@ -18,7 +18,7 @@
 
 from spoolbarrow.flows.decode import FlowError, Message, Session, split
 from spoolbarrow.net.accepting import next_connection
-from spoolbarrow.net.log import log, unexpected
+from spoolbarrow.net.log import log, log_exception
 from spoolbarrow.operator import Collector
 
 RECV = 65_536
@@ -130,7 +130,7 @@
         try:
             self._hear(name, message, data)
         except Exception as error:
-            unexpected("collector", error)
+            log_exception("collector", error)
         return True
 
     def _malformed(self, name: str, error: FlowError) -> None:
--- a/spoolbarrow/flows/exporter.py
+++ b/spoolbarrow/flows/exporter.py
@@ -31,9 +31,9 @@
 from spoolbarrow.flows.sender import Sender, Sink, now_ms
 from spoolbarrow.net import tcpinfo
 from spoolbarrow.net.host import Host
-from spoolbarrow.net.log import log, unexpected
+from spoolbarrow.net.log import log, log_exception
 from spoolbarrow.net.request import Request
-from spoolbarrow.net.taps import Observer, Opened, Side, Why
+from spoolbarrow.net.observers import Observer, OpenConnection, Side, CloseReason
 from spoolbarrow.operator import FlowsTable, collectors
 
 LOOK_S = 0.1  # between looks at which connections' time-outs have passed
@@ -42,7 +42,7 @@
 MOST_ENGINES = 4096  # names of engines kept for records still to come
 TCP = 6  # protocolIdentifier
 Tell = Callable[[int, tcpinfo.Counters, float], meter.ConnectionFlow | None]
-_REASONS = {Why.ENDED: meter.FORCED}
+_REASONS = {CloseReason.ENDED: meter.FORCED}
 
 
 class BadCertificate(ConfigError):
@@ -126,7 +126,7 @@
         self._v9 = Writer(V9_CONNECTION)
         self.faults = 0  # connections that could not be read
         self.apply(prepared)
-        host.taps.add(self)
+        host.observers.add(self)
         self._looker = gevent.spawn(self._look)
 
     def apply(self, prepared: Prepared) -> None:
@@ -159,7 +159,7 @@
 
     def close(self) -> None:
         """Tell what is untold, send what goes within the time, and end."""
-        self._host.taps.remove(self)
+        self._host.observers.remove(self)
         self._looker.kill()
         now = now_ms()
         for number in self._meter.numbers():
@@ -171,14 +171,14 @@
 
     # What happens
 
-    def connection_opened(self, opened: Opened) -> None:
+    def connection_opened(self, opened: OpenConnection) -> None:
         """Begin to meter it."""
         number = opened.number
         outbound = opened.side is Side.ENDPOINT
-        if self._meter.opened(number, opened.local, opened.peer, outbound, opened.endpoint, opened.at):
+        if self._meter.opened(number, opened.local, opened.peer, outbound, opened.endpoint, opened.opened_at):
             self._socks[number] = opened.sock
 
-    def connection_closing(self, number: int, why: Why) -> None:
+    def connection_closing(self, number: int, why: CloseReason) -> None:
         """Its last record."""
         reason = _REASONS.get(why, meter.ENDED)
         self._read(number, partial(self._meter.closing, reason=reason), now_ms())
@@ -189,7 +189,7 @@
         if self._meter.wants_request(facts.session, int(request.key)):
             self._answers[request.key] = 0
 
-    def passed_on(self, request: Request, parts: list[bytes]) -> None:
+    def parts_forwarded(self, request: Request, parts: list[bytes]) -> None:
         """Count the answer's octets."""
         if request.key in self._answers:
             self._answers[request.key] += sum(map(len, parts))
@@ -199,8 +199,8 @@
         octets = self._answers.pop(request.key, None)
         if octets is None or self._table.format != "ipfix":
             return
-        last = request.stream or (request.attempts[-1] if request.attempts else None)
-        start, first = request.taken_at, request.stream.first_at if request.stream else 0.0
+        last = request.serving_attempt or (request.attempts[-1] if request.attempts else None)
+        start, first = request.taken_at, request.serving_attempt.first_at if request.serving_attempt else 0.0
         engine = self._engine(last.endpoint if last else "")
         self._put(
             self._request.record(
@@ -213,7 +213,7 @@
                 engine,
                 last.connection if last else 0,
                 min(len(request.attempts), 255),
-                OUTCOMES.index(request.answered),
+                OUTCOMES.index(request.answer_kind),
                 meter.request_ms(start, first),
                 meter.request_ms(start, now),
                 octets,
@@ -232,7 +232,7 @@
                     if n % LOOKS_AT_ONCE == LOOKS_AT_ONCE - 1:
                         gevent.sleep(0)
             except Exception as error:
-                unexpected("flows", error)
+                log_exception("flows", error)
 
     def _read(self, number: int, tell: Tell, now: float) -> None:
         sock = self._socks.get(number)
--- a/spoolbarrow/flows/files.py
+++ b/spoolbarrow/flows/files.py
@@ -16,7 +16,7 @@
 from spoolbarrow.flows.encode import IPFIX, Record, Stream
 from spoolbarrow.flows.queue import RecordQueue
 from spoolbarrow.flows.sender import RECORDS_AT_ONCE, STATISTICS_MS, now_ms
-from spoolbarrow.net.log import log, unexpected
+from spoolbarrow.net.log import log, log_exception
 from spoolbarrow.operator import Collector, FlowsTable
 from spoolbarrow.spool import Spool
 
@@ -93,7 +93,7 @@
                 if self._end.wait(RETRY_S):
                     return
             except Exception as error:
-                unexpected("flows", error)
+                log_exception("flows", error)
                 if self._end.wait(RETRY_S):
                     return
             self._woken.wait(max(self._table.flush_ms, 10.0) / 1000)
--- a/spoolbarrow/flows/meter.py
+++ b/spoolbarrow/flows/meter.py
@@ -171,15 +171,15 @@
     def _tell(self, number: int, one: _Open, counters: Counters, end: float, reason: int) -> ConnectionFlow:
         last = one.last
         sent = _traffic(
-            counters.sent - last.sent,
+            counters.bytes_sent - last.bytes_sent,
             counters.segments_sent - last.segments_sent,
-            counters.data_sent - last.data_sent,
+            counters.data_segments_sent - last.data_segments_sent,
             counters.timestamps,
         )
         received = _traffic(
-            counters.received - last.received,
+            counters.bytes_received - last.bytes_received,
             counters.segments_received - last.segments_received,
-            counters.data_received - last.data_received,
+            counters.data_segments_received - last.data_segments_received,
             counters.timestamps,
         )
         ours = one.outbound
@@ -194,7 +194,7 @@
             sent if ours else received,
             received if ours else sent,
             reason,
-            counters.again - last.again,
+            counters.segments_retransmitted - last.segments_retransmitted,
             counters.rtt_us,
         )
         one.last = one.seen = counters
--- a/spoolbarrow/flows/sender.py
+++ b/spoolbarrow/flows/sender.py
@@ -22,7 +22,7 @@
 from spoolbarrow.flows.encode import IPFIX, V9, Record, Stream
 from spoolbarrow.flows.queue import RecordQueue
 from spoolbarrow.net import tcpinfo
-from spoolbarrow.net.log import log, unexpected
+from spoolbarrow.net.log import log, log_exception
 from spoolbarrow.operator import Collector, FlowsTable
 
 SIOCOUTQ = 0x5411  # linux/sockios.h: bytes of the send queue that the peer has not acknowledged
@@ -193,7 +193,7 @@
             except OSError as error:
                 self._broken(f"{type(error).__name__}: {error}")
             except Exception as error:
-                unexpected("flows", error)
+                log_exception("flows", error)
                 self._broken("unexpected")
 
     def _broken(self, why: str) -> None:
@@ -294,12 +294,12 @@
     def _written(self) -> int:
         """Bytes of the wire written so far: acknowledged, and still in the kernel's hands."""
         waiting: int = struct.unpack("i", fcntl.ioctl(self._sock.fileno(), SIOCOUTQ, b"\0" * 4))[0]
-        return tcpinfo.acknowledged(self._sock) + waiting
+        return tcpinfo.acknowledged_bytes(self._sock) + waiting
 
     def _look(self) -> None:
         """Guards against writing to a collector that has gone: nothing else tells of its end before that."""
-        self._unacknowledged.acknowledged(tcpinfo.acknowledged(self._sock))
+        self._unacknowledged.acknowledged(tcpinfo.acknowledged_bytes(self._sock))
         # One that accepts and hangs up has taken nothing: the attempts to reach it go on backing off.
         self._proven = self._proven or (bool(self._templates_at) and not len(self._unacknowledged))
-        if tcpinfo.peer_ended(self._sock):
+        if tcpinfo.peer_closed(self._sock):
             raise ConnectionResetError("the collector closed its connection")
--- a/spoolbarrow/handover.py
+++ b/spoolbarrow/handover.py
@@ -24,7 +24,7 @@
 from spoolbarrow.errors import Problem
 from spoolbarrow.net.accepting import next_connection
 from spoolbarrow.net.clock import unix_offset_s
-from spoolbarrow.net.log import log, unexpected
+from spoolbarrow.net.log import log, log_exception
 
 FOLDER = "spoolbarrow"
 LOOK_S = 0.05  # between looks at the others' files
@@ -37,7 +37,7 @@
 MOST_FILES = 64  # looked at in the folder: there are never more than a few processes
 
 
-class Torn(Problem, ValueError):
+class HandoverDataError(Problem, ValueError):
     """What an older process left, or a stream that it gives, can't be taken over."""
 
     where = "`what` of the line `handover_failed`"
@@ -51,7 +51,7 @@
     remedy = f"Start it with the older process's listening socket, and have {INHERITED} name its descriptor."
 
 
-def inherited(environment: Mapping[str, str] = os.environ) -> socket.socket | None:
+def inherited_listener(environment: Mapping[str, str] = os.environ) -> socket.socket | None:
     """The listening socket that the environment names, if it does; ConfigError where it is none."""
     text = environment.get(INHERITED)
     if text is None:
@@ -110,7 +110,7 @@
         self._old_states = {other: self._writing("state", other) for other in others}
         # Names sort by age: who is later is the successor, also where the wall clock was set back meanwhile.
         number = max([time.time_ns(), *(_number(other) + 1 for other in others)])
-        self.me = f"{number:020d}-{os.getpid()}"
+        self.process_name = f"{number:020d}-{os.getpid()}"
         self.clock_offset_s = self._shared_offset_s(others)  # of the clock that all of them go by
         self._lock = os.open(self._path("lock"), os.O_CREAT | os.O_RDWR | os.O_CLOEXEC, 0o600)
         os.write(self._lock, b"%.6f" % self.clock_offset_s)
@@ -122,20 +122,20 @@
         self._looking: gevent.Greenlet[..., None] | None = None
         self._streams: socket.socket | None = None
         self._taking: gevent.Greenlet[..., None] | None = None
-        self.look()
+        self.refresh_peers()
 
     def _path(self, kind: str, of: str = "") -> Path:
-        return self._folder / f"{of or self.me}.{kind}"
+        return self._folder / f"{of or self.process_name}.{kind}"
 
     def _streams_path(self, of: str = "") -> str:
         return f"/proc/self/fd/{self._directory}/{self._path('streams', of).name}"
 
-    def look(self) -> list[str]:
+    def refresh_peers(self) -> list[str]:
         """See who lives; those that are dead and left files."""
-        others = [other for other in self._others() if other != self.me]
+        others = [other for other in self._others() if other != self.process_name]
         alive = [other for other in others if self._lives(other)]
-        self.older = [other for other in alive if other < self.me]
-        self.newer = [other for other in alive if other > self.me]
+        self.older = [other for other in alive if other < self.process_name]
+        self.newer = [other for other in alive if other > self.process_name]
         return [other for other in others if other not in alive]
 
     def _others(self) -> list[str]:
@@ -172,7 +172,7 @@
         finally:
             os.close(held)
 
-    def write_words(self, text: bytes) -> None:
+    def write_overrides(self, text: bytes) -> None:
         """Have the others know; a fault is logged: what was said holds in this process all the same."""
         self._write("words", text)
 
@@ -184,7 +184,7 @@
         except OSError as error:
             log("handover_failed", what=kind, why=str(error))
 
-    def others_words(self, dead: list[str]) -> list[bytes]:
+    def read_peer_overrides(self, dead: list[str]) -> list[bytes]:
         """Words of the others, those not read yet; the files of the dead are gone after this."""
         texts = []
         for other in (*self.older, *self.newer, *dead):
@@ -195,7 +195,7 @@
                     self._read[other] = writing
         return texts
 
-    def forget(self, dead: list[str]) -> None:
+    def remove_files(self, dead: list[str]) -> None:
         """Remove what the dead left."""
         for other in dead:
             self._read.pop(other, None)
@@ -216,17 +216,17 @@
     ) -> None:
         while True:
             try:
-                dead = self.look()
+                dead = self.refresh_peers()
                 looked()
-                if texts := self.others_words(dead):
+                if texts := self.read_peer_overrides(dead):
                     adopt(texts)
-                self.forget(dead)
+                self.remove_files(dead)
                 if unserved := set(self.newer) - self._served:
                     self._served |= unserved
                     self._write("state", state())
                     log("handed_over", to=sorted(unserved))
             except Exception as error:  # the next look may fare better; serving never hears of it
-                unexpected("handover", error)
+                log_exception("handover", error)
             gevent.sleep(LOOK_S)
 
     def listen_for_streams(self, take: Callable[[bytes, list[int]], Callable[[], None]]) -> None:
@@ -253,7 +253,7 @@
                     text, descriptors = _receive(giver)
                     try:
                         go = take(text, descriptors)
-                    except (Torn, OSError) as error:
+                    except (HandoverDataError, OSError) as error:
                         log("handover_failed", what="stream", why=str(error))
                         giver.sendall(b"n")
                         continue
@@ -264,7 +264,7 @@
             except (OSError, gevent.Timeout) as error:
                 log("handover_failed", what="stream", why=f"{type(error).__name__}: {error}")
             except Exception as error:
-                unexpected("handover", error)
+                log_exception("handover", error)
 
     def send_stream(self, text: bytes, descriptors: Sequence[int]) -> bool | None:
         """Pass a stream to the newest process: taken, not taken, or not known."""
@@ -293,16 +293,16 @@
                 with suppress(OSError):
                     return path.read_bytes() if path.stat().st_size <= MOST_STATE else None
             gevent.sleep(LOOK_S / 5)
-            self.look()
+            self.refresh_peers()
         return None
 
-    def shared(self) -> bool:
+    def has_peers(self) -> bool:
         """Whether another process of the router lives."""
         return bool(self.older or self.newer)
 
-    def fit(self, config: Config) -> Config:
+    def divide_limits(self, config: Config) -> Config:
         """This process's part of the router's room while another one lives."""
-        if not self.shared():
+        if not self.has_peers():
             return config
         # Each keeps a whole reserve for itself: together they hold no more than one alone.
         control = config.control is not None
--- a/spoolbarrow/lab/asked.py
+++ b/spoolbarrow/lab/asked.py
@@ -9,7 +9,7 @@
 from typing import NamedTuple, Protocol
 
 from spoolbarrow.lab.process import LISTEN
-from spoolbarrow.net.http1 import Fault, ResponseParser
+from spoolbarrow.net.http1 import HttpError, ResponseParser
 
 BROKEN = 1  # in place of a status: the answer began, and ended without its last chunk
 MOST_ASKED = 200_000  # requests of one load
@@ -24,7 +24,7 @@
 def call(port: int, text: bytes, seconds: float = 10.0) -> tuple[int, bytes]:
     """One request to a router's port, on a connection of its own: the answer's status, or BROKEN, and bytes.
 
-    OSError or Fault where none comes.
+    OSError or HttpError where none comes.
     """
     with socket.create_connection((LISTEN, port), seconds) as sock:
         sock.sendall(text)
@@ -37,7 +37,7 @@
                     continue
                 raw += data
                 parser.feed(memoryview(data))
-        except (ConnectionError, Fault):
+        except (ConnectionError, HttpError):
             if not parser.headed:
                 raise
             return BROKEN, raw
@@ -90,7 +90,7 @@
             begun = time.monotonic()
             try:
                 status, raw = call(port, head + body)
-            except (OSError, Fault):
+            except (OSError, HttpError):
                 status, raw = 0, b""
             now = time.monotonic()
             self.answers.append(Answer(now, router, status, (now - begun) * 1000))
--- a/spoolbarrow/lab/emulate.py
+++ b/spoolbarrow/lab/emulate.py
@@ -184,10 +184,10 @@
         try:
             while data := sock.recv(65_536):
                 parser.feed(memoryview(data))
-                if parser.fault is not None:
+                if parser.error is not None:
                     return
-                while parser.whole:
-                    self._tell(sock, caller, parser.whole.popleft().target)
+                while parser.complete:
+                    self._tell(sock, caller, parser.complete.popleft().target)
         except OSError:
             pass
         finally:
--- a/spoolbarrow/lab/load.py
+++ b/spoolbarrow/lab/load.py
@@ -196,7 +196,7 @@
         except Patience:
             self.unanswered += 1
             return "left", 0.0
-        except (OSError, http1.Fault, ValueError):
+        except (OSError, http1.HttpError, ValueError):
             return "failed", 0.0
         finally:
             if sock is not None and not (parser.status == 200 and parser.whole and parser.reusable):
@@ -212,7 +212,7 @@
             while not parser.whole:
                 parser.read(sock, buffer)
                 tail = (tail + b"".join(parser.take_body()))[-2048:]
-        except (OSError, http1.Fault):
+        except (OSError, http1.HttpError):
             return "lost"
         if b"data: [DONE]" not in tail:
             return "lost"
--- a/spoolbarrow/lab/recorded_clients.py
+++ b/spoolbarrow/lab/recorded_clients.py
@@ -213,7 +213,7 @@
         return False
 
     def _was_reset(self) -> bool:
-        told = self.sock.getsockopt(plain.IPPROTO_TCP, tcpinfo.TCP_INFO, tcpinfo.SIZE)
+        told = self.sock.getsockopt(plain.IPPROTO_TCP, tcpinfo.TCP_INFO, tcpinfo.TCP_INFO_BYTES)
         return bool(told[0] == tcpinfo.CLOSED)
 
     def stands(self) -> bool:
--- a/spoolbarrow/lab/recorded_engines.py
+++ b/spoolbarrow/lab/recorded_engines.py
@@ -85,8 +85,8 @@
                 if not parser.reading:
                     first = received_at(sock)
                 parser.feed(memoryview(data))
-                while parser.whole:
-                    self._take(sock, parser.whole.popleft(), router, first)
+                while parser.complete:
+                    self._take(sock, parser.complete.popleft(), router, first)
         except OSError:
             pass
         finally:
--- a/spoolbarrow/lab/sockets.py
+++ b/spoolbarrow/lab/sockets.py
@@ -132,7 +132,7 @@
                 http1.send_pieces(sock, http1.get_pieces(b"/up", address))
                 while not parser.whole:
                     parser.read(sock, bytearray(4096))
-        except (OSError, http1.Fault):
+        except (OSError, http1.HttpError):
             return False
         return parser.status == 200
 
--- a/spoolbarrow/lab/standin.py
+++ b/spoolbarrow/lab/standin.py
@@ -47,8 +47,8 @@
     try:
         while data := sock.recv(65_536):
             parser.feed(memoryview(data))
-            while parser.whole:
-                answer(sock, parser.whole.popleft())
+            while parser.complete:
+                answer(sock, parser.complete.popleft())
     except OSError:
         pass
     finally:
--- a/spoolbarrow/lab/wire.py
+++ b/spoolbarrow/lab/wire.py
@@ -209,12 +209,12 @@
                     return
                 self._wait(router)
                 parser.feed(memoryview(data))
-                if parser.fault is not None:
+                if parser.error is not None:
                     return
-                while parser.whole:
+                while parser.complete:
                     if answering is not None:
                         answering.join()
-                    answering = gevent.spawn(self._answer, sock, router, parser.whole.popleft())
+                    answering = gevent.spawn(self._answer, sock, router, parser.complete.popleft())
         except OSError:
             pass  # closed, unreadable, or idle for too long
         finally:
--- a/spoolbarrow/net/agreement.py
+++ b/spoolbarrow/net/agreement.py
@@ -14,7 +14,7 @@
 from spoolbarrow.agree import Item, Ledger, digest, files
 from spoolbarrow.config import Config, ConfigError
 from spoolbarrow.errors import Problem
-from spoolbarrow.net.log import log, unexpected
+from spoolbarrow.net.log import log, log_exception
 
 if TYPE_CHECKING:
     from spoolbarrow.fleet.documents import InCommon
@@ -90,7 +90,7 @@
 class Gate(Protocol):
     """Where clients come in."""
 
-    def drained(self) -> bool:
+    def operator_drained(self) -> bool:
         """Whether an operator drained this router by hand."""
         ...
 
@@ -153,7 +153,7 @@
             index, lines = destinations.seen()
             self._note(Item.LIST, index, digest(lines))
             self._note(Item.SUSPENSIONS, 0, digest(destinations.all_suspended()))
-        self._note(Item.DRAIN, 0, digest(self._gate.drained()))
+        self._note(Item.DRAIN, 0, digest(self._gate.operator_drained()))
         told = {} if self._host.fleet is None else self._host.fleet.versions()
         for item in IN_COMMON:
             if item.value in told:
@@ -184,4 +184,4 @@
             try:
                 self.look()
             except Exception as error:  # never into serving
-                unexpected("agreement", error)
+                log_exception("agreement", error)
--- a/spoolbarrow/net/client.py
+++ b/spoolbarrow/net/client.py
@@ -10,17 +10,17 @@
 from gevent.event import Event
 
 from spoolbarrow.net import http1, tcpinfo
-from spoolbarrow.net.drain_schedule import Step
+from spoolbarrow.net.drain_schedule import DrainStep
 from spoolbarrow.net.exchange import Exchange as Exchange
 from spoolbarrow.net.exchange import retry_after
-from spoolbarrow.net.http1 import Fault, Message
-from spoolbarrow.net.last_answer import ENDED, await_end
-from spoolbarrow.net.log import unexpected
-from spoolbarrow.net.loop_turns import Arrivals
+from spoolbarrow.net.http1 import HttpError, Message
+from spoolbarrow.net.graceful_close import ENDED, await_peer_close
+from spoolbarrow.net.log import log_exception
+from spoolbarrow.net.loop_iterations import ArrivalTimes
 from spoolbarrow.net.request import Request
-from spoolbarrow.net.request_admission import LOOKED_AT, Listener, turned_away
+from spoolbarrow.net.request_admission import LOOKED_AT, Listener, notify_declined
 from spoolbarrow.net.request_admission import admit as admit
-from spoolbarrow.net.taps import Side, Why
+from spoolbarrow.net.observers import Side, CloseReason
 
 FIRST_READ = 4096  # bytes of what may be many requests: each that is read must be answered
 GONE_S = 0.05  # between looks for the end of a client that has sent more: half of what it may go unseen
@@ -32,11 +32,11 @@
 
     buffer: bytearray
 
-    def gone(self, client: Client) -> None:
+    def connection_closed(self, client: ClientConnection) -> None:
         """A client's connection is closed."""
 
 
-class Client:
+class ClientConnection:
     """A client's connection: its greenlet waits for what comes, so that a client that leaves is noticed.
 
     While a request is under way nothing more is read. What was read must be answered, and a connection
@@ -46,11 +46,11 @@
     def __init__(self, inbound: Owner, sock: socket.socket) -> None:
         self.inbound, self.sock = inbound, sock
         self.exchange: Exchange | None = None
-        self.number = inbound.host.taps.opened(Side.CLIENT, sock, inbound.host.now())
+        self.number = inbound.host.observers.connection_opened(Side.CLIENT, sock, inbound.host.now())
         self.since = inbound.host.now()  # it was opened or became idle, or a later request began
         self.fresh = True  # nothing was answered on it yet
         self.writing_since = 0.0  # when a write began that the client has not taken yet
-        self._arrivals = Arrivals(inbound.host.turns, sock)
+        self._arrivals = ArrivalTimes(inbound.host.loop_iterations, sock)
         options = inbound.config.options
         self._parser = http1.RequestParser(options.max_head, options.max_body)
         self._room = Event()
@@ -61,18 +61,18 @@
         self.reader: gevent.Greenlet[[], None] | None = None
         self.ending = False  # its last answer is written; only the client's end is waited for
         # Guards the CPU: a client that repeats what is turned away must come back through the listener.
-        self.turned_away = False
+        self.declined = False
 
     def idle(self) -> bool:
         """Whether nothing is under way on it, as far as was read; not while another process may take it."""
         gone = self._closed or self._paused
-        return not (gone or self.exchange or self._parser.reading or self._parser.whole)
+        return not (gone or self.exchange or self._parser.reading or self._parser.complete)
 
     def state(self) -> str:
         """What it is doing, for the log."""
         if self.ending:
             return "told_to_go"
-        if self.exchange is not None or self._parser.whole:
+        if self.exchange is not None or self._parser.complete:
             return "answering"
         return "half_read" if self._parser.reading else "idle"
 
@@ -81,11 +81,11 @@
         request = self.exchange.request if self.exchange is not None else None
         return "" if request is None else request.id
 
-    def unread(self) -> bool:
+    def has_unread(self) -> bool:
         """Whether the kernel holds something that its client sent."""
         return not self._closed and http1.polled(self.sock, select.POLLIN) != 0
 
-    def gone(self) -> bool:
+    def disconnected(self) -> bool:
         """Whether its client has closed, reset or half-closed it, whatever stands unread before that end.
 
         Never waits. Where the system does not tell, the client counts as there: its reader comes to the end.
@@ -107,15 +107,15 @@
 
     def answered(self) -> bool:
         """Whether its client's machine has all that was written to it."""
-        return not tcpinfo.awaits_peer(self.sock)
+        return not tcpinfo.has_unacknowledged(self.sock)
 
     def asked_more(self) -> bool:
         """Whether its client sent something behind the request that is served."""
-        return bool(self._parser.reading or self._parser.whole) or self.unread()
+        return bool(self._parser.reading or self._parser.complete) or self.has_unread()
 
     def read_more(self) -> bool:
         """Whether what was read of it is not all answered when the request under way is."""
-        return bool(self._parser.whole) or self._parser.fault is not None
+        return bool(self._parser.complete) or self._parser.error is not None
 
     def must_end(self) -> bool:
         """Whether the connection ends with the answer under way, or the one that has just ended.
@@ -124,21 +124,21 @@
         Never before what was read is answered. What stands unread is served as long as there is time for it;
         from then on it is left so, for its client to send again.
         """
-        if self.turned_away and not self.read_more():
+        if self.declined and not self.read_more():
             return True
         drains, now = self.inbound.drainer.state, self.inbound.host.now()
-        if drains.reached(Step.CLOSE_ALL, now):
+        if drains.reached(DrainStep.CLOSE_ALL, now):
             return not (self._parser.reading or self.read_more())
-        return drains.reached(Step.END_ANSWERS, now) and not self.asked_more()
+        return drains.reached(DrainStep.END_ANSWERS, now) and not self.asked_more()
 
     def stalled(self, since: float) -> bool:
         """Whether its client has taken nothing of an answer since then."""
         return 0 < self.writing_since < since
 
-    def hurry(self, retry_after_ms: float) -> None:
+    def refuse_half_read(self, retry_after_ms: float) -> None:
         """Refuse a request that is still half read: there is no time left for the rest of it."""
-        if self._parser.reading and self.exchange is None and not (self.ending or self.unread()):
-            self._parser.refuse(Fault(503, "no time for the rest", retry_after(retry_after_ms)))
+        if self._parser.reading and self.exchange is None and not (self.ending or self.has_unread()):
+            self._parser.refuse(HttpError(503, "no time for the rest", retry_after(retry_after_ms)))
             self._advance()
 
     def run(self) -> None:
@@ -148,11 +148,11 @@
             while self._read_next(view):
                 gevent.sleep(0)  # guards the others: a client that sends at full speed is always readable
             if self.ending and not self._closed:
-                await_end(self.sock, view, self._parser.rest(), self.inbound.config.options.linger_ms / 1000)
+                await_peer_close(self.sock, view, self._parser.remaining_bytes(), self.inbound.config.options.linger_ms / 1000)
         except OSError:
             pass  # reset by the client, or closed by this side
         except Exception as error:
-            unexpected("client", error)
+            log_exception("client", error)
         finally:
             if not self._paused:
                 self.lost()
@@ -171,8 +171,8 @@
         except OSError:
             raise
         except Exception as error:
-            unexpected("client", error)
-            self._parser.refuse(Fault(500, "internal error"))  # its client is told all the same, in its turn
+            log_exception("client", error)
+            self._parser.refuse(HttpError(500, "internal error"))  # its client is told all the same, in its turn
             self._advance()
             return True
 
@@ -182,12 +182,12 @@
             there = self.sock.recv_into(view, LOOKED_AT, socket.MSG_PEEK)
             if self.ending or self._may_read():
                 return not self.ending
-            if self._left() or (self._under_way() is not None and (not there or self.gone())):
+            if self._left() or (self._under_way() is not None and (not there or self.disconnected())):
                 return False
             if there:
                 self._arrivals.stands(self.inbound.host.now())
             if there and self.voids(view[:there]):
-                self._take_back(Fault(400, "malformed request: its length is not that of its body"))
+                self._take_back(HttpError(400, "malformed request: its length is not that of its body"))
                 continue
             self._room.clear()
             self._room.wait(GONE_S)
@@ -196,19 +196,19 @@
     def _may_read(self) -> bool:
         """Whether nothing is under way, or what was read last shows it to be wrong or not."""
         parser = self._parser
-        if parser.fault is not None:
+        if parser.error is not None:
             return False
-        return not (self.exchange or parser.whole) or (parser.begins and self._unsent() is not None)
+        return not (self.exchange or parser.complete) or (parser.begins and self._unsent() is not None)
 
     def _under_way(self) -> Request | None:
         """The request that has not its whole answer: one only told what was wrong may have said its end."""
         request = self.exchange.request if self.exchange is not None else None
-        return None if request is None or request.over else request
+        return None if request is None or request.finished else request
 
     def _left(self) -> bool:
         """Whether the host found its client gone: nobody else ends the connection."""
         request = self.exchange.request if self.exchange is not None else None
-        return request is not None and request.answered == "left"
+        return request is not None and request.answer_kind == "left"
 
     def _unsent(self) -> Request | None:
         """The request under way, where no endpoint can have all of it."""
@@ -223,9 +223,9 @@
         """
         if self._parser.reading or self._parser.begins or self.read_more():
             return False
-        return not http1.may_begin(bytes(there))
+        return not http1.may_begin_request(bytes(there))
 
-    def _take_back(self, fault: Fault) -> None:
+    def _take_back(self, fault: HttpError) -> None:
         """The request under way is not what its client meant; one that is out already goes on."""
         self._parser.refuse(fault)
         request = self._unsent()
@@ -234,14 +234,14 @@
             self.inbound.host.client_left(request)
         self._advance()
 
-    def go_on(self) -> None:
+    def start_reading(self) -> None:
         """Begin, or begin again, to read what the client sends."""
         self._paused = False
         self.reader = gevent.spawn(self.run)
 
-    def pause(self) -> bool:
+    def pause_reading(self) -> bool:
         """Stop reading, if nothing that was or will be read here waits for its answer; whether it did."""
-        if self._unsettled() or self.reader is None or (self.exchange is None and self.unread()):
+        if self._unsettled() or self.reader is None or (self.exchange is None and self.has_unread()):
             return False
         exchange, self._paused = self.exchange, True
         self.reader.kill()
@@ -249,7 +249,7 @@
             return False
         # The event loop may poll before it ends the reader, which then reads what has come meanwhile.
         if self._unsettled() or self.exchange is not exchange:
-            self.go_on()
+            self.start_reading()
             return False
         return True
 
@@ -257,14 +257,14 @@
         """Whether something was read that is not served yet, or it is to be closed."""
         return self.ending or self._parser.reading or self.read_more()
 
-    def paused(self) -> bool:
+    def reading_paused(self) -> bool:
         """Whether nobody reads: it is on its way to another process of this router."""
         return self._paused
 
     def detach(self) -> None:
         """The connection is another process's now: only this one's descriptor is closed."""
         self.exchange = None
-        self.close(Why.DONE)
+        self.close(CloseReason.DONE)
         self.count()
 
     def write(self, pieces: list[bytes]) -> None:
@@ -289,7 +289,7 @@
 
         Guards events that its client has not had: closed over unread bytes, a reset takes them along.
         """
-        if self._closed or not (self.unread() or tcpinfo.awaits_peer(self.sock)):
+        if self._closed or not (self.has_unread() or tcpinfo.has_unacknowledged(self.sock)):
             self.close()
         else:
             self._finish()
@@ -302,20 +302,20 @@
         if exchange is not None and exchange.request is not None:
             self.inbound.host.client_left(exchange.request)
 
-    def close(self, why: Why | None = None) -> None:
+    def close(self, why: CloseReason | None = None) -> None:
         """End the connection; its reader, woken by that, does the rest."""
         if not self._closed:
             state = self.state()
             self._closed = self.ending = True
             if why is None:
-                why = Why.DONE if self.exchange is None and not self._parser.reading else Why.BROKEN
+                why = CloseReason.DONE if self.exchange is None and not self._parser.reading else CloseReason.BROKEN
             drainer = self.inbound.drainer
             if drainer.state.active():
                 drainer.log.closed(self.inbound.host.now(), self.number, why.name.lower(), state)
-            self.inbound.host.taps.closing(self.number, why)
+            self.inbound.host.observers.connection_closing(self.number, why)
             self._room.set()
             self.sock.close()
-            self.inbound.gone(self)
+            self.inbound.connection_closed(self)
 
     def overdue(self) -> None:
         """Its request did not become whole in time, or it asked nothing: tell it, and go on to its end.
@@ -323,23 +323,23 @@
         One that was answered before is closed without a word: that could pass for its next request's answer.
         """
         if self.fresh or self._parser.reading:
-            self._parser.refuse(Fault(408, "no whole request in time"))
+            self._parser.refuse(HttpError(408, "no whole request in time"))
             self._advance()
         else:
-            self.close(Why.IDLE)
+            self.close(CloseReason.IDLE)
 
     def _fed(self, data: memoryview) -> None:
         parser = self._parser
-        was_reading, had = parser.reading, len(parser.whole)
+        was_reading, had = parser.reading, len(parser.complete)
         parser.feed(data)
         self.count()
-        self._arrivals.read(was_reading, len(parser.whole) - had)
-        if parser.cut_short and parser.fault is not None:
-            return self._take_back(parser.fault)
-        if parser.reading and parser.fault is None and self.inbound.held > self.inbound.config.max_held:
+        self._arrivals.read(was_reading, len(parser.complete) - had)
+        if parser.cut_short and parser.error is not None:
+            return self._take_back(parser.error)
+        if parser.reading and parser.error is None and self.inbound.held_bytes > self.inbound.config.max_held:
             # Guards the memory: bodies that never become whole count as well. The requests before it are
             # as good as ever: refused in their place, one that may have run would be sent again.
-            parser.refuse(Fault(503, "no room", b"Retry-After: 1"))
+            parser.refuse(HttpError(503, "no room", b"Retry-After: 1"))
         if self.exchange is None:
             if parser.reading and not was_reading and not self.fresh:
                 self.since = self.inbound.host.now()
@@ -350,23 +350,23 @@
         parser = self._parser
         if self.exchange is not None or self.ending or self._going_ahead:
             return
-        if parser.whole:
-            message = parser.whole.popleft()
+        if parser.complete:
+            message = parser.complete.popleft()
             self.exchange = Exchange(self, message)
             try:
                 admit(self, self.exchange, message, self._arrivals.first(self.since))
-            except Fault as error:
-                turned_away(self.inbound, message, "failed")
+            except HttpError as error:
+                notify_declined(self.inbound, message, "failed")
                 self.exchange.refuse(error)
             except OSError:  # reset, as it was looked at
                 self.lost()
             except Exception as error:
-                unexpected("inbound", error)
-                turned_away(self.inbound, message, "failed")
+                log_exception("inbound", error)
+                notify_declined(self.inbound, message, "failed")
                 self.exchange.whole(500, "internal error")
-        elif parser.fault is not None:
+        elif parser.error is not None:
             self.exchange = Exchange(self, Message(keep_alive=False))
-            self.exchange.refuse(parser.fault)
+            self.exchange.refuse(parser.error)
         elif parser.awaits_continue:
             self._go_ahead()
 
@@ -384,10 +384,10 @@
 
     def count(self) -> None:
         """Keep the account of the bodies that this connection holds in memory."""
-        held = self._parser.held() + (len(self.exchange.message.body) if self.exchange else 0)
+        held = self._parser.held_bytes() + (len(self.exchange.message.body) if self.exchange else 0)
         if self._closed:
             held = 0
-        self.inbound.held += held - self._held
+        self.inbound.held_bytes += held - self._held
         self._held = held
 
     def _finish(self) -> None:
--- a/spoolbarrow/net/connection_handover.py
+++ b/spoolbarrow/net/connection_handover.py
@@ -14,20 +14,20 @@
 from gevent import socket
 from msgspec import Struct
 
-from spoolbarrow.handover import Torn
-from spoolbarrow.net.client import Client, Exchange
+from spoolbarrow.handover import HandoverDataError
+from spoolbarrow.net.client import ClientConnection, Exchange
 from spoolbarrow.net.engine_answer import Underway
 from spoolbarrow.net.host import Host
-from spoolbarrow.net.http1 import Fault
+from spoolbarrow.net.http1 import HttpError
 from spoolbarrow.net.inbound import Inbound
-from spoolbarrow.net.log import log, refused
+from spoolbarrow.net.log import log, log_problem
 from spoolbarrow.net.request_facts import UnknownName, passed_facts
 
 VERSION = 2  # 1 told class and tenant by their positions
 Send = Callable[[bytes, Sequence[int]], bool | None]  # taken, not taken, or not known
 
 
-class Stream(Struct):
+class StreamState(Struct):
     """What the next process must know; times are Unix ms, as the host's clock is on one machine."""
 
     v: int
@@ -48,34 +48,34 @@
 IDLE = b"idle"  # the message that comes with a connection on which nothing is under way
 
 
-def read(text: bytes) -> Stream:
-    """The stream in a message; Torn where it is torn or of another version."""
+def decode_stream(text: bytes) -> StreamState:
+    """The stream in a message; HandoverDataError where it is torn or of another version."""
     try:
-        stream = msgspec.json.decode(text, type=Stream)
+        stream = msgspec.json.decode(text, type=StreamState)
     except msgspec.DecodeError as error:
-        raise Torn("", str(error)) from error
+        raise HandoverDataError("", str(error)) from error
     if stream.v != VERSION:
-        raise Torn("", f"version {stream.v}")
+        raise HandoverDataError("", f"version {stream.v}")
     return stream
 
 
-def give(host: Host, underway: Underway, send: Send) -> bool:
+def send_stream(host: Host, underway: Underway, send: Send) -> bool:
     """Hand a stream over, asked between two of its chunks; whether it is no longer this process's."""
     request = underway.attempt.request
     exchange = request.answer
-    if not isinstance(exchange, Exchange) or request.over:
+    if not isinstance(exchange, Exchange) or request.finished:
         return False
     # From here on it is not broken off: closed meanwhile, its descriptors' numbers could be others'.
     underway.passing = True
     try:
-        return exchange.client.pause() and _pass(host, underway, exchange, send)
+        return exchange.client.pause_reading() and _pass(host, underway, exchange, send)
     finally:
         underway.passing = False
 
 
 def _pass(host: Host, underway: Underway, exchange: Exchange, send: Send) -> bool:
     attempt, request = underway.attempt, underway.attempt.request
-    stream = Stream(
+    stream = StreamState(
         VERSION,
         request.id,
         request.class_name,
@@ -87,7 +87,7 @@
         attempt.first_at,
         [(name.decode("latin-1"), value.decode("latin-1")) for name, value in underway.parser.fields.items()],
         underway.tail.decode("latin-1"),
-        exchange.message.chunks,
+        exchange.message.accepts_chunked,
         exchange.closes(),
     )
     text = msgspec.json.encode(stream)
@@ -98,7 +98,7 @@
             _end(sock)
         raise ConnectionResetError("lost on its way to the next process")
     if not taken:
-        exchange.client.go_on()
+        exchange.client.start_reading()
         return False
     log("stream_given", request=request.key, id=request.id)
     host.given(attempt)
@@ -112,42 +112,42 @@
         sock.shutdown(socket.SHUT_RDWR)
 
 
-def give_idle(client: Client, send: Send) -> bool:
+def send_idle(client: ClientConnection, send: Send) -> bool:
     """Hand over a connection on which nothing is under way; whether it is no longer this process's."""
-    if not client.idle() or not client.pause():
+    if not client.idle() or not client.pause_reading():
         return False
     taken = send(IDLE, (client.sock.fileno(),))
     if taken is False:
-        client.go_on()
+        client.start_reading()
         return False
     # Where it may have been taken, its client finds it closed, which between requests it may.
     client.detach()
     return True
 
 
-def take(host: Host, inbound: Inbound, text: bytes, descriptors: Sequence[int]) -> Callable[[], None]:
-    """Take a stream up; what is returned sets it going. Torn or OSError: it is not taken.
+def receive(host: Host, inbound: Inbound, text: bytes, descriptors: Sequence[int]) -> Callable[[], None]:
+    """Take a stream up; what is returned sets it going. HandoverDataError or OSError: it is not taken.
 
     One whose class or tenant this process does not have is taken and broken off: it is the last to serve
     clients, and must not go by another's rules. The descriptors are this process's either way.
     """
     socks = _sockets(descriptors)
     try:
-        if inbound.drainer.state.ends():
-            raise Torn("", "this process is ending, too")
+        if inbound.drainer.state.process_ending():
+            raise HandoverDataError("", "this process is ending, too")
         if text == IDLE and len(socks) == 1:
-            return inbound.take_idle(socks[0]).go_on
+            return inbound.adopt_idle(socks[0]).start_reading
         if len(socks) != 2:
-            raise Torn("", f"{len(socks)} descriptors")
+            raise HandoverDataError("", f"{len(socks)} descriptors")
         client, engine = socks
-        stream = read(text)
+        stream = decode_stream(text)
         if host.is_open(stream.id):
-            raise Torn("", "a request of this name is open")
+            raise HandoverDataError("", "a request of this name is open")
         client.getpeername()
         engine.getpeername()
         facts = passed_facts(stream.cls, stream.tenant, host.config)
     except UnknownName as error:
-        refused("stream_lost", error, id=stream.id)
+        log_problem("stream_lost", error, id=stream.id)
         for sock in socks:
             _end(sock)
             sock.close()
@@ -156,22 +156,22 @@
         for sock in socks:
             sock.close()
         raise
-    exchange = inbound.take_over(client, stream.chunks, stream.closing)
+    exchange = inbound.adopt_stream(client, stream.chunks, stream.closing)
     request, attempt = host.take_over(stream, facts, exchange, exchange.client.number)
     exchange.request = request
     try:
         head = [(name.encode("latin-1"), value.encode("latin-1")) for name, value in stream.head]
         underway = host.endpoints().take_over(attempt, engine, head, stream.tail.encode("latin-1"))
-    except (Fault, OSError, UnicodeError) as error:
+    except (HttpError, OSError, UnicodeError) as error:
         # The other process keeps it: nothing of it stays here.
         host.given(attempt)
         exchange.client.detach()
         engine.close()
-        raise Torn("", str(error)) from error
+        raise HandoverDataError("", str(error)) from error
     log("stream_taken", request=request.key, id=request.id)
 
     def go() -> None:
-        exchange.client.go_on()
+        exchange.client.start_reading()
         host.endpoints().carry_on(underway)
 
     return go
--- a/spoolbarrow/net/connection_pool.py
+++ b/spoolbarrow/net/connection_pool.py
@@ -11,8 +11,8 @@
 from spoolbarrow.config import Address, Config
 from spoolbarrow.net import http1, tcpinfo
 from spoolbarrow.net.log import log
-from spoolbarrow.net.request_writing import break_off
-from spoolbarrow.net.taps import Side, Taps, Why
+from spoolbarrow.net.request_writing import close_and_discard
+from spoolbarrow.net.observers import Side, Observers, CloseReason
 
 SETTLE_MS = 5.0  # a connection rests so long: a second answer straight after must not pass for the next
 LONGEST_SETTLE_MS = 1000.0  # where an endpoint's unasked bytes came later, its connections rest longer
@@ -37,7 +37,7 @@
 class Observed(Protocol):
     """Who owns the clock and the observers."""
 
-    taps: Taps
+    observers: Observers
 
     def now(self) -> float:
         """The decisions' clock, ms."""
@@ -106,7 +106,7 @@
         self._open += 1
         try:
             sock = http1.connect(address, self._config.connect_timeout_ms / 1000)
-            number = self._host.taps.opened(Side.ENDPOINT, sock, self._host.now(), endpoint)
+            number = self._host.observers.connection_opened(Side.ENDPOINT, sock, self._host.now(), endpoint)
             connection = Connection(endpoint, address, sock, number, incarnation)
         except BaseException as error:  # a cancelled attempt's GreenletExit too: the count must stay true
             self._open -= 1
@@ -127,7 +127,7 @@
     def adopt(self, endpoint: str, sock: socket) -> Connection:
         """A connection that another process of this router opened; OSError where it has ended."""
         address: Address = sock.getpeername()[:2]  # where the list has it now may be another process
-        number = self._host.taps.opened(Side.ENDPOINT, sock, self._host.now(), endpoint)
+        number = self._host.observers.connection_opened(Side.ENDPOINT, sock, self._host.now(), endpoint)
         self._open += 1
         listed = self._destinations.address(endpoint) == address
         incarnation = self._destinations.incarnation(endpoint) if listed else NO_INCARNATION
@@ -151,12 +151,12 @@
         connection.idle_since = self._host.now()
         self._idle.setdefault(endpoint, deque()).append(connection)
 
-    def drop(self, connection: Connection, why: Why = Why.DONE) -> None:
+    def drop(self, connection: Connection, why: CloseReason = CloseReason.DONE) -> None:
         """Close a connection; of a request that was broken off nothing more leaves this machine."""
         self._open -= 1
-        self._host.taps.closing(connection.number, why)
-        if why is Why.BROKEN:
-            break_off(connection.sock)
+        self._host.observers.connection_closing(connection.number, why)
+        if why is CloseReason.BROKEN:
+            close_and_discard(connection.sock)
         else:
             connection.sock.close()
 
@@ -171,7 +171,7 @@
         oldest = self._host.now() - self._idle_ms
         for endpoint, idle in list(self._idle.items()):
             while idle and idle[0].idle_since <= oldest:
-                self.drop(idle.popleft(), Why.IDLE)
+                self.drop(idle.popleft(), CloseReason.IDLE)
             if not idle:
                 del self._idle[endpoint]
         if self._unsent and self._host.now() - self._logged_at >= SHORT_LOG_MS:
@@ -182,12 +182,12 @@
         """Drop all idle connections."""
         for idle in self._idle.values():
             while idle:
-                self.drop(idle.pop(), Why.ENDED)
+                self.drop(idle.pop(), CloseReason.ENDED)
 
     def _make_room(self) -> bool:
         """Drop the connection that has stood idle longest."""
         waiting = [idle for idle in self._idle.values() if idle]
         if not waiting:
             return False
-        self.drop(min(waiting, key=lambda idle: idle[0].idle_since).popleft(), Why.ROOM)
+        self.drop(min(waiting, key=lambda idle: idle[0].idle_since).popleft(), CloseReason.ROOM)
         return True
--- a/spoolbarrow/net/diagnostics.py
+++ b/spoolbarrow/net/diagnostics.py
@@ -17,7 +17,7 @@
 
     event: ClassVar[str] = ""
     level: ClassVar[str] = "warning"
-    tells: ClassVar[bool] = True  # its lines carry the remedy
+    logs_remedy: ClassVar[bool] = True  # its lines carry the remedy
 
 
 class BadConfig(Diagnostic):
@@ -113,7 +113,7 @@
 class NotSent(Diagnostic):
     """An attempt never reached its engine; it is tried elsewhere."""
 
-    event, tells = "not_sent", False
+    event, logs_remedy = "not_sent", False
     where = "`endpoint`"
     remedy = "Many at one engine: see whether it listens, and suspend it till it does."
 
@@ -121,7 +121,7 @@
 class Reset(Diagnostic):
     """An engine's connection broke under an attempt, which may have run."""
 
-    event, tells = "reset", False
+    event, logs_remedy = "reset", False
     where = "`endpoint`"
     remedy = "Many at one engine: look in its own log for restarts, and suspend it till it holds."
 
@@ -129,7 +129,7 @@
 class EndpointError(Diagnostic):
     """An engine answered an attempt with an error."""
 
-    event, tells = "endpoint_error", False
+    event, logs_remedy = "endpoint_error", False
     where = "`endpoint`"
     remedy = "Many at one engine: look in its own log for the status that is told, and suspend it."
 
@@ -137,7 +137,7 @@
 class Unreadable(Diagnostic):
     """An engine's answer is spoilt; the attempt may have run."""
 
-    event, tells = "unreadable", False
+    event, logs_remedy = "unreadable", False
     where = "`endpoint`"
     remedy = "Look at what is between router and engine, and at the engine's version; suspend it meanwhile."
 
@@ -145,7 +145,7 @@
 class ProbeFailed(Diagnostic):
     """A probe was cut off or malformed; silence alone is not told."""
 
-    event, level, tells = "probe_failed", "info", False
+    event, level, logs_remedy = "probe_failed", "info", False
     where = "`endpoint`"
     remedy = "Many at one engine: see whether it offers its load report where the settings say."
 
@@ -153,7 +153,7 @@
 class BadRequest(Diagnostic):
     """A client's message is not HTTP as it is taken here; it was told so."""
 
-    event, level, tells = "bad_request", "info", False
+    event, level, logs_remedy = "bad_request", "info", False
     where = "`why`"
     remedy = "Have the client's owner put it right by README.md's table of answers."
 
--- a/spoolbarrow/net/discovery_client.py
+++ b/spoolbarrow/net/discovery_client.py
@@ -17,8 +17,8 @@
 
 from spoolbarrow.config import Address, HostList, Options
 from spoolbarrow.net import http1
-from spoolbarrow.net.log import unexpected
-from spoolbarrow.net.messages import Messages
+from spoolbarrow.net.log import log_exception
+from spoolbarrow.net.json_objects import JsonObjectSplitter
 
 RECV = 65536
 MAX_LINE = 1 << 22  # a longer one is no list
@@ -38,7 +38,7 @@
     """A list of an older version than is known."""
 
 
-FAULTS = (OSError, http1.Fault, BadList)  # what a call may end in
+FAULTS = (OSError, http1.HttpError, BadList)  # what a call may end in
 
 
 class Silent(Exception):
@@ -65,7 +65,7 @@
 
 def _is_well(parser: http1.ResponseParser) -> None:
     if parser.headed and parser.status != 200:
-        raise http1.Fault(502, f"discovery answered {parser.status}")
+        raise http1.HttpError(502, f"discovery answered {parser.status}")
 
 
 def _decode(text: bytes) -> HostList:
@@ -91,17 +91,17 @@
     of FAULTS where the call fails.
     """
     parser, buffer = http1.ResponseParser(options.max_head), bytearray(RECV)
-    messages, heard = Messages(MAX_LINE), now()
+    messages, heard = JsonObjectSplitter(MAX_LINE), now()
     with http1.connect(discovery, min(CONNECT_MS, limit_ms) / 1000) as sock:
         target = b"/discovery/hosts?stream=1&index=%d" % index
         http1.send_pieces(sock, http1.get_pieces(target, discovery))
         while not parser.whole:
             begun = parser.headed
             limit = options.watch_silence_ms if begun else limit_ms
-            broken: http1.Fault | None = None
+            broken: http1.HttpError | None = None
             try:
                 in_time = _read(parser, sock, buffer, heard + limit - now())
-            except http1.Fault as error:
+            except http1.HttpError as error:
                 in_time, broken = True, error  # what came whole before it in the same read is told
             if not in_time:
                 if begun:
@@ -119,17 +119,17 @@
     _cut_end(messages)
 
 
-def _cut(messages: Messages, data: bytes) -> Iterator[bytes]:
+def _cut(messages: JsonObjectSplitter, data: bytes) -> Iterator[bytes]:
     try:
         yield from messages.feed(data)
-    except http1.Fault as error:
+    except http1.HttpError as error:
         raise BadList(str(error)) from error
 
 
-def _cut_end(messages: Messages) -> None:
+def _cut_end(messages: JsonObjectSplitter) -> None:
     try:
         messages.end()
-    except http1.Fault as error:
+    except http1.HttpError as error:
         raise BadList(str(error)) from error
 
 
@@ -230,7 +230,7 @@
         except FAULTS:
             pass  # the next call is on its way
         except Exception as error:
-            unexpected("agent", error)
+            log_exception("agent", error)
 
     try:
         while True:
--- a/spoolbarrow/net/discovery_watch.py
+++ b/spoolbarrow/net/discovery_watch.py
@@ -20,7 +20,7 @@
 from spoolbarrow.config import Config, HostList
 from spoolbarrow.fleet.pacing import CLOCK_MS, WAITED_MS, hangs_ms, refused_ms, silent_ms, spread_ms
 from spoolbarrow.net import discovery_client
-from spoolbarrow.net.log import log, unexpected
+from spoolbarrow.net.log import log, log_exception
 
 T = TypeVar("T")
 
@@ -177,7 +177,7 @@
             # runs from the call.
             return "silent"
         if not isinstance(error, discovery_client.FAULTS):
-            unexpected("watch", error)
+            log_exception("watch", error)
             return "unexpected"
         if isinstance(error, discovery_client.OldList):
             self._refuse_older()
--- a/spoolbarrow/net/drain_log.py
+++ b/spoolbarrow/net/drain_log.py
@@ -26,7 +26,7 @@
     closed: int = 0  # clients' connections that ended
 
 
-class Held(NamedTuple):
+class HeldConnection(NamedTuple):
     """A client's connection that is still open late in a drain."""
 
     connection: int
@@ -72,7 +72,7 @@
         self.counts.closed += 1
         self._line(now, "drain_closed", connection=connection, why=why, state=state)
 
-    def held(self, cause: DrainCause, after_ms: float, connections: Sequence[Held]) -> None:
+    def held(self, cause: DrainCause, after_ms: float, connections: Sequence[HeldConnection]) -> None:
         """These connections are still open when nothing but answers that run should be."""
         named = [one._asdict() for one in connections[:MOST_NAMED]]
         log(
--- a/spoolbarrow/net/drain_schedule.py
+++ b/spoolbarrow/net/drain_schedule.py
@@ -28,18 +28,18 @@
 # 4 s after the call nothing of the last 2 s may be held; the call itself may have waited for up to 1 s.
 CALL_REFUSE_MS = 1000.0
 CALL_CLOSE_ALL_MS = 2500.0
-LONG_AGO_MS = 60_000.0  # since a call that an earlier process was told: all its steps are reached
+ALL_STEPS_REACHED_MS = 60_000.0  # since a call that an earlier process was told: all its steps are reached
 
 
 class DrainCause(Enum):
     """Why clients are to go."""
 
-    CALL = "call"  # an operator drains this router by hand
+    OPERATOR = "call"  # an operator drains this router by hand
     SIGTERM = "sigterm"  # the process ends
     SUCCESSOR = "successor"  # the process ends, and a newer one takes its clients
 
 
-class Step(Enum):
+class DrainStep(Enum):
     """What a drain comes to do, each from some time on."""
 
     END_ANSWERS = "end_answers"  # the end of an answer ends its connection
@@ -54,29 +54,29 @@
 class DrainSchedule(Struct, frozen=True):
     """Each time in ms after the drain began; the steps that are missing are never reached."""
 
-    steps: Mapping[Step, float]
-    accept: float = NEVER_MS  # connections are accepted until then
-    pass_on: float = NEVER_MS  # from then on running streams pass to a newer process
-    retry_after: float = 0.0  # ms, for those that are refused
+    steps: Mapping[DrainStep, float]
+    accept_ms: float = NEVER_MS  # connections are accepted until then
+    handover_ms: float = NEVER_MS  # from then on running streams pass to a newer process
+    retry_after_ms: float = 0.0  # ms, for those that are refused
 
-    def at(self, step: Step) -> float:
+    def at(self, step: DrainStep) -> float:
         """When a step is reached."""
         return self.steps.get(step, NEVER_MS)
 
 
-def call_schedule(config: Config) -> DrainSchedule:
+def operator_schedule(config: Config) -> DrainSchedule:
     """The times of a drain by an operator's call: the process goes on, and so do streams."""
     steps = {
-        Step.END_ANSWERS: 0.0,
-        Step.CLOSE_IDLE: CALL_CLOSE_IDLE_MS,
-        Step.REFUSE: CALL_REFUSE_MS,
-        Step.REFUSE_HALF_READ: CALL_REFUSE_MS,
-        Step.CLOSE_ALL: CALL_CLOSE_ALL_MS,
+        DrainStep.END_ANSWERS: 0.0,
+        DrainStep.CLOSE_IDLE: CALL_CLOSE_IDLE_MS,
+        DrainStep.REFUSE: CALL_REFUSE_MS,
+        DrainStep.REFUSE_HALF_READ: CALL_REFUSE_MS,
+        DrainStep.CLOSE_ALL: CALL_CLOSE_ALL_MS,
     }
-    return DrainSchedule(steps, retry_after=_retry_after(config))
+    return DrainSchedule(steps, retry_after_ms=_retry_after(config))
 
 
-def end_schedule(config: Config, succeeded: bool) -> DrainSchedule:
+def shutdown_schedule(config: Config, succeeded: bool) -> DrainSchedule:
     """The times of a process's end; `succeeded`: another one takes its clients and streams."""
     options, settings = config.options, config.settings
     longest = max(cls.deadline_ms for cls in settings.classes)
@@ -94,16 +94,16 @@
         keep = min(keep, options.drain_accept_ms)
     answer = until(options.drain_answer_ms)
     steps = {
-        Step.END_ANSWERS: keep,
-        Step.REFUSE: min(answer, move if succeeded or config.resumes else keep),
-        Step.REFUSE_HALF_READ: answer,
-        Step.ANSWER_ALL: answer,
-        Step.CLOSE_ALL: until(LONGEST_MS + KILL_MARGIN_MS),
+        DrainStep.END_ANSWERS: keep,
+        DrainStep.REFUSE: min(answer, move if succeeded or config.resumes else keep),
+        DrainStep.REFUSE_HALF_READ: answer,
+        DrainStep.ANSWER_ALL: answer,
+        DrainStep.CLOSE_ALL: until(LONGEST_MS + KILL_MARGIN_MS),
     }
     if not succeeded:
-        steps[Step.CLOSE_IDLE] = keep  # else idle connections pass on as long as they are taken
+        steps[DrainStep.CLOSE_IDLE] = keep  # else idle connections pass on as long as they are taken
     if config.resumes:
-        steps[Step.MOVE_STREAMS] = move
+        steps[DrainStep.MOVE_STREAMS] = move
     return DrainSchedule(steps, accept, until(PASS_MS), _retry_after(config))
 
 
@@ -118,7 +118,7 @@
     begun: float  # ms, on the host's clock
     schedule: DrainSchedule
 
-    def reached(self, step: Step, now: float) -> bool:
+    def reached(self, step: DrainStep, now: float) -> bool:
         """Whether it has come to a step."""
         return now - self.begun >= self.schedule.at(step)
 
@@ -136,7 +136,7 @@
         self._drains[cause] = Drain(cause, begun, schedule)
         return True
 
-    def take_back(self, cause: DrainCause) -> Drain | None:
+    def cancel(self, cause: DrainCause) -> Drain | None:
         """A drain is in force no more; None where it was not."""
         return self._drains.pop(cause, None)
 
@@ -144,10 +144,10 @@
         """The newer process takes no idle connection: they end here, and so does what is asked on them."""
         drain = self._drains[DrainCause.SUCCESSOR]
         passed, schedule = now - drain.begun, drain.schedule
-        keep = schedule.at(Step.END_ANSWERS)
-        sooner = {Step.END_ANSWERS: min(keep, passed), Step.CLOSE_IDLE: max(keep, passed)}
+        keep = schedule.at(DrainStep.END_ANSWERS)
+        sooner = {DrainStep.END_ANSWERS: min(keep, passed), DrainStep.CLOSE_IDLE: max(keep, passed)}
         if not resumes:
-            sooner[Step.REFUSE] = min(schedule.at(Step.REFUSE), passed)  # a stream could not pass on either
+            sooner[DrainStep.REFUSE] = min(schedule.at(DrainStep.REFUSE), passed)  # a stream could not pass on either
         steps = {**schedule.steps, **sooner}
         self._drains[drain.cause] = replace(drain, schedule=replace(schedule, steps=steps))
 
@@ -155,31 +155,31 @@
         """Those that are in force."""
         return list(self._drains.values())
 
-    def called(self) -> bool:
+    def by_operator(self) -> bool:
         """Whether an operator wants no clients here."""
-        return DrainCause.CALL in self._drains
+        return DrainCause.OPERATOR in self._drains
 
-    def succeeded(self) -> bool:
+    def has_successor(self) -> bool:
         """Whether the process ends and another one takes clients."""
         return DrainCause.SUCCESSOR in self._drains
 
-    def ends(self) -> bool:
+    def process_ending(self) -> bool:
         """Whether the process ends."""
-        return self.succeeded() or DrainCause.SIGTERM in self._drains
+        return self.has_successor() or DrainCause.SIGTERM in self._drains
 
     def active(self) -> bool:
         """Whether clients are to go."""
         return bool(self._drains)
 
-    def reached(self, step: Step, now: float) -> bool:
+    def reached(self, step: DrainStep, now: float) -> bool:
         """Whether any drain has come to a step."""
         return any(drain.reached(step, now) for drain in self._drains.values())
 
     def refusal(self, now: float) -> float | None:
         """When to come back, ms, where what comes now is refused."""
-        refusing = [one.schedule for one in self._drains.values() if one.reached(Step.REFUSE, now)]
-        return max((schedule.retry_after for schedule in refusing), default=None)
+        refusing = [one.schedule for one in self._drains.values() if one.reached(DrainStep.REFUSE, now)]
+        return max((schedule.retry_after_ms for schedule in refusing), default=None)
 
     def retry_after(self) -> float:
         """When to come back, ms, for what a drain answers."""
-        return max((one.schedule.retry_after for one in self._drains.values()), default=0.0)
+        return max((one.schedule.retry_after_ms for one in self._drains.values()), default=0.0)
--- a/spoolbarrow/net/drainer.py
+++ b/spoolbarrow/net/drainer.py
@@ -12,12 +12,12 @@
 import gevent
 
 from spoolbarrow.config import Config
-from spoolbarrow.net.client import Client
-from spoolbarrow.net.drain_log import DrainLog, Held
-from spoolbarrow.net.drain_schedule import Drain, DrainCause, DrainSchedule, DrainState, Step
+from spoolbarrow.net.client import ClientConnection
+from spoolbarrow.net.drain_log import DrainLog, HeldConnection
+from spoolbarrow.net.drain_schedule import Drain, DrainCause, DrainSchedule, DrainState, DrainStep
 from spoolbarrow.net.host import Host
-from spoolbarrow.net.log import unexpected
-from spoolbarrow.net.taps import Why
+from spoolbarrow.net.log import log_exception
+from spoolbarrow.net.observers import CloseReason
 
 LOOK_S = 0.02  # between looks at what a drain's clock has reached
 NEWCOMER_MS = 400.0  # a connection that has said nothing yet still may, so long
@@ -34,7 +34,7 @@
     config: Config
     host: Host
 
-    def clients(self) -> Collection[Client]:
+    def clients(self) -> Collection[ClientConnection]:
         """Their connections."""
 
 
@@ -46,12 +46,12 @@
         self.state, self.log = DrainState(), DrainLog()
         self._carrying_out: gevent.Greenlet[[], None] | None = None
         self._told: set[tuple[DrainCause, str]] = set()
-        self._acts: dict[Step, Callable[[float], None]] = {
-            Step.CLOSE_IDLE: self.close_idle,
-            Step.ANSWER_ALL: self._answer_all,
-            Step.REFUSE_HALF_READ: self._refuse_half_read,
-            Step.MOVE_STREAMS: self._move_streams,
-            Step.CLOSE_ALL: self._close_all,
+        self._acts: dict[DrainStep, Callable[[float], None]] = {
+            DrainStep.CLOSE_IDLE: self.close_idle,
+            DrainStep.ANSWER_ALL: self._answer_all,
+            DrainStep.REFUSE_HALF_READ: self._refuse_half_read,
+            DrainStep.MOVE_STREAMS: self._move_streams,
+            DrainStep.CLOSE_ALL: self._close_all,
         }
 
     def begin(self, cause: DrainCause, schedule: DrainSchedule, passed_ms: float = 0.0) -> None:
@@ -61,9 +61,9 @@
             if self._carrying_out is None:
                 self._carrying_out = gevent.spawn(self._carry_out)
 
-    def take_back(self, cause: DrainCause) -> None:
+    def cancel(self, cause: DrainCause) -> None:
         """A drain is in force no more; others are."""
-        drain = self.state.take_back(cause)
+        drain = self.state.cancel(cause)
         if drain is not None:
             self._told = {told for told in self._told if told[0] is not cause}
             self._tell(cause, "taken_back", self._listener.host.now() - drain.begun)
@@ -86,7 +86,7 @@
                     try:
                         act(now)
                     except Exception as error:  # what one step runs into must not keep the others from theirs
-                        unexpected(f"drain {step.value}", error)
+                        log_exception(f"drain {step.value}", error)
             gevent.sleep(LOOK_S)
         self._carrying_out = None
 
@@ -98,19 +98,19 @@
         and could not be answered. Nor is one closed that still takes in its answer: what crosses would have
         the kernel reset the connection under it.
         """
-        newcomer_ms = LATE_NEWCOMER_MS if self.state.reached(Step.CLOSE_ALL, now) else NEWCOMER_MS
+        newcomer_ms = LATE_NEWCOMER_MS if self.state.reached(DrainStep.CLOSE_ALL, now) else NEWCOMER_MS
         for client in [one for one in self._listener.clients() if one.idle() and not one.ending]:
             settled = not client.fresh or client.since < now - newcomer_ms
             # The kernel is asked just before: a request may have come while others were closed.
-            if settled and client.answered() and not client.unread():
-                client.close(Why.ENDED)
+            if settled and client.answered() and not client.has_unread():
+                client.close(CloseReason.ENDED)
 
     def _answer_all(self, now: float) -> None:
         self._listener.host.answer_all(self.state.retry_after())
 
     def _refuse_half_read(self, now: float) -> None:
         for client in list(self._listener.clients()):
-            client.hurry(self.state.retry_after())
+            client.refuse_half_read(self.state.retry_after())
 
     def _move_streams(self, now: float) -> None:
         self._listener.host.move_streams()
@@ -119,15 +119,15 @@
         """Close what only waits for its client: it has had its last answer, or takes none."""
         for client in list(self._listener.clients()):
             if self._waits_in_vain(client, now):
-                client.close(Why.ENDED)
+                client.close(CloseReason.ENDED)
 
-    def _waits_in_vain(self, client: Client, now: float) -> bool:
+    def _waits_in_vain(self, client: ClientConnection, now: float) -> bool:
         if client.stalled(now - STALL_MS):
-            return self.state.ends()  # else the process lasts, and `stall_ms` is its client's time
+            return self.state.process_ending()  # else the process lasts, and `stall_ms` is its client's time
         if not (client.ending or client.idle()):
             return False
         if client.since < now - UNTAKEN_MS:
-            return client.ending or not client.unread()
+            return client.ending or not client.has_unread()
         return client.ending and client.since < now - LINGER_MS and client.answered()
 
     def _tell(self, cause: DrainCause, state: str, passed: float) -> None:
@@ -135,17 +135,17 @@
 
     def _tell_steps(self, now: float) -> None:
         for drain in self.state.drains():
-            reached = [step for step in Step if drain.reached(step, now)]
+            reached = [step for step in DrainStep if drain.reached(step, now)]
             for step in reached:
                 if self._is_news(drain.cause, step.value):
                     self._tell(drain.cause, step.value, now - drain.begun)
-            if drain.cause is DrainCause.CALL and now - drain.begun >= HELD_MS:
+            if drain.cause is DrainCause.OPERATOR and now - drain.begun >= HELD_MS:
                 self._tell_held(drain, now)
 
     def _tell_held(self, drain: Drain, now: float) -> None:
         if self._is_news(drain.cause, "held"):
             held = [
-                Held(one.number, one.state(), one.request_id(), round(now - one.since))
+                HeldConnection(one.number, one.state(), one.request_id(), round(now - one.since))
                 for one in self._listener.clients()
             ]
             self.log.held(drain.cause, now - drain.begun, held)
--- a/spoolbarrow/net/endpoint.py
+++ b/spoolbarrow/net/endpoint.py
@@ -14,10 +14,10 @@
 from spoolbarrow.net.destinations import DestinationSet
 from spoolbarrow.net.engine_answer import TAIL, AnswerReader, Underway
 from spoolbarrow.net.load_report import LOAD, kept_tokens, parse_load, tail_report
-from spoolbarrow.net.log import log, unexpected
+from spoolbarrow.net.log import log, log_exception
 from spoolbarrow.net.request import Attempt
 from spoolbarrow.net.request_writing import await_sent, send_while
-from spoolbarrow.net.taps import Taps, Why
+from spoolbarrow.net.observers import Observers, CloseReason
 
 RECV = 65536  # bytes read at once
 NOT_RUN = b"x-unprocessed"
@@ -37,7 +37,7 @@
 class Caller(Protocol):
     """Who has attempts and probes carried out, and hears what came of them."""
 
-    taps: Taps
+    observers: Observers
 
     def now(self) -> float:
         """The decisions' clock, ms."""
@@ -105,7 +105,7 @@
     ) -> Underway:
         """A stream that another process of this router has begun.
 
-        OSError where its connection has ended, Fault where this process can't read its head: it is not taken.
+        OSError where its connection has ended, HttpError where this process can't read its head: it is not taken.
         """
         options = self._config.options
         parser = http1.ResponseParser(options.max_head, options.max_body)
@@ -135,11 +135,11 @@
             if not attempt.ended:  # else its client left, and that is why it can't go on
                 why = f"{type(error).__name__}: {error}"
                 log("reset", request=attempt.request.key, endpoint=attempt.endpoint, why=why)
-        except http1.Fault as error:
+        except http1.HttpError as error:
             outcome = i.Outcome.UNREADABLE
             log("unreadable", request=attempt.request.key, endpoint=attempt.endpoint, why=str(error))
         except Exception as error:
-            unexpected("attempt", error)
+            log_exception("attempt", error)
         finally:
             # Also where the greenlet is killed: then the outcome stands already, and this one is ignored.
             self._host.ended(attempt, outcome, kept, report)
@@ -155,26 +155,26 @@
 
     def _read(self, underway: Underway) -> tuple[i.Outcome, int, i.Report | None]:
         attempt, connection, parser = underway.attempt, underway.connection, underway.parser
-        attempt.running, whole, reusable = underway, False, False
+        attempt.answer_reader, whole, reusable = underway, False, False
         try:
             reader = AnswerReader(parser, connection.sock, self._buffer, self._config.options)
             while not parser.whole:
                 reader.read()
                 if parser.status == 200 and not parser.framed():
                     # A head cut short: what is left of it would pass for events, and any end for the last.
-                    raise http1.Fault(502, "a stream without an end")
+                    raise http1.HttpError(502, "a stream without an end")
                 if parser.status == 200 and not parser.fields.get(KIND, b"").lower().startswith(STREAM):
                     # Guards against what an endpoint says unasked passing for the answer to this request.
-                    raise http1.Fault(502, "a 200 that is no stream of events")
+                    raise http1.HttpError(502, "a 200 that is no stream of events")
                 parts = underway.passable(parser.take_body())
                 if parser.status == 200 and (parts or (parser.whole and not underway.claimed)):
                     if not underway.claimed:
                         if not self._host.claim(attempt):
                             return i.Outcome.CANCELLED, 0, None  # another attempt was first
                         underway.claimed = True
-                    attempt.request.answer.pass_on(parts)
-                    if self._host.taps.active:
-                        self._host.taps.passed_on(attempt.request, parts)
+                    attempt.request.answer.forward(parts)
+                    if self._host.observers.active:
+                        self._host.observers.parts_forwarded(attempt.request, parts)
                     underway.tail = (underway.tail + b"".join(parts))[-TAIL:]
                     if parser.between and self._host.passes(underway):
                         whole = True  # for this process: only its descriptor is closed
@@ -183,11 +183,11 @@
             report = parse_load(parser.fields.get(LOAD, b"")) or tail_report(underway.tail)
             return self._outcome(attempt, parser), kept_tokens(underway.tail), report
         finally:
-            attempt.running = None
+            attempt.answer_reader = None
             if reusable:
                 self._pool.give_back(connection)
             else:
-                self._pool.drop(connection, Why.DONE if whole else Why.BROKEN)
+                self._pool.drop(connection, CloseReason.DONE if whole else CloseReason.BROKEN)
 
     def _outcome(self, attempt: Attempt, parser: http1.ResponseParser) -> i.Outcome:
         if parser.status == 200:
@@ -218,14 +218,14 @@
             written = self._write_whole(attempt, connection)
             if not written:
                 return None, i.Outcome.MOOT
-            if self._host.taps.active:
-                self._host.taps.attempt_sent(attempt)
+            if self._host.observers.active:
+                self._host.observers.attempt_sent(attempt)
             return connection, i.Outcome.MOOT
         except OSError as error:
             raise NotSent(f"{type(error).__name__}: {error}") from error
         finally:
             if not written:
-                self._pool.drop(connection, Why.BROKEN)
+                self._pool.drop(connection, CloseReason.BROKEN)
 
     def _started_since(self, attempt: Attempt) -> bool:
         """Whether its endpoint began its slow start after the attempt was decided on."""
@@ -273,10 +273,10 @@
             outcome = i.Outcome.MOOT
         except NotSent:
             outcome = i.Outcome.UNREACHABLE
-        except (OSError, http1.Fault, ValueError) as error:
+        except (OSError, http1.HttpError, ValueError) as error:
             log("probe_failed", endpoint=endpoint, why=f"{type(error).__name__}: {error}")
         except Exception as error:
-            unexpected("probe", error)
+            log_exception("probe", error)
         finally:
             self._host.probed(endpoint, outcome, self._host.now() - begun, report)
 
@@ -298,7 +298,7 @@
                 parser.read(connection.sock, self._buffer)
                 body += b"".join(parser.take_body())
                 if len(body) > RECV:
-                    raise http1.Fault(502, "load report too long")
+                    raise http1.HttpError(502, "load report too long")
             whole, reusable = True, parser.reusable
             report = parse_load(body) or parse_load(parser.fields.get(LOAD, b""))
             return probe_outcome(parser), report
@@ -306,7 +306,7 @@
             if reusable:
                 self._pool.give_back(connection)
             else:
-                self._pool.drop(connection, Why.DONE if whole else Why.BROKEN)
+                self._pool.drop(connection, CloseReason.DONE if whole else CloseReason.BROKEN)
 
 
 def probe_outcome(parser: http1.ResponseParser) -> i.Outcome:
--- a/spoolbarrow/net/engine_answer.py
+++ b/spoolbarrow/net/engine_answer.py
@@ -82,7 +82,7 @@
         self._piece, self._left_s = -1, 0.0  # the piece that has begun, and how long it may still take
 
     def read(self) -> None:
-        """Parse what comes next; Fault where a piece does not end, TimeoutError where a stream stops."""
+        """Parse what comes next; HttpError where a piece does not end, TimeoutError where a stream stops."""
         parser = self._parser
         begun = parser.in_chunk or parser.in_size or (parser.begun and not parser.headed)
         if begun:
@@ -96,10 +96,10 @@
             except TimeoutError as error:
                 if error.errno == errno.ETIMEDOUT:  # the connection broke; a time that is over has no number
                     raise
-                raise http1.Fault(502, "no end of a head or a chunk") from None
+                raise http1.HttpError(502, "no end of a head or a chunk") from None
             self._left_s -= time.monotonic() - before
             if self._left_s <= 0 and self._piece == parser.pieces:
-                raise http1.Fault(502, "no end of a head or a chunk")
+                raise http1.HttpError(502, "no end of a head or a chunk")
         else:
             self._sock.settimeout(self._options.stream_silence_ms / 1000 if parser.headed else None)
             parser.read(self._sock, self._buffer)
--- a/spoolbarrow/net/exchange.py
+++ b/spoolbarrow/net/exchange.py
@@ -9,8 +9,8 @@
 from gevent import socket
 
 from spoolbarrow.net import http1
-from spoolbarrow.net.http1 import Fault, Message
-from spoolbarrow.net.log import log, unexpected
+from spoolbarrow.net.http1 import HttpError, Message
+from spoolbarrow.net.log import log, log_exception
 from spoolbarrow.net.request import Request
 
 STREAM_HEAD = b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nCache-Control: no-cache\r\n"
@@ -21,9 +21,9 @@
 
     sock: socket.socket
     number: int
-    turned_away: bool
+    declined: bool
 
-    def gone(self) -> bool:
+    def disconnected(self) -> bool:
         """Whether its client has closed, reset or half-closed it."""
 
     def must_end(self) -> bool:
@@ -44,10 +44,10 @@
     def lost(self) -> None:
         """Its client has gone, or must go."""
 
-    def pause(self) -> bool:
+    def pause_reading(self) -> bool:
         """Stop reading, if its client has sent nothing that is not read and answered; whether it did."""
 
-    def go_on(self) -> None:
+    def start_reading(self) -> None:
         """Begin, or begin again, to read what its client sends."""
 
     def detach(self) -> None:
@@ -69,7 +69,7 @@
         self._broken_off = False
         self._close = not message.keep_alive
 
-    def peer(self) -> str:
+    def client_address(self) -> str:
         """The client's address; empty where it has gone."""
         try:
             address: str = self.client.sock.getpeername()[0]
@@ -77,9 +77,9 @@
             return ""
         return address
 
-    def gone(self) -> bool:
+    def disconnected(self) -> bool:
         """Whether its client has closed, reset or half-closed the connection."""
-        return self.client.gone()
+        return self.client.disconnected()
 
     def fail_fast(self, retry_after_ms: float, header: bytes = b"") -> None:
         """Declined: 503, with when to come back."""
@@ -92,12 +92,12 @@
 
     def reject(self) -> None:
         """The endpoint can't use it: 400."""
-        self.client.turned_away = True
+        self.client.declined = True
         self.whole(400, "no endpoint can use this request")
 
-    def refuse(self, fault: Fault) -> None:
+    def refuse(self, fault: HttpError) -> None:
         """The message is not taken: its client is told why, and its connection ends."""
-        self.client.turned_away = True
+        self.client.declined = True
         log("bad_request", status=fault.status, why=fault.reason)
         self.whole(fault.status, fault.reason, *fault.headers)
 
@@ -108,7 +108,7 @@
         pieces = http1.answer_pieces(status, body, closing, *headers)
         gevent.spawn(self._write_whole, pieces, closing)
 
-    def pass_on(self, parts: list[bytes]) -> None:
+    def forward(self, parts: list[bytes]) -> None:
         """Events of the stream, as they come; blocks while the client is slow."""
         pieces = []
         if not self._begun:
@@ -116,12 +116,12 @@
             self.message.body = b""  # nothing more is sent for it, and a stream may be long
             self.client.count()
             pieces.append(STREAM_HEAD)
-            if self._closing() or not self.message.chunks:
+            if self._closing() or not self.message.accepts_chunked:
                 self._close = True
                 pieces.append(b"Connection: close\r\n")
-            pieces.append(b"Transfer-Encoding: chunked\r\n\r\n" if self.message.chunks else b"\r\n")
+            pieces.append(b"Transfer-Encoding: chunked\r\n\r\n" if self.message.accepts_chunked else b"\r\n")
         for part in parts:
-            pieces += (b"%x\r\n" % len(part), part, b"\r\n") if self.message.chunks else (part,)
+            pieces += (b"%x\r\n" % len(part), part, b"\r\n") if self.message.accepts_chunked else (part,)
         try:
             self.client.write(pieces)
         except OSError:
@@ -131,7 +131,7 @@
 
     def end(self) -> None:
         """The last chunk."""
-        pieces = [b"0\r\n\r\n"] if self.message.chunks else []
+        pieces = [b"0\r\n\r\n"] if self.message.accepts_chunked else []
         gevent.spawn(self._write_whole, pieces, self._close)
 
     def closes(self) -> bool:
@@ -157,6 +157,6 @@
         except OSError:
             return self.client.lost()
         except Exception as error:
-            unexpected("answer", error)
+            log_exception("answer", error)
             return self.client.lost()
         self.client.served(closing)
--- a/spoolbarrow/net/failover.py
+++ b/spoolbarrow/net/failover.py
@@ -17,8 +17,8 @@
 from spoolbarrow.config import Address
 from spoolbarrow.failover import Evidence, Heard, Settings, Verdict, Verdicts, masks
 from spoolbarrow.net import http1
-from spoolbarrow.net.log import log, unexpected
-from spoolbarrow.net.taps import Observer
+from spoolbarrow.net.log import log, log_exception
+from spoolbarrow.net.observers import Observer
 
 if TYPE_CHECKING:
     from spoolbarrow.net.host import Host
@@ -60,7 +60,7 @@
         self._heard: list[Heard] = []
         self.dropped = self._told_dropped = 0  # outcomes beyond MOST_HEARD in a period, and those logged
         self.told: dict[str, Verdict] = {}
-        host.taps.add(self)
+        host.observers.add(self)
         self._loop = gevent.spawn(self._run)
 
     def apply(self, table: FailoverTable) -> None:
@@ -70,7 +70,7 @@
 
     def stop(self) -> None:
         """Hear nothing more, and give every zone back."""
-        self._host.taps.remove(self)
+        self._host.observers.remove(self)
         self._loop.kill(block=False)
         gevent.killall(list(self._checks), block=False)
         self._host.destinations.zones(frozenset(), {}, None)
@@ -108,7 +108,7 @@
                 well = True
         except http1.Shortage:  # nothing was asked
             return
-        except (OSError, http1.Fault, gevent.Timeout):
+        except (OSError, http1.HttpError, gevent.Timeout):
             pass
         now = self._host.now()
         self._hear(Heard(endpoint, now, well, now - begun if well else -1.0))
@@ -125,7 +125,7 @@
             try:
                 self.weigh(self._host.now())
             except Exception as error:  # never into serving: the zones stay as last told
-                unexpected("failover", error)
+                log_exception("failover", error)
 
     def weigh(self, now: float) -> None:
         """Weigh what was heard since the last time, and apply the verdicts that changed."""
--- a/spoolbarrow/net/fairness.py
+++ b/spoolbarrow/net/fairness.py
@@ -12,6 +12,6 @@
 PAUSE_S = 1e-6
 
 
-def give_way() -> None:
+def yield_to_others() -> None:
     """Let others run first: those that are ready, and those whose sockets have become ready."""
     gevent.sleep(PAUSE_S)
--- a/spoolbarrow/net/fleet_part.py
+++ b/spoolbarrow/net/fleet_part.py
@@ -11,7 +11,7 @@
 from spoolbarrow.fleet import documents as d
 from spoolbarrow.fleet import lease
 from spoolbarrow.fleet.evidence import Table
-from spoolbarrow.net.log import log, unexpected
+from spoolbarrow.net.log import log, log_exception
 
 if TYPE_CHECKING:
     from spoolbarrow.net.host import Host
@@ -127,5 +127,5 @@
         try:
             return self.part.adopt(now, body)
         except Exception as error:
-            unexpected(f"fleet {self.part.kind}", error)
+            log_exception(f"fleet {self.part.kind}", error)
             return False
--- a/spoolbarrow/net/follow.py
+++ b/spoolbarrow/net/follow.py
@@ -25,7 +25,7 @@
 from spoolbarrow.fleet.evidence import incarnation
 from spoolbarrow.net.fleet_part import FleetPart
 from spoolbarrow.net.fleet_writing import FleetWriter
-from spoolbarrow.net.log import log, unexpected
+from spoolbarrow.net.log import log, log_exception
 from spoolbarrow.net.shared_documents import SharedDocuments
 from spoolbarrow.net.store_client import Document, MemberUnavailable, StoreClient
 from spoolbarrow.operator import PARTS
@@ -131,7 +131,7 @@
             try:
                 turn()
             except Exception as error:  # never into serving; the next turn is as good
-                unexpected("fleet", error)
+                log_exception("fleet", error)
             pause = period * (0.9 + 0.2 * self._random.random()) - (self._host.now() - begun)
             gevent.sleep(max(pause, MIN_PAUSE_MS) / 1000)
 
@@ -158,7 +158,7 @@
                 if due and self._writer.write_summary(held):
                     self._summaries_at = 0.0
             except Exception as error:  # one part stops no other
-                unexpected(f"fleet {held.part.kind}", error)
+                log_exception(f"fleet {held.part.kind}", error)
 
     # Reading
 
--- a/spoolbarrow/net/last_answer.py
+++ b/spoolbarrow/net/graceful_close.py
@@ -19,7 +19,7 @@
 LOOKS = 15  # of those, after it has acknowledged all: it may still be sending, and then fails to
 
 
-def await_end(sock: socket.socket, view: memoryview, rest: int | None, longest_s: float) -> None:
+def await_peer_close(sock: socket.socket, view: memoryview, rest: int | None, longest_s: float) -> None:
     """Wait until the connection may be closed; OSError where it is reset or was closed here.
 
     Of what comes, only the `rest` of a refused message is read and thrown away (None: nothing tells its end):
@@ -45,4 +45,4 @@
     looks = 0
     while looks < LOOKS and not http1.polled(sock, ENDED) & ENDED:
         gevent.sleep(LOOK_S)
-        looks += not tcpinfo.awaits_peer(sock)
+        looks += not tcpinfo.has_unacknowledged(sock)
--- a/spoolbarrow/net/host.py
+++ b/spoolbarrow/net/host.py
@@ -23,13 +23,13 @@
 from spoolbarrow.net.destinations import DestinationSet
 from spoolbarrow.net.endpoint import Endpoints
 from spoolbarrow.net.engine_answer import Underway
-from spoolbarrow.net.fairness import give_way
+from spoolbarrow.net.fairness import yield_to_others
 from spoolbarrow.net.http1 import Message
 from spoolbarrow.net.inbox import Inbox
-from spoolbarrow.net.log import log, unexpected
-from spoolbarrow.net.loop_turns import LoopTurns
-from spoolbarrow.net.request import Answer, Attempt, Request, Taken
-from spoolbarrow.net.taps import Taps
+from spoolbarrow.net.log import log, log_exception
+from spoolbarrow.net.loop_iterations import LoopIterations
+from spoolbarrow.net.request import Answer, Attempt, Request, TransferredStream
+from spoolbarrow.net.observers import Observers
 from spoolbarrow.router import Router
 
 if TYPE_CHECKING:
@@ -59,8 +59,8 @@
     def __init__(self, config: Config, clock: Clock | None = None) -> None:
         self.config = config
         self.now = clock or Clock()
-        self.turns = LoopTurns(lambda: self.now())
-        self.taps = Taps()
+        self.loop_iterations = LoopIterations(lambda: self.now())
+        self.observers = Observers()
         self.fleet: InCommon | None = None  # where the store is followed; versions are told of it
         self.destinations = DestinationSet(config, self._post, self._endpoint_left, self.now)
         self._endpoints = Endpoints(config, self.destinations, self)
@@ -121,7 +121,7 @@
 
     def stop(self) -> None:
         """End what still runs for no request."""
-        self.turns.stop()
+        self.loop_iterations.stop()
         self.destinations.close()
         if self._loop is not None:
             self._loop.kill()
@@ -133,7 +133,7 @@
 
     def in_progress(self) -> int:
         """Requests that were taken and are not answered whole."""
-        return sum(not request.over for request in self._requests.values())
+        return sum(not request.finished for request in self._requests.values())
 
     def engines(self) -> tuple[int, int]:
         """How many endpoints are listed, and how many of them get nothing now, by hand or by choice."""
@@ -178,7 +178,7 @@
         request = Request(key, id, message, answer, facts, self.now(), deadline, connection)
         cls, request.max_attempts = settings.classes[facts.cls], settings.max_attempts
         if cls.effect is i.Effect.KEYED:
-            request.repeat_ms = cls.window_ms - settings.tick_ms  # as the decisions count it
+            request.repeat_window_ms = cls.window_ms - settings.tick_ms  # as the decisions count it
         self._enter(request, facts)
         self._post(facts)
         self._at(deadline, lambda: self._deadline(key))
@@ -186,11 +186,11 @@
 
     def client_left(self, request: Request) -> None:
         """The client closed its connection before its answer was whole."""
-        if request.over:
+        if request.finished:
             return
         self._settle(request, "left")
-        if request.stream is not None:
-            self.ended(request.stream, i.Outcome.CANCELLED)
+        if request.serving_attempt is not None:
+            self.ended(request.serving_attempt, i.Outcome.CANCELLED)
         self._post(i.RequestGone(request.key))
         self._forget(request)
 
@@ -199,10 +199,10 @@
 
         Not one whose endpoint has finished it: it is passed on to its end.
         """
-        for request in [r for r in self._requests.values() if r.stream is not None and not r.over]:
-            stream = request.stream
+        for request in [r for r in self._requests.values() if r.serving_attempt is not None and not r.finished]:
+            stream = request.serving_attempt
             assert stream is not None
-            if stream.running is not None and stream.running.stays():
+            if stream.answer_reader is not None and stream.answer_reader.stays():
                 continue
             self._settle(request, "moved")
             request.answer.abort()
@@ -210,7 +210,7 @@
 
     def answer_all(self, retry_after_ms: float) -> None:
         """Give what waits for its first event its final answer: refused where no endpoint can have run it."""
-        for request in [r for r in self._requests.values() if r.stream is None and not r.over]:
+        for request in [r for r in self._requests.values() if r.serving_attempt is None and not r.finished]:
             if all(attempt.never_ran() for attempt in request.attempts):
                 self._answer(request, "fail_fast", lambda answer: answer.fail_fast(retry_after_ms))
             else:
@@ -231,11 +231,11 @@
         And against a second effect: a connection may have come up after the time for repeats.
         """
         request, now = attempt.request, self.now()
-        if attempt.ended or request.over or request.stream is not None or now >= request.deadline:
+        if attempt.ended or request.finished or request.serving_attempt is not None or now >= request.deadline:
             return False
         if not request.may_repeat(attempt, now):
             return False
-        if request.answer.gone():
+        if request.answer.disconnected():
             self.client_left(request)
             return False
         return True
@@ -243,11 +243,11 @@
     def claim(self, attempt: Attempt) -> bool:
         """An attempt's first event has come: whether it is the client's, or another one was first."""
         request = attempt.request
-        if request.over or request.stream is not None or attempt.ended:
+        if request.finished or request.serving_attempt is not None or attempt.ended:
             return False
-        request.stream, attempt.first_at = attempt, self.now()
-        if self.taps.active:
-            self.taps.attempt_started(attempt)
+        request.serving_attempt, attempt.first_at = attempt, self.now()
+        if self.observers.active:
+            self.observers.attempt_started(attempt)
         lag = self.now() - attempt.sent_at
         self._post(i.StreamStarted(request.key, attempt.number, attempt.endpoint, lag))
         return True
@@ -260,7 +260,7 @@
             return
         attempt.ended, attempt.outcome, attempt.ended_at = True, outcome, self.now()
         request = attempt.request
-        if request.stream is attempt and not request.over:
+        if request.serving_attempt is attempt and not request.finished:
             if outcome is i.Outcome.SERVED:
                 self._settle(request, "served")
                 request.answer.end()
@@ -270,11 +270,11 @@
         lag = attempt.ended_at - attempt.sent_at
         self._post(
             i.AttemptEnded(
-                request.key, attempt.number, attempt.endpoint, outcome, request.over, lag, kept, report
+                request.key, attempt.number, attempt.endpoint, outcome, request.finished, lag, kept, report
             )
         )
-        if self.taps.active:
-            self.taps.attempt_ended(attempt)
+        if self.observers.active:
+            self.observers.attempt_ended(attempt)
         self._forget(request)
         attempt.stop()
 
@@ -284,12 +284,12 @@
 
     def given(self, attempt: Attempt) -> None:
         """Another process has taken this stream over: nothing more of it is told here."""
-        if not attempt.request.over:
+        if not attempt.request.finished:
             self._settle(attempt.request, "given")
         self.ended(attempt, i.Outcome.CANCELLED)
 
     def take_over(
-        self, stream: Taken, facts: i.RequestArrived, answer: Answer, connection: int
+        self, stream: TransferredStream, facts: i.RequestArrived, answer: Answer, connection: int
     ) -> tuple[Request, Attempt]:
         """A stream that another process took and began; the decisions never hear of it.
 
@@ -301,7 +301,7 @@
             key, stream.id, Message(), answer, facts, stream.taken_at, stream.deadline, connection
         )
         attempt = Attempt(request, 0, stream.endpoint, stream.sent_at)
-        attempt.first_at, request.stream = stream.first_at, attempt
+        attempt.first_at, request.serving_attempt = stream.first_at, attempt
         request.attempts.append(attempt)
         self._enter(request, facts)
         return request, attempt
@@ -310,15 +310,15 @@
         """It is open from here on, until `_forget`."""
         self._requests[request.key] = request
         self._ids.add(request.id)
-        if self.taps.active:
-            self.taps.request_taken(request, facts)
+        if self.observers.active:
+            self.observers.request_taken(request, facts)
 
     def probed(self, endpoint: str, outcome: i.Outcome, lag: float, report: i.Report | None) -> None:
         """The result of a probe."""
-        if self.taps.active:
+        if self.observers.active:
             if report is not None:
-                self.taps.probe_answered(endpoint, report)
-            self.taps.probe_ended(endpoint, outcome, lag)
+                self.observers.probe_answered(endpoint, report)
+            self.observers.probe_ended(endpoint, outcome, lag)
         self._post(i.ProbeAnswered(endpoint, outcome, lag, report))
 
     # The loop
@@ -355,12 +355,12 @@
         while self._timers and self._timers[0][0] <= now:
             if run == AT_ONCE:
                 run = 0
-                give_way()
+                yield_to_others()
             run += 1
             try:
                 heappop(self._timers)[2]()
             except Exception as error:  # the loop must outlive whatever one request runs into
-                unexpected("timer", error)
+                log_exception("timer", error)
 
     def _decide_in_turns(self, events: list[i.Event]) -> None:
         """Decide on what has come in, some events at a time.
@@ -370,7 +370,7 @@
         """
         for first in range(0, len(events), AT_ONCE):
             if first:
-                give_way()
+                yield_to_others()
                 self._run_timers(self.now())
             now, batch = self.now(), self._inbox.take_news() + events[first : first + AT_ONCE]
             self._decide(now, [self._dated(event, now) for event in batch])
@@ -387,7 +387,7 @@
         except Exception as error:
             # What was decided before it stands: a timer lost here would never be set again. A request of
             # this batch that went nowhere is answered now, else it would wait till its deadline.
-            unexpected("decisions", error)
+            log_exception("decisions", error)
             actions = list(self._decider.actions)
             sent = {action.request for action in actions if isinstance(action, i.Send)}
             for event in events:
@@ -398,7 +398,7 @@
             try:
                 self._do[type(action)](action)
             except Exception as error:
-                unexpected(f"action {type(action).__name__}", error)
+                log_exception(f"action {type(action).__name__}", error)
 
     @staticmethod
     def _swallowed_timers(events: list[i.Event], actions: list[i.Action]) -> list[i.SetTimer]:
@@ -409,11 +409,11 @@
 
     def _deadline(self, key: str) -> None:
         request = self._requests.get(key)
-        if request is None or request.stream is not None:
+        if request is None or request.serving_attempt is not None:
             return
         for attempt in list(request.attempts):
             self.ended(attempt, i.Outcome.TIMEOUT)
-        if not request.over:
+        if not request.finished:
             # Not sooner: the decisions hear of the deadline in this tick and mostly answer in the next.
             patience = min(OVERDUE_TICKS * self.config.settings.tick_ms, OVERDUE_MS)
             self._at(self.now() + patience, lambda: self._overdue(key))
@@ -421,7 +421,7 @@
     def _overdue(self, key: str) -> None:
         """Guards a request that the decisions forgot: its client must not wait in vain."""
         request = self._requests.get(key)
-        if request is not None and not request.over and request.stream is None:
+        if request is not None and not request.finished and request.serving_attempt is None:
             log("overdue", request=key)
             self._answer(request, "failed", lambda answer: answer.fail(True))
             self._post(i.RequestGone(key))
@@ -441,11 +441,11 @@
         try:
             self._endpoints.send(attempt)
         except Exception as error:
-            unexpected("send", error)
+            log_exception("send", error)
             self.ended(attempt, i.Outcome.MOOT)  # else its request would wait for its deadline
 
     def _expire(self, attempt: Attempt) -> None:
-        if attempt.request.stream is not attempt:
+        if attempt.request.serving_attempt is not attempt:
             self.ended(attempt, i.Outcome.TIMEOUT)
 
     def _fail_fast(self, action: i.Refuse) -> None:
@@ -461,7 +461,7 @@
         self._answer(request, "failed", lambda answer: answer.fail(late))
 
     def _answer(self, request: Request | None, how: str, give: Callable[[Answer], None]) -> None:
-        if request is None or request.over or request.stream is not None:
+        if request is None or request.finished or request.serving_attempt is not None:
             return  # over already: the client left, or a stream began in the same tick
         self._settle(request, how)
         give(request.answer)
@@ -469,15 +469,15 @@
 
     def _settle(self, request: Request, how: str) -> None:
         """What it comes to stands; whoever watches hears so, once for each request."""
-        request.end(how)
-        if self.taps.active:
-            self.taps.request_answered(request)
+        request.finish(how)
+        if self.observers.active:
+            self.observers.request_answered(request)
 
     def _cancel(self, action: i.Cancel) -> None:
         request = self._requests.get(action.request)
         if request is not None and action.attempt < len(request.attempts):
             attempt = request.attempts[action.attempt]
-            if request.stream is not attempt:
+            if request.serving_attempt is not attempt:
                 self.ended(attempt, i.Outcome.CANCELLED)
 
     def _probe(self, action: i.Probe) -> None:
@@ -490,9 +490,9 @@
         self.destinations.ask()
 
     def _forget(self, request: Request) -> None:
-        if request.done() and self._requests.pop(request.key, None) is not None:
+        if request.settled() and self._requests.pop(request.key, None) is not None:
             self._ids.discard(request.id)
             now = self.now()
-            log("request", **request.account(now))
-            if self.taps.active:
-                self.taps.request_over(request, now)
+            log("request", **request.log_fields(now))
+            if self.observers.active:
+                self.observers.request_over(request, now)
--- a/spoolbarrow/net/http1.py
+++ b/spoolbarrow/net/http1.py
@@ -18,12 +18,12 @@
 )
 
 from spoolbarrow.config import Address
-from spoolbarrow.net.fairness import give_way
-from spoolbarrow.net.request_parser import Fault as Fault
+from spoolbarrow.net.fairness import yield_to_others
+from spoolbarrow.net.request_parser import HttpError as HttpError
 from spoolbarrow.net.request_parser import Message as Message
 from spoolbarrow.net.request_parser import RequestParser as RequestParser
-from spoolbarrow.net.request_parser import may_begin as may_begin
-from spoolbarrow.net.request_parser import without_padding
+from spoolbarrow.net.request_parser import may_begin_request as may_begin_request
+from spoolbarrow.net.request_parser import strip_whitespace
 
 # Fields that speak of one connection only, or that are written anew for each one.
 NOT_PASSED_ON = frozenset(
@@ -70,19 +70,19 @@
         self._parser = httptools.HttpResponseParser(self)
 
     def feed(self, data: memoryview) -> None:
-        """Parse what came next; a Fault says that this is no answer."""
+        """Parse what came next; an HttpError says that this is no answer."""
         if not self.headed:
             self._head += len(data)
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
             if not self.whole:
-                if isinstance(error.__context__, Fault):
+                if isinstance(error.__context__, HttpError):
                     raise error.__context__ from error
-                raise Fault(502, f"malformed answer: {error}") from error
+                raise HttpError(502, f"malformed answer: {error}") from error
             self.reusable = False  # the answer came whole; what follows it is nobody's
         if not self.headed and self._head > self._max_head:
-            raise Fault(502, "head too large")
+            raise HttpError(502, "head too large")
         self._last = (self._last + bytes(data[-2:]))[-2:]
         outside = self.headed and not (self.in_chunk or self.whole)
         self.between = outside and self._last == b"\r\n"
@@ -90,13 +90,13 @@
         self.pieces += self.in_size and not had
 
     def read(self, sock: socket, buffer: bytearray) -> None:
-        """Parse what comes next on a connection; blocks, raises OSError or Fault.
+        """Parse what comes next on a connection; blocks, raises OSError or HttpError.
 
         Guards the other streams: of a peer that sends faster than this side reads, no read ever waits.
         """
         if self._reads >= READS_A_TURN:
             self._reads = 0
-            give_way()  # before the read: what came of the last one has been passed on
+            yield_to_others()  # before the read: what came of the last one has been passed on
         size = sock.recv_into(buffer)
         self._reads += READS_A_TURN if size >= LONG_READ else 1
         if size:
@@ -122,14 +122,14 @@
     def on_message_begin(self) -> None:
         """httptools: an answer's first byte; a second one on one request is a fault."""
         if self.whole:
-            raise Fault(502, "bytes after the answer")
+            raise HttpError(502, "bytes after the answer")
         self.begun = True
         self.pieces += 1
 
     def on_header(self, name: bytes, value: bytes | None) -> None:
         """httptools: one whole field."""
         if not self.headed:
-            self.fields[name.lower()] = without_padding(value)
+            self.fields[name.lower()] = strip_whitespace(value)
 
     def on_headers_complete(self) -> None:
         """httptools: the head is whole; an interim one (1xx) is skipped."""
@@ -150,7 +150,7 @@
         """httptools: some of the body."""
         self._chunk += len(part)
         if self.in_chunk and self._chunk > self._max_chunk:
-            raise Fault(502, "chunk too large")
+            raise HttpError(502, "chunk too large")
         self._body.append(part)
 
     def on_message_complete(self) -> None:
--- a/spoolbarrow/net/inbound.py
+++ b/spoolbarrow/net/inbound.py
@@ -12,14 +12,14 @@
 from spoolbarrow.config import Config
 from spoolbarrow.net import http1, tcpinfo
 from spoolbarrow.net.accepting import NO_ROOM, next_connection
-from spoolbarrow.net.client import Client, Exchange
-from spoolbarrow.net.drain_schedule import DrainCause, Step, call_schedule, end_schedule
+from spoolbarrow.net.client import ClientConnection, Exchange
+from spoolbarrow.net.drain_schedule import DrainCause, DrainStep, operator_schedule, shutdown_schedule
 from spoolbarrow.net.drainer import Drainer
 from spoolbarrow.net.host import Host
 from spoolbarrow.net.http1 import Message
-from spoolbarrow.net.log import log, unexpected
+from spoolbarrow.net.log import log, log_exception
 from spoolbarrow.net.overflow import Overflow
-from spoolbarrow.net.taps import Why
+from spoolbarrow.net.observers import CloseReason
 
 RECV = 65536  # bytes read at once, into one buffer: they are parsed before any other greenlet runs
 BACKLOG = 4096  # connections that the kernel holds for this process, as far as its own limit goes
@@ -41,9 +41,9 @@
     def __init__(self, config: Config, host: Host) -> None:
         self.config, self.host = config, host
         self.drainer = Drainer(self)
-        self.held = 0  # bytes of bodies in memory
+        self.held_bytes = 0  # bytes of bodies in memory
         self.buffer = bytearray(RECV)
-        self._clients: set[Client] = set()
+        self._clients: set[ClientConnection] = set()
         self._overflow = Overflow()
         self._waiting: dict[socket.socket, socket.socket] = {}  # by listener: accepted, and waiting for room
         self._out = False  # of descriptors, as far as is known
@@ -82,30 +82,30 @@
     def ready(self) -> bool:
         """Whether clients may be sent here."""
         drains = self.drainer.state
-        ending = drains.ends() and not drains.succeeded()
-        return self.host.decides() and not (ending or drains.called()) and self.host.destinations.usable()
+        ending = drains.process_ending() and not drains.has_successor()
+        return self.host.decides() and not (ending or drains.by_operator()) and self.host.destinations.usable()
 
-    def drained(self) -> bool:
+    def operator_drained(self) -> bool:
         """Whether an operator drained this router by hand."""
-        return self.drainer.state.called()
+        return self.drainer.state.by_operator()
 
-    def able(self) -> bool:
+    def can_serve(self) -> bool:
         """Whether this process could serve; also where operators' words keep clients or endpoints from it."""
-        return not self.drainer.state.ends() and self.host.destinations.told_usable()
+        return not self.drainer.state.process_ending() and self.host.destinations.told_usable()
 
-    def drain_by_call(self, passed_ms: float = 0.0) -> None:
+    def begin_operator_drain(self, passed_ms: float = 0.0) -> None:
         """Have no clients until `activate`, as an operator said, or said so long ago.
 
         The front is told so, and answers end connections. What was taken is answered, and long streams run
         on. It is not the end: that is `drain`.
         """
-        self.drainer.begin(DrainCause.CALL, call_schedule(self.config), passed_ms)
+        self.drainer.begin(DrainCause.OPERATOR, operator_schedule(self.config), passed_ms)
 
     def activate(self) -> None:
         """Take clients again, as an operator said."""
-        self.drainer.take_back(DrainCause.CALL)
+        self.drainer.cancel(DrainCause.OPERATOR)
 
-    def drain(self, pass_on: Callable[[Client], bool] | None = None) -> None:
+    def drain(self, pass_on: Callable[[ClientConnection], bool] | None = None) -> None:
         """Answer what was taken and what still comes within the grace, then close what is idle.
 
         Clients may have nowhere else to go while routers are restarted one after the other, so those that
@@ -119,9 +119,9 @@
         and `pass_on` hands idle connections to that process. One that it does not take is ended as else.
         """
         succeeded = pass_on is not None
-        times = end_schedule(self.config, succeeded)
+        times = shutdown_schedule(self.config, succeeded)
         self.drainer.begin(DrainCause.SUCCESSOR if succeeded else DrainCause.SIGTERM, times)
-        gevent.sleep(times.accept / 1000)
+        gevent.sleep(times.accept_ms / 1000)
         self._stop_listening()
         passing = None if pass_on is None else gevent.spawn(self._pass_idle, pass_on)
         while self._clients or self._leaving:
@@ -129,7 +129,7 @@
         if passing is not None:
             passing.kill()
 
-    def _pass_idle(self, pass_on: Callable[[Client], bool]) -> None:
+    def _pass_idle(self, pass_on: Callable[[ClientConnection], bool]) -> None:
         """Hand idle connections on until one is not taken.
 
         Not in the drain's own loop: a process that does not answer must not hold up its clock.
@@ -152,33 +152,33 @@
             sock.close()
         self._overflow.close()
         for client in list(self._clients):
-            client.close(Why.ENDED)
+            client.close(CloseReason.ENDED)
 
-    def take_idle(self, sock: socket.socket) -> Client:
+    def adopt_idle(self, sock: socket.socket) -> ClientConnection:
         """A connection that another process of this router accepted; nothing is read yet."""
-        client = Client(self, sock)
+        client = ClientConnection(self, sock)
         client.fresh = False
         self._clients.add(client)
         return client
 
-    def take_over(self, sock: socket.socket, chunks: bool, closing: bool) -> Exchange:
+    def adopt_stream(self, sock: socket.socket, chunks: bool, closing: bool) -> Exchange:
         """A connection on which another process of this router has begun an answer; nothing is read yet."""
-        client = self.take_idle(sock)
-        client.exchange = Exchange(client, Message(chunks=chunks, keep_alive=not closing))
+        client = self.adopt_idle(sock)
+        client.exchange = Exchange(client, Message(accepts_chunked=chunks, keep_alive=not closing))
         client.exchange.begun()
         return client.exchange
 
-    def clients(self) -> Collection[Client]:
+    def clients(self) -> Collection[ClientConnection]:
         """Clients' connections that are open."""
         return self._clients
 
-    def gone(self, client: Client) -> None:
+    def connection_closed(self, client: ClientConnection) -> None:
         """A client's connection is closed."""
         self._clients.discard(client)
 
     def _accept(self, listener: socket.socket, at_once: bool) -> None:
         accepted = 0
-        while not (at_once or self.able()):
+        while not (at_once or self.can_serve()):
             gevent.sleep(ABLE_S)
         self._accepts = True
         while True:
@@ -205,7 +205,7 @@
                 continue
             waited = max(self.host.now() - since, tcpinfo.last_received_ms(sock))
             # Late in a drain it would be refused all the same: no place is waited for.
-            if waited >= self._patience_ms() or self.drainer.state.reached(Step.CLOSE_ALL, self.host.now()):
+            if waited >= self._patience_ms() or self.drainer.state.reached(DrainStep.CLOSE_ALL, self.host.now()):
                 del self._waiting[listener]
                 return self._overflow.refuse(sock, self.host.now())
             gevent.sleep(ROOM_S)
@@ -231,10 +231,10 @@
         except OSError:  # its client has gone
             return sock.close()
         sock.settimeout(None)
-        client = Client(self, sock)
+        client = ClientConnection(self, sock)
         client.since -= waited  # in the kernel's queue: a silent one has had that time already
         self._clients.add(client)
-        client.go_on()
+        client.start_reading()
 
     def _stop_listening(self) -> None:
         """Accept nothing that comes from now on, but for what another process does not; never waits.
@@ -242,7 +242,7 @@
         An inherited listener from which this process has not begun to accept is another process's still.
         """
         if self._accepting is not None and self._listener is not None:
-            takes_last = self._accepts and not self.drainer.state.succeeded()
+            takes_last = self._accepts and not self.drainer.state.has_successor()
             self._accepting.kill(block=False)
             self._leaving[self._listener] = gevent.spawn(
                 self._let_go, self._listener, self._inherited, self._accepting, takes_last
@@ -287,14 +287,14 @@
         settled = [c for c in self._clients if c.since < now - SETTLED_MS and (c.ending or c.idle())]
         settled.sort(key=lambda c: (not c.ending, not c.fresh, c.since))
         # The kernel is asked of few, and just before each is closed.
-        leave = islice((c for c in settled if c.answered() and not c.unread()), ROOM_AT_ONCE)
+        leave = islice((c for c in settled if c.answered() and not c.has_unread()), ROOM_AT_ONCE)
         closed = 0
         for client in leave:
-            client.close(Why.ROOM)
+            client.close(CloseReason.ROOM)
             closed += 1
         if not closed:
             for client in [c for c in self._clients if c.since < now - HALF_MS]:
-                client.hurry(self.config.settings.max_retry_after_ms)
+                client.refuse_half_read(self.config.settings.max_retry_after_ms)
         return closed > 0
 
     def _sweep(self) -> None:
@@ -304,7 +304,7 @@
                 self._overflow.sweep(self.host.now())
                 self._close_overdue()
             except Exception as error:  # without this loop, silent connections would take all the room
-                unexpected("sweep", error)
+                log_exception("sweep", error)
 
     def _close_overdue(self) -> None:
         """Close connections that stood idle too long, or whose request never became whole."""
@@ -315,9 +315,9 @@
         # One that was told to go and neither goes nor sends anything: its reader would wait for ever.
         for client in [c for c in self._clients if c.ending and now - c.since > options.linger_ms]:
             client.close()
-        for client in [c for c in self._clients if not (c.exchange or c.ending or c.paused())]:
+        for client in [c for c in self._clients if not (c.exchange or c.ending or c.reading_paused())]:
             used = client.idle() and not client.fresh
             limit = options.keep_alive_ms if used else options.head_timeout_ms
             # Never one of whose request more has come in, or its beginning: its reader runs next.
-            if now - client.since > limit and not client.unread():
+            if now - client.since > limit and not client.has_unread():
                 client.overdue()
--- a/spoolbarrow/net/messages.py
+++ b/spoolbarrow/net/json_objects.py
@@ -8,31 +8,31 @@
 import re
 from collections.abc import Iterator
 
-from spoolbarrow.net.http1 import Fault
+from spoolbarrow.net.http1 import HttpError
 
 _MARKS = re.compile(rb'[{}\[\]"\\\n]')
 _OPEN, _CLOSE, _QUOTE, _ESCAPE, _LINE = b"{[", b"}]", ord('"'), ord("\\"), ord("\n")
 
 
-class Messages:
+class JsonObjectSplitter:
     """Cuts a stream into messages of at most `most` bytes."""
 
-    def __init__(self, most: int) -> None:
-        self._most = most
+    def __init__(self, max_bytes: int) -> None:
+        self._most = max_bytes
         self._pending = b""  # of what has begun, or of a line without one
         self._depth = self._skip = 0  # brackets open; bytes to come that an escape takes with it
         self._in_text = False
         self._ended = False  # an object ended on this line: its end is no empty line
 
     def end(self) -> None:
-        """The stream has ended: Fault 502 where it did so inside an object."""
+        """The stream has ended: HttpError 502 where it did so inside an object."""
         if self._depth:
-            raise Fault(502, "an object that is torn")
+            raise HttpError(502, "an object that is torn")
 
     def feed(self, data: bytes) -> Iterator[bytes]:
         """Each object that is whole now, and b"" for each empty line between objects.
 
-        Then, so that what is whole before it is had, Fault 502 for what is neither or an object that is too
+        Then, so that what is whole before it is had, HttpError 502 for what is neither or an object that is too
         long. To be gone through to its end before the next call.
         """
         start = 0
@@ -69,7 +69,7 @@
                 if empty:
                     yield b""
             else:
-                raise Fault(502, "neither an object nor an empty line")
+                raise HttpError(502, "neither an object nor an empty line")
         self._skip = max(0, skip - len(data))
         self._pending += data[start:]
         if not self._depth:
@@ -78,10 +78,10 @@
 
     def _guard(self, size: int) -> None:
         if size > self._most:
-            raise Fault(502, "line too long")
+            raise HttpError(502, "line too long")
 
     def _blank(self, rest: bytes) -> None:
         """What lies outside objects says nothing, and is not kept."""
         if (self._pending + rest).strip():
-            raise Fault(502, "neither an object nor an empty line")
+            raise HttpError(502, "neither an object nor an empty line")
         self._pending = b""
--- a/spoolbarrow/net/log.py
+++ b/spoolbarrow/net/log.py
@@ -59,7 +59,7 @@
         level = "info" if trouble is None else trouble.level
         if LEVELS[level] < self.threshold:
             return
-        if trouble is not None and trouble.tells and "remedy" not in fields:
+        if trouble is not None and trouble.logs_remedy and "remedy" not in fields:
             fields = {**fields, "remedy": trouble.remedy}
         line = self._line(event, level, fields)
         waiting = bool(self._lines)
@@ -169,20 +169,20 @@
     return orjson.dumps(value, default=repr).decode()
 
 
-standard = Log()
+default_log = Log()
 
 
 def log(event: str, **fields: object) -> None:
     """Write one event with its fields."""
-    standard.write(event, fields)
+    default_log.write(event, fields)
 
 
-def refused(event: str, error: Problem, **fields: object) -> None:
+def log_problem(event: str, error: Problem, **fields: object) -> None:
     """Write an event with the error behind it and what can be done about that."""
-    standard.write(event, {"error": str(error), **fields, "remedy": error.remedy})
+    default_log.write(event, {"error": str(error), **fields, "remedy": error.remedy})
 
 
-def unexpected(where: str, error: BaseException) -> None:
+def log_exception(where: str, error: BaseException) -> None:
     """Write an exception that nothing foresaw, with the place it came from."""
     trace = traceback.format_exception(error)
     log("unexpected", where=where, error=f"{type(error).__name__}: {error}", trace="".join(trace[-4:]))
--- a/spoolbarrow/net/loop_turns.py
+++ b/spoolbarrow/net/loop_iterations.py
@@ -17,7 +17,7 @@
 FIRST, LAST = 2, -2  # of the watchers of one kind: libev's priorities
 
 
-class LoopTurns:
+class LoopIterations:
     """When the loop last looked at its sockets."""
 
     def __init__(self, now: Callable[[], float]) -> None:
@@ -47,10 +47,10 @@
         self._looked = now
 
 
-class Arrivals:
+class ArrivalTimes:
     """From when on the requests of one connection had come: their clients count from sending them."""
 
-    def __init__(self, turns: LoopTurns, sock: tcpinfo.Inspectable) -> None:
+    def __init__(self, turns: LoopIterations, sock: tcpinfo.Inspectable) -> None:
         self._turns, self._sock = turns, sock
         self._segments = 0  # that the kernel had taken in when this was asked last
         self._standing: float | None = None  # since when something was left unread, as far as was looked
@@ -65,7 +65,7 @@
     def look(self, now: float) -> None:
         """Ask the kernel since when what is read next can have come: known where it came in one piece."""
         latest, had = now - tcpinfo.last_received_ms(self._sock), self._segments
-        self._segments = tcpinfo.counters(self._sock).data_received
+        self._segments = tcpinfo.counters(self._sock).data_segments_received
         self._came = latest if self._segments - had == 1 else self._turns.earliest(latest)
         if self._standing is not None:
             self._came, self._standing = min(self._came, self._standing), None
--- a/spoolbarrow/net/taps.py
+++ b/spoolbarrow/net/observers.py
@@ -16,7 +16,7 @@
 from gevent.socket import socket
 
 from spoolbarrow import interface as i
-from spoolbarrow.net.log import unexpected
+from spoolbarrow.net.log import log_exception
 from spoolbarrow.net.request import Attempt, Request
 
 Address = tuple[str, int]
@@ -29,7 +29,7 @@
     ENDPOINT = 1  # this router opened it
 
 
-class Why(Enum):
+class CloseReason(Enum):
     """What ended a connection, as this side sees it."""
 
     DONE = 0  # either side closed it with nothing under way
@@ -39,7 +39,7 @@
     ENDED = 4  # the router ends
 
 
-class Opened(NamedTuple):
+class OpenConnection(NamedTuple):
     """A connection that came up; `at` in ms on the host's clock."""
 
     number: int
@@ -47,17 +47,17 @@
     local: Address
     peer: Address
     endpoint: str
-    at: float
+    opened_at: float
     sock: socket
 
 
 class Observer:
     """Hears what happens; each hook does nothing unless it is overridden."""
 
-    def connection_opened(self, opened: Opened) -> None:
+    def connection_opened(self, opened: OpenConnection) -> None:
         """A connection is up."""
 
-    def connection_closing(self, number: int, why: Why) -> None:
+    def connection_closing(self, number: int, why: CloseReason) -> None:
         """A connection is about to be closed: its socket can be read for the last time."""
 
     def request_taken(self, request: Request, facts: i.RequestArrived) -> None:
@@ -69,7 +69,7 @@
     def attempt_started(self, attempt: Attempt) -> None:
         """The first event of the attempt that is the client's has come."""
 
-    def passed_on(self, request: Request, parts: list[bytes]) -> None:
+    def parts_forwarded(self, request: Request, parts: list[bytes]) -> None:
         """Parts of the stream were written to the client."""
 
     def attempt_ended(self, attempt: Attempt) -> None:
@@ -84,20 +84,20 @@
     def request_answered(self, request: Request) -> None:
         """What a request comes to is settled, in `answered`; attempts may still be out."""
 
-    def turned_away(self, cls: int, how: str) -> None:
+    def request_declined(self, cls: int, how: str) -> None:
         """A request of a known class was answered without being taken; `how` as in `Request.answered`."""
 
     def request_over(self, request: Request, now: float) -> None:
         """A request is answered and its last attempt has ended; nothing more happens to it."""
 
 
-class Taps:
+class Observers:
     """The observers; each hook of theirs is called here by the same name."""
 
     def __init__(self) -> None:
         self.active = False
         self._observers: tuple[Observer, ...] = ()
-        self._open: dict[int, Opened] = {}  # for observers that come later
+        self._open: dict[int, OpenConnection] = {}  # for observers that come later
         # Seconds in front: numbers are not used again after a restart.
         self._numbers = count((int(time.time()) << 24) + 1)
 
@@ -120,13 +120,13 @@
     def _failed(self, observer: Observer, error: Exception) -> None:
         """Guards serving against an observer's fault: it would come again with each request."""
         self.remove(observer)
-        unexpected(f"observer {type(observer).__name__}", error)
+        log_exception(f"observer {type(observer).__name__}", error)
 
-    def opened(self, side: Side, sock: socket, at: float, endpoint: str = "") -> int:
+    def connection_opened(self, side: Side, sock: socket, at: float, endpoint: str = "") -> int:
         """A connection came up: its number."""
         number = next(self._numbers)
         try:
-            told = Opened(number, side, sock.getsockname(), sock.getpeername(), endpoint, at, sock)
+            told = OpenConnection(number, side, sock.getsockname(), sock.getpeername(), endpoint, at, sock)
         except OSError:
             return number  # reset already: there is no telling from where it came
         self._open[number] = told
@@ -138,7 +138,7 @@
                     self._failed(observer, error)
         return number
 
-    def closing(self, number: int, why: Why) -> None:
+    def connection_closing(self, number: int, why: CloseReason) -> None:
         """A connection is about to be closed."""
         self._open.pop(number, None)
         for observer in self._observers:
@@ -171,11 +171,11 @@
             except Exception as error:
                 self._failed(observer, error)
 
-    def passed_on(self, request: Request, parts: list[bytes]) -> None:
+    def parts_forwarded(self, request: Request, parts: list[bytes]) -> None:
         """Parts of the stream were written."""
         for observer in self._observers:
             try:
-                observer.passed_on(request, parts)
+                observer.parts_forwarded(request, parts)
             except Exception as error:
                 self._failed(observer, error)
 
@@ -211,11 +211,11 @@
             except Exception as error:
                 self._failed(observer, error)
 
-    def turned_away(self, cls: int, how: str) -> None:
+    def request_declined(self, cls: int, how: str) -> None:
         """A request was answered without being taken."""
         for observer in self._observers:
             try:
-                observer.turned_away(cls, how)
+                observer.request_declined(cls, how)
             except Exception as error:
                 self._failed(observer, error)
 
--- a/spoolbarrow/net/pools.py
+++ b/spoolbarrow/net/pools.py
@@ -17,7 +17,7 @@
 
 from spoolbarrow import interface as i
 from spoolbarrow.net.log import log
-from spoolbarrow.net.taps import Observer
+from spoolbarrow.net.observers import Observer
 from spoolbarrow.pools import Engine, Pools, split
 from spoolbarrow.pools.evidence import Notes
 
@@ -104,13 +104,13 @@
         self._only = dict.fromkeys(table.only_read, "read") | dict.fromkeys(table.only_write, "write")
         if self._host is None:
             self._host = host
-            host.taps.add(self)
+            host.observers.add(self)
         self._look(host)
 
     def end(self) -> None:
         """Hear nothing more."""
         if self._host is not None:
-            self._host.taps.remove(self)
+            self._host.observers.remove(self)
         self._host = None
         self._open.clear()
 
@@ -215,7 +215,7 @@
             return
         self._open[request.key] = _Open(facts)
 
-    def passed_on(self, request: Request, parts: list[bytes]) -> None:
+    def parts_forwarded(self, request: Request, parts: list[bytes]) -> None:
         """Events are counted, and the end kept."""
         one = self._open.get(request.key)
         if one is not None:
@@ -233,16 +233,16 @@
         taken, settings = one.facts.settings, self._host.config.settings
         if taken is not None and taken is not settings and not taken.numbers_alike(settings):
             return
-        now, stream = self._host.now(), request.stream
-        if request.answered == "served" and stream is not None:
+        now, stream = self._host.now(), request.serving_attempt
+        if request.answer_kind == "served" and stream is not None:
             self._served(now, request, one, stream)
-        elif request.answered in CUT:
-            late = request.answered == "broken" or stream is None
+        elif request.answer_kind in CUT:
+            late = request.answer_kind == "broken" or stream is None
             self._asked(now, one.facts, -1.0)
             self._pools.notes.answered(
                 now, one.facts.cls, one.facts.tenant, one.events if stream is not None else 0, False, late
             )
-        elif request.answered != "rejected":  # that is its client's fault
+        elif request.answer_kind != "rejected":  # that is its client's fault
             self._pools.notes.answered(now, one.facts.cls, one.facts.tenant, 0, False, True)
 
     def request_over(self, request: Request, now: float) -> None:
--- a/spoolbarrow/net/request.py
+++ b/spoolbarrow/net/request.py
@@ -21,10 +21,10 @@
     def fail_fast(self, retry_after_ms: float, header: bytes = b"") -> None:
         """Declined; trying again is harmless."""
 
-    def peer(self) -> str:
+    def client_address(self) -> str:
         """The client's address; empty where it has gone."""
 
-    def gone(self) -> bool:
+    def disconnected(self) -> bool:
         """Whether the client has closed, reset or half-closed its connection, read or not; never waits."""
 
     def fail(self, late: bool) -> None:
@@ -33,7 +33,7 @@
     def reject(self) -> None:
         """The endpoint can't use the request as its client sent it."""
 
-    def pass_on(self, parts: list[bytes]) -> None:
+    def forward(self, parts: list[bytes]) -> None:
         """Events of the one stream that serves the request; raises OSError when the client has gone."""
 
     def end(self) -> None:
@@ -43,7 +43,7 @@
         """The stream broke: the client must see that it is not whole."""
 
 
-class Taken(Protocol):
+class TransferredStream(Protocol):
     """What another process of this router tells of a stream; times as on the host's clock."""
 
     id: str
@@ -76,18 +76,18 @@
             self.tenant_name = facts.settings.tenant_name(facts.tenant)
         self.connection = connection  # its client's, by the taps' number; 0: told by none
         self.taken_at, self.deadline = now, deadline
-        self.repeat_ms = inf  # a further attempt is written whole so long after the first that may have run
+        self.repeat_window_ms = inf  # a further attempt is written whole so long after the first that may have run
         self.max_attempts = 1  # unless the host says more
         self.attempts: list[Attempt] = []
-        self.stream: Attempt | None = None  # the attempt that is the client's
-        self.over = False  # answered, or the client has gone
-        self.answered = ""  # how: served, fail_fast, failed, broken, or left by its client
+        self.serving_attempt: Attempt | None = None  # the attempt that is the client's
+        self.finished = False  # answered, or the client has gone
+        self.answer_kind = ""  # how: served, fail_fast, failed, broken, or left by its client
 
-    def end(self, how: str) -> None:
+    def finish(self, how: str) -> None:
         """It has its answer, or needs none."""
-        self.over, self.answered = True, how
+        self.finished, self.answer_kind = True, how
 
-    def account(self, now: float) -> dict[str, object]:
+    def log_fields(self, now: float) -> dict[str, object]:
         """What became of it, for the log: times in ms since it was taken, numbers as they were then."""
         since = self.taken_at
         return {
@@ -95,23 +95,23 @@
             "id": self.id,
             "class": self.cls,
             "tenant": self.tenant,
-            "answer": self.answered,
+            "answer": self.answer_kind,
             "budget_ms": round(self.deadline - since),
             "ms": round(now - since),
-            "attempts": [a.account(since) for a in self.attempts],
+            "attempts": [a.log_fields(since) for a in self.attempts],
         }
 
     def may_repeat(self, attempt: Attempt, now: float) -> bool:
         """Whether an attempt that is written now falls within the time for repeats."""
         ran = [other.sent_at for other in self.attempts if other is not attempt and not other.never_ran()]
-        return not ran or now < min(ran) + self.repeat_ms
+        return not ran or now < min(ran) + self.repeat_window_ms
 
-    def done(self) -> bool:
+    def settled(self) -> bool:
         """Whether nothing more can happen to it."""
-        return self.over and all(attempt.ended for attempt in self.attempts)
+        return self.finished and all(attempt.ended for attempt in self.attempts)
 
 
-class Running(Protocol):
+class AnswerReader(Protocol):
     """An attempt's answer while it is read."""
 
     def stays(self) -> bool:
@@ -129,13 +129,13 @@
         self.outcome: i.Outcome | None = None
         self.first_at = self.ended_at = 0.0
         self.greenlet: gevent.Greenlet[..., None] | None = None
-        self.running: Running | None = None
+        self.answer_reader: AnswerReader | None = None
 
     def never_ran(self) -> bool:
         """Whether its endpoint can't have run it: it turned it away, or never had the whole of it."""
         return self.outcome in i.NEVER_RAN or not self.connection
 
-    def account(self, since: float) -> dict[str, object]:
+    def log_fields(self, since: float) -> dict[str, object]:
         """What became of it, for the log."""
         told: dict[str, object] = {"endpoint": self.endpoint, "sent": round(self.sent_at - since)}
         if self.first_at:
--- a/spoolbarrow/net/request_admission.py
+++ b/spoolbarrow/net/request_admission.py
@@ -15,7 +15,7 @@
 from spoolbarrow.net.drain_schedule import DrainState
 from spoolbarrow.net.exchange import Exchange
 from spoolbarrow.net.host import Host
-from spoolbarrow.net.http1 import Fault, Message
+from spoolbarrow.net.http1 import HttpError, Message
 from spoolbarrow.net.log import log
 from spoolbarrow.net.request_facts import read_facts
 
@@ -36,7 +36,7 @@
 
     config: Config
     host: Host
-    held: int  # bytes of bodies in memory
+    held_bytes: int  # bytes of bodies in memory
 
     @property
     def drainer(self) -> Drains:
@@ -56,10 +56,10 @@
     def inbound(self) -> Listener:
         """The listener that accepted it."""
 
-    def gone(self) -> bool:
+    def disconnected(self) -> bool:
         """Whether its client has closed, reset or half-closed it."""
 
-    def unread(self) -> bool:
+    def has_unread(self) -> bool:
         """Whether the kernel holds something that its client sent."""
 
     def voids(self, there: memoryview) -> bool:
@@ -70,13 +70,13 @@
 
 
 def admit(client: Asker, exchange: Exchange, message: Message, arrived: float) -> None:
-    """Answer a request, or have the host take it; Fault where its client is to be told what is wrong."""
+    """Answer a request, or have the host take it; HttpError where its client is to be told what is wrong."""
     path = message.path()
     wanted = METHODS.get(path)
     if wanted is None:
-        raise Fault(404, "no such path")
+        raise HttpError(404, "no such path")
     if message.method != wanted:
-        raise Fault(405, f"{path.decode()} takes {wanted.decode()}", b"Allow: " + wanted)
+        raise HttpError(405, f"{path.decode()} takes {wanted.decode()}", b"Allow: " + wanted)
     if path == UP:
         return exchange.whole(200 if client.inbound.ready() else 503, "not ready")
     _admit_chat(client, exchange, message, arrived)
@@ -88,20 +88,20 @@
     name = message.fields[b"x-correlation-id"].decode("latin-1")
     if host.is_open(name):
         # Guards the request of that name: an endpoint could not tell the two apart.
-        raise Fault(409, "X-Correlation-Id: a request of this name is open")
+        raise HttpError(409, "X-Correlation-Id: a request of this name is open")
     retry_after_ms = _refused(client, name)
     if retry_after_ms is not None:
-        turned_away(inbound, message, "fail_fast")
+        notify_declined(inbound, message, "fail_fast")
         return exchange.fail_fast(retry_after_ms)
     deadline = arrived + budget
     if deadline <= host.now():
-        turned_away(inbound, message, "failed")
+        notify_declined(inbound, message, "failed")
         return exchange.fail(True)
-    if client.gone():  # also where its end came while the connection waited to be accepted
-        turned_away(inbound, message, "left")
+    if client.disconnected():  # also where its end came while the connection waited to be accepted
+        notify_declined(inbound, message, "left")
         return client.lost()
-    if client.unread() and client.voids(memoryview(client.sock.recv(LOOKED_AT, socket.MSG_PEEK))):
-        raise Fault(400, "malformed request: its length is not that of its body")
+    if client.has_unread() and client.voids(memoryview(client.sock.recv(LOOKED_AT, socket.MSG_PEEK))):
+        raise HttpError(400, "malformed request: its length is not that of its body")
     if inbound.drainer.state.active():
         inbound.drainer.log.request_taken(host.now(), name, client.number)
     exchange.request = host.submit(name, message, exchange, deadline, facts, client.number)
@@ -116,15 +116,15 @@
         return refusal
     settings = inbound.config.settings
     # Guards against running out of memory or over what the platform allows to be open at once.
-    if inbound.held > inbound.config.max_held or host.open_requests() >= settings.max_open:
-        log("no_room", held=inbound.held, open=host.open_requests())
+    if inbound.held_bytes > inbound.config.max_held or host.open_requests() >= settings.max_open:
+        log("no_room", held=inbound.held_bytes, open=host.open_requests())
         return settings.max_retry_after_ms
     return None
 
 
-def turned_away(inbound: Listener, message: Message, how: str) -> None:
+def notify_declined(inbound: Listener, message: Message, how: str) -> None:
     """Tell whoever watches of a request that is not taken, where it names a class."""
-    taps, config = inbound.host.taps, inbound.config
+    taps, config = inbound.host.observers, inbound.config
     name = message.fields.get(b"x-service-class", b"").decode("latin-1")
     if taps.active and message.path() == CHAT and name in config.classes:
-        taps.turned_away(config.classes[name], how)
+        taps.request_declined(config.classes[name], how)
--- a/spoolbarrow/net/request_facts.py
+++ b/spoolbarrow/net/request_facts.py
@@ -5,7 +5,7 @@
 from spoolbarrow import interface as i
 from spoolbarrow.config import Config
 from spoolbarrow.errors import Problem
-from spoolbarrow.net.http1 import Fault, Message
+from spoolbarrow.net.http1 import HttpError, Message
 
 
 class UnknownName(Problem):
@@ -22,27 +22,27 @@
 
 
 def read_facts(message: Message, config: Config) -> tuple[i.RequestArrived, float]:
-    """What the decisions want to know of a request, and how long its answer has; Fault 400 where malformed.
+    """What the decisions want to know of a request, and how long its answer has; HttpError 400 where malformed.
 
     That is its client's patience, less the margin for the way there.
     """
     fields = message.fields
     if not fields.get(b"x-correlation-id"):
-        raise Fault(400, "X-Correlation-Id: missing")
+        raise HttpError(400, "X-Correlation-Id: missing")
     cls = _named(fields, b"x-service-class", config.classes)
     tenant = _named(fields, b"x-account", config.tenants) if config.tenants else 0
     told: dict[bytes, bytes] = {}
     for pair in fields.get(b"x-facts", b"").split(b","):
         name, equals, value = pair.strip().partition(b"=")
         if name and not equals:
-            raise Fault(400, "X-Facts: not NAME=VALUE,...")
+            raise HttpError(400, "X-Facts: not NAME=VALUE,...")
         told[name] = value
     lengths = (b"prompt_len", b"prefix_len", b"max_out")
     prompt, shared, answer = (_length(told, name, config) for name in lengths)
     left, of_class = fields.get(b"x-time-left-ms"), config.settings.classes[cls]
     budget = of_class.deadline_ms if left is None else _number(left, 10, "X-Time-Left-Ms")
     if budget > ABSURD_MS:
-        raise Fault(400, "X-Time-Left-Ms: out of range")
+        raise HttpError(400, "X-Time-Left-Ms: out of range")
     # Guards the timers: each stands till its request's deadline. A deadline grows twice as fast as the aim.
     longest = MAX_PATIENCE * (of_class.deadline_ms + 2.0 * of_class.aim_ms_per_token * prompt)
     budget = min(budget, longest)
@@ -78,7 +78,7 @@
 def _named(fields: dict[bytes, bytes], header: bytes, names: dict[str, int]) -> int:
     name = fields.get(header, b"").decode("latin-1")
     if name not in names:
-        raise Fault(400, f"{header.decode()}: unknown value {name!r}")
+        raise HttpError(400, f"{header.decode()}: unknown value {name!r}")
     return names[name]
 
 
@@ -86,15 +86,15 @@
     what = f"X-Facts: {name.decode()}"
     length = _number(told.get(name, b"0"), 10, what)
     if length > config.options.max_body:  # a token is a character at least
-        raise Fault(400, f"{what}: out of range")
+        raise HttpError(400, f"{what}: out of range")
     return length
 
 
 def _number(text: bytes, base: int, what: str) -> int:
     # Only plain digits: int() would also take signs, blanks and underscores.
     if not text.isalnum() or len(text) > 20:
-        raise Fault(400, f"{what}: not a number")
+        raise HttpError(400, f"{what}: not a number")
     try:
         return int(text, base)
     except ValueError:
-        raise Fault(400, f"{what}: not a number") from None
+        raise HttpError(400, f"{what}: not a number") from None
--- a/spoolbarrow/net/request_writing.py
+++ b/spoolbarrow/net/request_writing.py
@@ -43,18 +43,18 @@
 
 def await_sent(sock: socket, may_go_on: Callable[[], bool]) -> bool:
     """Wait until the kernel has sent all that it was handed, or an answer has come; whether either came."""
-    while tcpinfo.unsent(sock) and not http1.polled(sock, select.POLLIN):
+    while tcpinfo.has_unsent(sock) and not http1.polled(sock, select.POLLIN):
         gevent.sleep(UNSENT_LOOK_S)
         # Looked at again: from the caller's word to the close nothing must leave.
-        if not may_go_on() and tcpinfo.unsent(sock):
+        if not may_go_on() and tcpinfo.has_unsent(sock):
             return False
     return True
 
 
-def break_off(sock: socket) -> None:
+def close_and_discard(sock: socket) -> None:
     """Close a connection and have nothing more leave that was written to it."""
     try:
-        if tcpinfo.awaits_peer(sock):
+        if tcpinfo.has_unacknowledged(sock):
             sock.setsockopt(SOL_SOCKET, SO_LINGER, RESET)
     except OSError:
         pass  # closed already
--- a/spoolbarrow/net/store_client.py
+++ b/spoolbarrow/net/store_client.py
@@ -169,7 +169,7 @@
                     size += sum(map(len, came))
                     if size > MAX_ANSWER_BYTES:
                         raise MemberUnavailable(f"more than {MAX_ANSWER_BYTES} bytes")
-        except (OSError, http1.Fault, gevent.Timeout) as error:
+        except (OSError, http1.HttpError, gevent.Timeout) as error:
             raise MemberUnavailable(f"{type(error).__name__}: {error}") from None
         return parser.status, b"".join(parts)
 
--- a/spoolbarrow/net/tcpinfo.py
+++ b/spoolbarrow/net/tcpinfo.py
@@ -11,7 +11,7 @@
 from typing import NamedTuple, Protocol
 
 TCP_INFO = 11
-SIZE = 216  # to tcpi_bytes_retrans (Linux 4.19); the kernel copies what it has, up to this
+TCP_INFO_BYTES = 216  # to tcpi_bytes_retrans (Linux 4.19); the kernel copies what it has, up to this
 # States in which the peer's FIN has been taken in: TIME_WAIT, CLOSE_WAIT, LAST_ACK, CLOSING. Once all is over
 # the state is CLOSE, whether FIN or RST came, so `received` may be one byte too many there.
 _FIN_TAKEN = frozenset({6, 8, 9, 11})
@@ -38,14 +38,14 @@
 class Counters(NamedTuple):
     """Since the connection began; SYN and FIN count as segments, never as bytes."""
 
-    sent: int = 0  # payload bytes transmitted, those sent again too (tcpi_bytes_sent)
-    received: int = 0  # payload bytes taken in, each once (tcpi_bytes_received, less the FIN)
+    bytes_sent: int = 0  # payload bytes transmitted, those sent again too (tcpi_bytes_sent)
+    bytes_received: int = 0  # payload bytes taken in, each once (tcpi_bytes_received, less the FIN)
     segments_sent: int = 0  # all segments: SYN, ACK, FIN and those sent again (tcpi_segs_out)
     segments_received: int = 0  # likewise (tcpi_segs_in)
-    data_sent: int = 0  # segments with payload (tcpi_data_segs_out)
-    data_received: int = 0  # likewise (tcpi_data_segs_in)
-    again: int = 0  # segments sent again (tcpi_total_retrans)
-    bytes_again: int = 0  # payload bytes among `sent` that were sent before (tcpi_bytes_retrans)
+    data_segments_sent: int = 0  # segments with payload (tcpi_data_segs_out)
+    data_segments_received: int = 0  # likewise (tcpi_data_segs_in)
+    segments_retransmitted: int = 0  # segments sent again (tcpi_total_retrans)
+    bytes_retransmitted: int = 0  # payload bytes among `sent` that were sent before (tcpi_bytes_retrans)
     rtt_us: int = 0  # smoothed round trip, microseconds
     timestamps: bool = False  # each segment carries 12 bytes of TCP options more (RFC 7323)
 
@@ -76,28 +76,28 @@
     )
 
 
-def acknowledged(sock: Inspectable) -> int:
+def acknowledged_bytes(sock: Inspectable) -> int:
     """Bytes of the wire (TLS records as such) that the peer has acknowledged since the connection began."""
     told: int = _ACKNOWLEDGED.unpack_from(_read(sock))[0]
     return told
 
 
-def awaits_peer(sock: Inspectable) -> bool:
+def has_unacknowledged(sock: Inspectable) -> bool:
     """Whether some of what was written has not come to the peer's machine, as far as is known here."""
     raw = _read(sock)
     return any(told.unpack_from(raw)[0] for told in (_UNACKED, _NOT_SENT))
 
 
-def unsent(sock: Inspectable) -> bool:
+def has_unsent(sock: Inspectable) -> bool:
     """Whether this machine holds some of what was written that it has never sent: the peer can't have it."""
     told: int = _NOT_SENT.unpack_from(_read(sock))[0]
     return told > 0
 
 
-def peer_ended(sock: Inspectable) -> bool:
+def peer_closed(sock: Inspectable) -> bool:
     """Whether the peer has said its end, or reset the connection."""
     return _read(sock)[0] in _FIN_TAKEN | {CLOSED}
 
 
 def _read(sock: Inspectable) -> bytes:
-    return sock.getsockopt(IPPROTO_TCP, TCP_INFO, SIZE).ljust(SIZE, b"\0")
+    return sock.getsockopt(IPPROTO_TCP, TCP_INFO, TCP_INFO_BYTES).ljust(TCP_INFO_BYTES, b"\0")
--- a/spoolbarrow/reload.py
+++ b/spoolbarrow/reload.py
@@ -17,7 +17,7 @@
 from spoolbarrow.errors import Problem
 from spoolbarrow.net.host import Host
 from spoolbarrow.net.inbound import Inbound
-from spoolbarrow.net.log import log, refused
+from spoolbarrow.net.log import log, log_problem
 from spoolbarrow.subsystems import Prepared, Subsystems
 
 if TYPE_CHECKING:
@@ -120,13 +120,13 @@
 
     def _reload(self, wanted: str) -> Problem | None:
         with self.changing:
-            if self._inbound.drainer.state.ends():
+            if self._inbound.drainer.state.process_ending():
                 log("reload_ignored", why="draining")
                 return Draining("", "draining")
             try:
                 self._act_on_files(wanted)
             except config.ConfigError as error:
-                refused("reload_failed", error)
+                log_problem("reload_failed", error)
                 return error
             return None
 
--- a/spoolbarrow/serve.py
+++ b/spoolbarrow/serve.py
@@ -13,7 +13,7 @@
 from spoolbarrow import config
 from spoolbarrow.net.host import Host
 from spoolbarrow.net.inbound import Inbound
-from spoolbarrow.net.log import log, refused, standard
+from spoolbarrow.net.log import log, log_problem, default_log
 from spoolbarrow.reload import Descriptors, Reloader, operators
 
 if TYPE_CHECKING:
@@ -48,7 +48,7 @@
             operations = Operations(settings)
             settings = operations.fit(settings)
     except config.ConfigError as error:
-        refused("bad_config", error)
+        log_problem("bad_config", error)
         return error.status
     told_to_end = Event()
     gevent.signal_handler(signal.SIGTERM, told_to_end.set)
@@ -60,7 +60,7 @@
     try:
         subsystems.apply(subsystems.prepare(operator, settings))
     except config.ConfigError as error:
-        refused("bad_config", error)
+        log_problem("bad_config", error)
         return error.status
     # Before it listens: what sends SIGHUP may know of no other sign that the program is up.
     gevent.signal_handler(signal.SIGHUP, reloader.reload)
@@ -68,9 +68,9 @@
         with reloader.changing:
             start(host, inbound, operations)
     except config.CannotListen as error:
-        refused("bad_config", error)
+        log_problem("bad_config", error)
         return error.status
-    standard.start()
+    default_log.start()
     gc.freeze()  # what is loaded by now lives as long as the process
     gc.enable()
     log("started", name=settings.name, listen=f"{settings.listen[0]}:{settings.listen[1]}")
@@ -86,5 +86,5 @@
         operations.close()
     subsystems.close()
     log("ended")
-    standard.stop()
+    default_log.stop()
     return 0
--- a/spoolbarrow/shadow/copier.py
+++ b/spoolbarrow/shadow/copier.py
@@ -25,9 +25,9 @@
 from spoolbarrow.net.endpoint import NOT_RUN, STREAM
 from spoolbarrow.net.host import Host
 from spoolbarrow.net.load_report import LOAD, parse_load
-from spoolbarrow.net.log import log, unexpected
+from spoolbarrow.net.log import log, log_exception
 from spoolbarrow.net.request import Attempt, Request
-from spoolbarrow.net.taps import Observer
+from spoolbarrow.net.observers import Observer
 from spoolbarrow.operator import ShadowTable, number_of
 from spoolbarrow.shadow import decide
 from spoolbarrow.shadow.reading import Reading
@@ -158,7 +158,7 @@
         self.pairs = self.pairs_dropped = 0
         self._writer: Writer | None = None
         self.apply(prepared)
-        host.taps.add(self)
+        host.observers.add(self)
         self._ticker = gevent.spawn(self._tick)
 
     def apply(self, prepared: Prepared) -> None:
@@ -174,7 +174,7 @@
 
     def stop(self) -> None:
         """End every copy at once, and begin no other."""
-        self._host.taps.remove(self)
+        self._host.observers.remove(self)
         self._ticker.kill()
         self._act(self._decider.stop(self._host.now()))
         self._host.destinations.set_aside("", -1, lambda entries: None)
@@ -213,11 +213,11 @@
             else:
                 self._act([action])
 
-    def passed_on(self, request: Request, parts: list[bytes]) -> None:
+    def parts_forwarded(self, request: Request, parts: list[bytes]) -> None:
         """The live half of a pair."""
         pair = self._pairs.get(request.key)
         if pair is not None:
-            now, stream = self._host.now(), request.stream
+            now, stream = self._host.now(), request.serving_attempt
             begun = pair.sent.get(stream.number, now) if stream is not None else now
             pair.live.feed(b"".join(parts), now - begun)
 
@@ -234,19 +234,19 @@
 
     def request_over(self, request: Request, now: float) -> None:
         """The live half is over; where its client left there is nothing to compare with."""
-        self._recent.append((now, request.answered == "fail_fast"))
+        self._recent.append((now, request.answer_kind == "fail_fast"))
         pair = self._pairs.get(request.key)
         if pair is None:
             return
-        if request.answered == "left":
+        if request.answer_kind == "left":
             self._drop(request.key)
             greenlet = self._greenlets.get(request.key)
             if greenlet is not None:
                 self._ended(request.key, False, "live client left", moot=True)
                 greenlet.kill(block=False)
             return
-        engine = request.stream.endpoint if request.stream else ""
-        pair.live_told = {"outcome": request.answered, "engine": engine, "attempts": len(request.attempts)}
+        engine = request.serving_attempt.endpoint if request.serving_attempt else ""
+        pair.live_told = {"outcome": request.answer_kind, "engine": engine, "attempts": len(request.attempts)}
         self._keep(request.key, pair)
 
     # The candidates
@@ -270,12 +270,12 @@
             why = "deadline"
         except Moot as error:
             why, moot = str(error), True
-        except (OSError, http1.Fault, Failed) as error:
+        except (OSError, http1.HttpError, Failed) as error:
             why = str(error) if isinstance(error, Failed) else f"{type(error).__name__}: {error}"
         except gevent.GreenletExit:
             return  # abandoned: told already
         except Exception as error:
-            unexpected("copy", error)
+            log_exception("copy", error)
             why = "unexpected"
         self._ended(key, good, why, moot)
 
@@ -398,7 +398,7 @@
                     said = now
                     self._say()
             except Exception as error:
-                unexpected("shadow", error)
+                log_exception("shadow", error)
 
     def _pressure(self, lag_ms: float) -> decide.Pressure:
         since = self._host.now() - RECENT_MS
--- a/spoolbarrow/store/callers.py
+++ b/spoolbarrow/store/callers.py
@@ -19,7 +19,7 @@
 from spoolbarrow.config import Address
 from spoolbarrow.errors import Defect
 from spoolbarrow.net import http1
-from spoolbarrow.net.log import unexpected
+from spoolbarrow.net.log import log_exception
 from spoolbarrow.store.faults import BadCall, BadDocument, StoreFault
 from spoolbarrow.store.state import MOST_VALUE
 
@@ -67,7 +67,7 @@
         except StoreFault as error:
             status, told = error.answer, {"error": str(error), "remedy": error.remedy, **error.told}
         except Exception as error:
-            unexpected("store", error)
+            log_exception("store", error)
             status, told = 500, {"error": "internal error", "remedy": Defect.remedy}
         text = orjson.dumps(told)
         headers = [("Content-Type", "application/json"), ("Content-Length", str(len(text)))]
--- a/spoolbarrow/store/member.py
+++ b/spoolbarrow/store/member.py
@@ -34,7 +34,7 @@
 from spoolbarrow.config import Address, CannotListen
 from spoolbarrow.net import http1
 from spoolbarrow.net.accepting import next_connection
-from spoolbarrow.net.log import log, unexpected
+from spoolbarrow.net.log import log, log_exception
 from spoolbarrow.store import faults as f
 from spoolbarrow.store import state as s
 from spoolbarrow.store.callers import Call, Callers
@@ -196,7 +196,7 @@
         except OSError:
             pass  # it has gone
         except Exception as error:
-            unexpected("store", error)
+            log_exception("store", error)
         finally:
             self._peers.discard(sock)
 
--- a/spoolbarrow/subsystems.py
+++ b/spoolbarrow/subsystems.py
@@ -16,7 +16,7 @@
 from spoolbarrow.config import Config, NeedsPackage
 from spoolbarrow.net.host import Host
 from spoolbarrow.net.inbound import Inbound
-from spoolbarrow.net.log import standard
+from spoolbarrow.net.log import default_log
 
 if TYPE_CHECKING:
     from spoolbarrow.admin.operations import Operations
@@ -114,9 +114,9 @@
         """Go by settings that were prepared; what is not set is as without a file."""
         self._operator = operator = prepared.operator
         if operator is None:
-            standard.configure()
+            default_log.configure()
         else:
-            standard.configure(operator.log.level, operator.log.format)
+            default_log.configure(operator.log.level, operator.log.format)
         self._flows.apply(prepared.flows)
         self._shadow.apply(prepared.shadow)
         self._door.apply(prepared.door)
--- a/tests/stage.py
+++ b/tests/router_harness.py
@@ -15,7 +15,7 @@
 from spoolbarrow import interface as i
 from spoolbarrow.lab.cluster import LISTEN as LISTEN
 from spoolbarrow.lab.cluster import free_ports
-from spoolbarrow.net.drain_schedule import DrainCause, DrainSchedule, Step
+from spoolbarrow.net.drain_schedule import DrainCause, DrainSchedule, DrainStep
 from spoolbarrow.net.host import Host
 from spoolbarrow.net.http1 import Message, RequestParser, ResponseParser
 from spoolbarrow.net.inbound import Inbound
@@ -23,8 +23,8 @@
 T = TypeVar("T")
 Script = Callable[[socket.socket, Message], object]  # true: hang up
 EVENTS = [b'data: {"choices":[{"index":0,"delta":{"content":"ab"}}]}\n\n', b"data: [DONE]\n\n"]
-HEAD = b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
-TURNED_AWAY = b"HTTP/1.1 503 Service Unavailable\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n"
+STREAM_HEAD = b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
+UNPROCESSED_503 = b"HTTP/1.1 503 Service Unavailable\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n"
 
 
 def chunk(part: bytes) -> bytes:
@@ -32,16 +32,16 @@
 
 
 def serve_all(sock: socket.socket, message: Message) -> None:
-    sock.sendall(HEAD + b"".join(map(chunk, EVENTS)) + b"0\r\n\r\n")
+    sock.sendall(STREAM_HEAD + b"".join(map(chunk, EVENTS)) + b"0\r\n\r\n")
 
 
-class Party:
+class ScriptedServer:
     """A listener that answers each request by a script."""
 
     def __init__(self, script: Script) -> None:
         self.script = script
         self.requests: list[Message] = []
-        self.connections = self.ends = 0
+        self.connections = self.closed = 0
         self.listener = socket.socket()
         self.listener.bind(("127.0.0.1", 0))
         self.listener.listen(64)
@@ -60,14 +60,14 @@
             try:
                 while data := sock.recv(65536):
                     parser.feed(memoryview(data))
-                    while parser.whole:
-                        message = parser.whole.popleft()
+                    while parser.complete:
+                        message = parser.complete.popleft()
                         self.requests.append(message)
                         if self.script(sock, message):
                             return
             except OSError:
                 pass
-            self.ends += 1
+            self.closed += 1
 
     def close(self) -> None:
         gevent.killall(self.greenlets)
@@ -78,7 +78,7 @@
     return free_ports(1)[0]
 
 
-def entry(name: str, port: int, **changes: Any) -> dict[str, Any]:
+def endpoint_entry(name: str, port: int, **changes: Any) -> dict[str, Any]:
     return {"name": name, "address": f"127.0.0.1:{port}", "zone": "a", "type": "m", **changes}
 
 
@@ -149,13 +149,13 @@
     return f"POST /v1/chat/completions?a=b HTTP/1.1\r\nHost: api\r\n{head}\r\n".encode() + body
 
 
-def turns() -> None:
+def run_ready() -> None:
     """Let whatever is ready run, and what that makes ready."""
     for _ in range(10):
         gevent.sleep(0)
 
 
-def until(true: Callable[[], T], seconds: float = 40.0) -> T:
+def wait_until(true: Callable[[], T], seconds: float = 40.0) -> T:
     """Let greenlets and processes run until something holds, and give that; in vain it fails here."""
     end = time.monotonic() + seconds
     while not (found := true()):
@@ -164,20 +164,20 @@
     return found
 
 
-class Stage:
+class RouterHarness:
     """A running router."""
 
     def __init__(self, raw: dict[str, Any]) -> None:
         self.config = config.parse(msgspec.json.encode(raw))
         self.host = Host(self.config)
         self.inbound = Inbound(self.config, self.host)
-        self.told: list[Any] = []
+        self.events: list[Any] = []
         self.clients: list[Client] = []
         router: Any = self.host._router
         handle = router.handle
 
         def listening(now: float, events: list[i.Event]) -> list[i.Action]:
-            self.told += events
+            self.events += events
             return handle(now, events)  # type: ignore[no-any-return]
 
         router.handle = listening
@@ -188,18 +188,18 @@
         self.clients.append(Client(self.config.listen[1]))  # kept: a forgotten socket would be closed
         return self.clients[-1]
 
-    def heard(self, kind: type) -> list[Any]:
-        return [event for event in self.told if isinstance(event, kind)]
+    def events_of(self, kind: type) -> list[Any]:
+        return [event for event in self.events if isinstance(event, kind)]
 
 
 @contextmanager
-def stage(
+def running_router(
     *scripts: Script, watch: Script = lambda sock, message: None, **changes: Any
 ) -> Iterator[tuple[Any, ...]]:
     """A router before endpoints that follow these scripts, and a discovery: (stage, endpoints...)."""
-    parties = [Party(script) for script in (watch, *scripts)]
-    endpoints = [entry(f"e{n}", party.port) for n, party in enumerate(parties[1:])]
-    made = Stage(make_config(endpoints, parties[0].port, **changes))
+    parties = [ScriptedServer(script) for script in (watch, *scripts)]
+    endpoints = [endpoint_entry(f"e{n}", party.port) for n, party in enumerate(parties[1:])]
+    made = RouterHarness(make_config(endpoints, parties[0].port, **changes))
     try:
         yield (made, *parties[1:])
     finally:
@@ -209,9 +209,9 @@
             party.close()
 
 
-def end_answers(scene: Stage) -> None:
+def end_answers(scene: RouterHarness) -> None:
     """From now on the end of an answer ends its connection, and nothing else is done."""
-    scene.inbound.drainer.begin(DrainCause.SUCCESSOR, DrainSchedule({Step.END_ANSWERS: 0.0}))
+    scene.inbound.drainer.begin(DrainCause.SUCCESSOR, DrainSchedule({DrainStep.END_ANSWERS: 0.0}))
 
 
 def now_unix_ms() -> float:
--- a/tests/test_accepting.py
+++ b/tests/test_accepting.py
@@ -16,7 +16,7 @@
 from spoolbarrow.flows.collector import Listener
 from spoolbarrow.net import accepting, http1
 from spoolbarrow.operator import Collector
-from tests.stage import LISTEN, ask, serve_all, stage, until
+from tests.router_harness import LISTEN, ask, serve_all, running_router, wait_until
 
 ROOT = Path(spoolbarrow.__file__).parent
 FOR_A_MOMENT = ("ECONNABORTED", "EINTR", "EPROTO", "ENETDOWN", "EHOSTUNREACH", "EMFILE", "ENFILE", "ENOBUFS")
@@ -91,11 +91,11 @@
             raise OSError(number, os.strerror(number))
         return taken
 
-    with stage(serve_all) as (scene, _):
+    with running_router(serve_all) as (scene, _):
         port = scene.config.listen[1]
         monkeypatch.setattr(socket.socket, "accept", accept_or_fail)
         aborted = [scene.client() for _ in range(3)]
-        until(lambda: not left)
+        wait_until(lambda: not left)
         assert scene.client().send(ask()).answer().status == 200
         assert all(client.ended() for client in aborted)
 
@@ -106,7 +106,7 @@
         broken.setattr(made, "_sock", failing(made._sock, "ECONNABORTED"))
         accepting_again = gevent.spawn(made._accept)
         with socket.create_connection((LISTEN, made.port)):
-            until(lambda: made._connections)
+            wait_until(lambda: made._connections)
         accepting_again.kill()
     made.close()
 
