--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -30,21 +30,21 @@
 from spoolbarrow.net import destinations, drain_schedule, drainer
 from spoolbarrow.net.drain_log import DrainCounts
 from spoolbarrow.net.http1 import Message, ResponseParser
-from tests.stage import (
+from tests.router_harness import (
     EVENTS,
-    HEAD,
+    STREAM_HEAD,
     LISTEN,
-    TURNED_AWAY,
+    UNPROCESSED_503,
     Client,
     Script,
     ask,
     chunk,
-    entry,
+    endpoint_entry,
     free_port,
     make_config,
     serve_all,
-    stage,
-    until,
+    running_router,
+    wait_until,
 )
 
 ROOT = Path(__file__).resolve().parent.parent
@@ -55,7 +55,7 @@
 @contextmanager
 def operated(*scripts: Script, **changes: Any) -> Iterator[Any]:
     """A router with an operators' listener: (stage, control, call, engines...)."""
-    with stage(*scripts, **changes) as (scene, *engines):
+    with running_router(*scripts, **changes) as (scene, *engines):
         address = (LISTEN, free_port())
         listener = Control(scene.host, scene.inbound, Orders(scene.host, scene.inbound), lambda: None)
         listener.move(control.listen(address))
@@ -128,7 +128,7 @@
         asking = plain.create_connection(where, 20)  # all wait in the backlog, none accepted yet
         asking.sendall(b"GET /v1/readyz HTTP/1.1\r\n\r\n")
         silent = [plain.create_connection(where, 20) for _ in range(2 * control.CALLERS)]
-        until(lambda: select.select([asking], [], [], 0)[0])  # an answer, or its end
+        wait_until(lambda: select.select([asking], [], [], 0)[0])  # an answer, or its end
         assert asking.recv(4096).startswith(b"HTTP/1.1 200")
         for one in (asking, *silent):
             one.close()
@@ -138,7 +138,7 @@
     with operated(serve_all) as (_, listener, call, _):
         port = listener._listener.getsockname()[1]
         silent = [Client(port).send(b"GET /v1/re"[:n]) for n in range(control.CALLERS)]
-        until(lambda: len(listener._silent) == control.CALLERS)
+        wait_until(lambda: len(listener._silent) == control.CALLERS)
         assert call("readyz", "GET").status == 200
         assert silent[0].ended()
         assert len(listener._silent) <= control.CALLERS
@@ -174,9 +174,9 @@
     def by_word(sock: socket.socket, message: Message) -> bool | None:
         seen.append(word := message.body.decode())
         if word == "full":
-            sock.sendall(TURNED_AWAY)
+            sock.sendall(UNPROCESSED_503)
         elif word == "break":
-            sock.sendall(HEAD + chunk(EVENTS[0]))
+            sock.sendall(STREAM_HEAD + chunk(EVENTS[0]))
         elif word == "serve":
             serve_all(sock, message)
         return word == "break" or None
@@ -193,10 +193,10 @@
             scene.client().send(ask(b"break", X_Correlation_Id="b")).answer()
         assert scene.client().send(ask(X_Facts="odd")).answer().status == 400
         leaving = scene.client().send(ask(b"leave", X_Correlation_Id="l"))
-        until(lambda: "leave" in seen)
+        wait_until(lambda: "leave" in seen)
         assert figures(call)["router.in_progress"] == 1
         leaving.sock.close()
-        until(lambda: scene.host.open_requests() == 0)
+        wait_until(lambda: scene.host.open_requests() == 0)
         told = figures(call)
         assert told["router.handled.chat.passed"] == 1 and told["router.handled.chat.dropped"] == 1
         assert told["router.handled.chat.bad_gateway"] == 3  # at its deadline, broken, malformed
@@ -209,7 +209,7 @@
 
 def test_engines_avoided_by_hand_and_by_choice_are_told_once_each() -> None:
     with operated(serve_all, serve_all, serve_all) as (scene, _, call, *_):
-        until(lambda: len(scene.host._router.pool.replicas) == 3)
+        wait_until(lambda: len(scene.host._router.pool.replicas) == 3)
         scene.host._router.pool.replicas["e0"].suspect_until = scene.host.now() + 60_000
         call("engines/e0/suspend")
         call("engines/e1/suspend")
@@ -228,19 +228,19 @@
 def test_nothing_goes_to_a_suspended_engine_whatever_discovery_says() -> None:
     with operated(serve_all, serve_all) as (scene, _, call, first, second):
         assert [call("engines/e0/suspend").status for _ in range(2)] == [200, 200]
-        listed = entry("e0", first.port, since_ms=5.0)
-        for number, said in enumerate(([listed], [entry("e0", 0, status="terminated")], [listed])):
+        listed = endpoint_entry("e0", first.port, since_ms=5.0)
+        for number, said in enumerate(([listed], [endpoint_entry("e0", 0, status="terminated")], [listed])):
             news(scene, *said)
             for again in range(4):
                 scene.client().send(ask(X_Correlation_Id=f"{number}-{again}")).answer()
-        news(scene, listed, entry("e1", second.port), whole=True)
+        news(scene, listed, endpoint_entry("e1", second.port), whole=True)
         scene.client().send(ask(X_Correlation_Id="whole")).answer()
         assert not first.requests and len(second.requests) == 13
         assert call("engines/e0/resume").status == 200  # once for both
-        until(lambda: scene.host._router.pool.replicas["e0"].serving)
+        wait_until(lambda: scene.host._router.pool.replicas["e0"].serving)
         assert scene.host._router.pool.replicas["e0"].started_at > 5.0  # it may have been restarted: cold
         call("engines/e1/suspend")
-        until(lambda: not scene.host._router.pool.replicas["e1"].serving)
+        wait_until(lambda: not scene.host._router.pool.replicas["e1"].serving)
         scene.host._router.pool.replicas["e0"].started_at = 0.0
         assert scene.client().send(ask(X_Correlation_Id="back")).answer().status == 200 and first.requests
 
@@ -256,13 +256,13 @@
 
         scene.host._endpoints._pool.take = slow_take
         scene.host._endpoints.probe("e0")
-        until(lambda: scene.heard(i.ProbeAnswered))
-        assert scene.heard(i.ProbeAnswered)[0].outcome is i.Outcome.MOOT
+        wait_until(lambda: scene.events_of(i.ProbeAnswered))
+        assert scene.events_of(i.ProbeAnswered)[0].outcome is i.Outcome.MOOT
         call("engines/e0/resume")
-        until(lambda: scene.host._router.pool.replicas["e0"].serving)
+        wait_until(lambda: scene.host._router.pool.replicas["e0"].serving)
         scene.host._router.pool.replicas["e0"].started_at = 0.0
         assert scene.client().send(ask()).answer().status == 503
-        assert scene.heard(i.AttemptEnded)[0].outcome is i.Outcome.UNREACHABLE and not engine.requests
+        assert scene.events_of(i.AttemptEnded)[0].outcome is i.Outcome.UNREACHABLE and not engine.requests
 
 
 def test_the_table_of_suspensions_is_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -281,7 +281,7 @@
     def long(sock: socket.socket, message: Message) -> None:
         if message.body != b"long":
             return serve_all(sock, message)
-        sock.sendall(HEAD + chunk(EVENTS[0]))
+        sock.sendall(STREAM_HEAD + chunk(EVENTS[0]))
         go_on.wait()
         sock.sendall(chunk(EVENTS[1]) + b"0\r\n\r\n")
 
@@ -291,7 +291,7 @@
         idle, silent, streaming = scene.client(), scene.client(), scene.client()
         assert idle.send(ask()).answer().status == 200
         streaming.send(ask(b"long", X_Correlation_Id="long"))
-        until(lambda: scene.heard(i.StreamStarted))
+        wait_until(lambda: scene.events_of(i.StreamStarted))
         assert [call("router/drain").status for _ in range(2)] == [200, 200]
         late = scene.client().send(UP).answer()
         assert late.status == 503 and late.fields[b"connection"] == b"close"
@@ -300,7 +300,7 @@
         assert call("readyz", "GET").status == 200  # it can serve: only clients are sent away
         go_on.set()
         assert streaming.answer().take_body() and streaming.ended()
-        until(lambda: not scene.inbound._clients)
+        wait_until(lambda: not scene.inbound._clients)
         assert [call("router/activate").status for _ in range(2)] == [200, 200]
         back = scene.client()
         assert back.send(UP).answer().status == 200
@@ -340,7 +340,7 @@
     taken.bind((LISTEN, 0))
     taken.listen()
     file, first, second = tmp_path / "config.json", free_port(), free_port()
-    raw = make_config([entry("e0", 9)])
+    raw = make_config([endpoint_entry("e0", 9)])
 
     def configure(port: int) -> None:
         file.write_bytes(msgspec.json.encode({**raw, "control": f"{LISTEN}:{port}"}))
@@ -356,7 +356,7 @@
     run = [sys.executable, "-m", "spoolbarrow"]
     with subprocess.Popen(run, cwd=ROOT, env=environment, stderr=subprocess.PIPE) as router:
         assert router.stderr is not None
-        until(lambda: ready(first))
+        wait_until(lambda: ready(first))
         configure(taken.getsockname()[1])
         router.send_signal(signal.SIGHUP)
         while b"reload_failed" not in (line := router.stderr.readline()):
@@ -364,7 +364,7 @@
         assert b'"error":"control: ' in line and ready(first)
         configure(second)
         router.send_signal(signal.SIGHUP)
-        until(lambda: ready(second))
+        wait_until(lambda: ready(second))
         assert not ready(first)
         router.kill()
     configure(taken.getsockname()[1])
--- a/tests/test_agree.py
+++ b/tests/test_agree.py
@@ -13,7 +13,7 @@
 from spoolbarrow import config, operator
 from spoolbarrow.agree import COMPARED, Item, Ledger, Version, differences, digest, files
 from spoolbarrow.net.agreement import of_files
-from tests.stage import make_config
+from tests.router_harness import make_config
 
 CONTENTS = {Item.SETTINGS: "s", Item.SHARES: "t", Item.OPERATOR: "o"}
 
--- a/tests/test_answer_races.py
+++ b/tests/test_answer_races.py
@@ -20,29 +20,29 @@
 from spoolbarrow.config import HostList, ListEntry
 from spoolbarrow.net import http1
 from spoolbarrow.net.http1 import Message, RequestParser
-from tests.stage import (
+from tests.router_harness import (
     EVENTS,
-    HEAD,
-    Stage,
+    STREAM_HEAD,
+    RouterHarness,
     ask,
     chunk,
-    entry,
+    endpoint_entry,
     make_config,
     serve_all,
-    stage,
-    until,
+    running_router,
+    wait_until,
 )
 from tests.test_gone import ENDS
 
 END = b"0\r\n\r\n"
-WHOLE = HEAD + b"".join(map(chunk, EVENTS)) + END
+WHOLE = STREAM_HEAD + b"".join(map(chunk, EVENTS)) + END
 LONG = b"x" * 200_000  # a body that an engine which reads nothing does not take in whole
 SMALL = 4096  # bytes of a socket's buffer
 RESTARTED = 1000.0  # Unix ms: another start than the one listed before, and so long ago that it is not cold
 
 
 def outcomes(scene: Any) -> list[i.Outcome]:
-    return [event.outcome for event in scene.heard(i.AttemptEnded)]
+    return [event.outcome for event in scene.events_of(i.AttemptEnded)]
 
 
 def silent(sock: socket.socket, message: Message) -> None:
@@ -66,7 +66,7 @@
         settings = make_config([])["settings"]
         settings["Limits"]["Cancelling"] = cancelling
         monkeypatch.setattr(http1, "connect", with_small_buffer)
-        scene = Stage(make_config([entry("e0", machine.getsockname()[1])], settings=settings))
+        scene = RouterHarness(make_config([endpoint_entry("e0", machine.getsockname()[1])], settings=settings))
         try:
             yield scene, machine
         finally:
@@ -101,11 +101,11 @@
     with unread_engine(monkeypatch, cancelling) as (scene, machine):
         client = scene.client().send(ask(LONG))
         engine, _ = machine.accept()
-        until(lambda: stuck(engine))
+        wait_until(lambda: stuck(engine))
         go(client)
-        until(lambda: scene.heard(i.RequestGone))
-        assert not rest_of(engine).whole
-        until(lambda: scene.host.open_requests() == 0)
+        wait_until(lambda: scene.events_of(i.RequestGone))
+        assert not rest_of(engine).complete
+        wait_until(lambda: scene.host.open_requests() == 0)
 
 
 @pytest.mark.parametrize("cancelling", [True, False])
@@ -116,12 +116,12 @@
     with unread_engine(monkeypatch, cancelling) as (scene, machine):
         client = scene.client().send(ask(LONG))
         engine, _ = machine.accept()
-        until(lambda: stuck(engine))
+        wait_until(lambda: stuck(engine))
         scene.host.answer_all(100.0)
         assert client.answer().status == 503
-        assert not rest_of(engine).whole
-        until(lambda: scene.host.open_requests() == 0)
-        until(lambda: outcomes(scene))
+        assert not rest_of(engine).complete
+        wait_until(lambda: scene.host.open_requests() == 0)
+        wait_until(lambda: outcomes(scene))
         assert outcomes(scene)[0] in i.NEVER_RAN | {i.Outcome.CANCELLED}
 
 
@@ -132,11 +132,11 @@
         scene.host.now = lambda: now
         client = scene.client().send(ask(LONG))
         engine, _ = machine.accept()
-        until(lambda: stuck(engine))
+        wait_until(lambda: stuck(engine))
         parser = RequestParser(16384, 262144)
-        while not parser.whole:
+        while not parser.complete:
             parser.feed(memoryview(engine.recv(65536)))
-        assert parser.whole[0].body == LONG
+        assert parser.complete[0].body == LONG
         engine.sendall(WHOLE)
         assert client.answer().status == 200
 
@@ -159,29 +159,29 @@
         go.wait()
         serve_all(sock, message)
 
-    with stage(wait) as (scene, engine):
+    with running_router(wait) as (scene, engine):
         if probe:
             scene.host.endpoints().probe("e0")
         else:
             client = scene.client().send(ask())
-        until(lambda: engine.requests)
+        wait_until(lambda: engine.requests)
         news(scene, line("e0", engine.port, since_ms=RESTARTED))
         go.set()
         if not probe:
             assert client.answer().status == 200
-        until(lambda: engine.ends == 1)  # it was closed
+        wait_until(lambda: engine.closed == 1)  # it was closed
         assert scene.client().send(ask(X_Correlation_Id="next")).answer().status == 200
         assert engine.connections == 2
 
 
 def test_a_stream_that_was_taken_over_does_not_keep_a_connection_to_where_its_engine_was() -> None:
     """The endpoint moved before the stream came to this process: its connection leads to the old address."""
-    with stage(serve_all, serve_all) as (scene, old, new):
+    with running_router(serve_all, serve_all) as (scene, old, new):
         news(scene, line("e0", new.port))
         sock = socket.create_connection(("127.0.0.1", old.port))
         pool = scene.host.endpoints()._pool
         pool.give_back(pool.adopt("e0", sock))
-        until(lambda: old.ends == 1)
+        wait_until(lambda: old.closed == 1)
         assert not pool._idle.get("e0")
 
 
@@ -190,7 +190,7 @@
     select.poll().poll(seconds * 1000)
 
 
-@pytest.mark.parametrize("at", [len(HEAD) // 2, len(HEAD + chunk(EVENTS[0]))])
+@pytest.mark.parametrize("at", [len(STREAM_HEAD) // 2, len(STREAM_HEAD + chunk(EVENTS[0]))])
 def test_what_came_while_this_process_stood_still_is_read_before_its_time_counts_as_over(at: int) -> None:
     """The rest of the answer stands in the kernel, and the time for it is over, when it next has a turn.
 
@@ -204,17 +204,17 @@
         parts.append(sock)
 
     options = {"stream_silence_ms": limit_ms, "piece_ms": limit_ms}
-    with stage(begin, options=options) as (scene, _):
+    with running_router(begin, options=options) as (scene, _):
         client = scene.client().send(ask())
-        until(lambda: parts and scene.host._requests)
+        wait_until(lambda: parts and scene.host._requests)
         (request,) = scene.host._requests.values()
         attempt = request.attempts[0]
-        until(lambda: attempt.running is not None and not attempt.running.connection.stale())
+        wait_until(lambda: attempt.answer_reader is not None and not attempt.answer_reader.connection.stale())
         gevent.sleep(0)  # its reader waits for the rest
         parts[0].sendall(WHOLE[at:])
         hold(1.2 * limit_ms / 1000)
         assert client.answer().status == 200
-        until(lambda: outcomes(scene) == [i.Outcome.SERVED])
+        wait_until(lambda: outcomes(scene) == [i.Outcome.SERVED])
 
 
 def reset(sock: socket.socket) -> None:
@@ -224,7 +224,7 @@
 
 
 @pytest.mark.parametrize("end", [socket.socket.close, reset])
-@pytest.mark.parametrize("begun", [0, len(HEAD + chunk(EVENTS[0]))])
+@pytest.mark.parametrize("begun", [0, len(STREAM_HEAD + chunk(EVENTS[0]))])
 def test_an_answer_that_comes_whole_with_its_connections_end_is_whole(begun: int, end: Any) -> None:
     """The kernel keeps what came before a reset, and tells of the end behind it. Holds without a change."""
     go = Event()
@@ -237,15 +237,15 @@
         end(sock)
         return True
 
-    with stage(whole_and_end) as (scene, engine):
+    with running_router(whole_and_end) as (scene, engine):
         for name in ("first", "next"):
             client = scene.client().send(ask(X_Correlation_Id=name))
             if begun:
-                until(lambda: scene.heard(i.StreamStarted))
+                wait_until(lambda: scene.events_of(i.StreamStarted))
             go.set()
             answer = client.answer()
             assert answer.status == 200 and b"".join(answer.take_body()) == b"".join(EVENTS)
-        until(lambda: len(outcomes(scene)) == 2)
+        wait_until(lambda: len(outcomes(scene)) == 2)
         assert outcomes(scene) == [i.Outcome.SERVED] * 2 and engine.connections == 2
 
 
@@ -259,12 +259,12 @@
         end(sock)
         return True
 
-    with stage(cut) as (scene, _):
+    with running_router(cut) as (scene, _):
         client, got = scene.client().send(ask()), b""
         while data := client.sock.recv(65536):
             got += data
         assert EVENTS[0] in got and not got.endswith(END)
-        until(lambda: outcomes(scene) == [i.Outcome.RESET])
+        wait_until(lambda: outcomes(scene) == [i.Outcome.RESET])
 
 
 @pytest.mark.parametrize("cut", [0, 8, 25, 40, 60])
@@ -277,7 +277,7 @@
         gevent.idle()
         sock.sendall((interim + WHOLE)[cut:])
 
-    with stage(script) as (scene, _):
+    with running_router(script) as (scene, _):
         client = scene.client().send(ask())
         answer = client.answer()
         assert answer.status == 200 and b"".join(answer.take_body()) == b"".join(EVENTS)
@@ -289,9 +289,9 @@
         sock.sendall(b"HTTP/1.1 100 Continue\r\n\r\n")
         return True
 
-    with stage(script) as (scene, _):
+    with running_router(script) as (scene, _):
         scene.client().send(ask()).answer()
-        until(lambda: outcomes(scene))
+        wait_until(lambda: outcomes(scene))
         assert outcomes(scene)[0] is i.Outcome.RESET
 
 
@@ -303,11 +303,11 @@
     with socket.socket() as machine:
         machine.bind(("127.0.0.1", 0))
         machine.listen(1)
-        scene = Stage(make_config([entry("e0", machine.getsockname()[1])]))
+        scene = RouterHarness(make_config([endpoint_entry("e0", machine.getsockname()[1])]))
         try:
             client = scene.client().send(ask(LONG))
             engine, _ = machine.accept()
-            until(lambda: stuck(engine))
+            wait_until(lambda: stuck(engine))
             engine.sendall(b"HTTP/1.1 413 Content Too Large\r\nContent-Length: 0\r\n\r\n")
             engine.close()  # over unread bytes: reset
             assert client.answer().status == 400
@@ -323,10 +323,10 @@
     def script(sock: socket.socket, message: Message) -> None:
         sock.sendall(closing)
 
-    with stage(script) as (scene, engine):
+    with running_router(script) as (scene, engine):
         for name in ("first", "next"):
             assert scene.client().send(ask(X_Correlation_Id=name)).answer().status == 200
-            until(lambda: scene.host.open_requests() == 0)
+            wait_until(lambda: scene.host.open_requests() == 0)
         assert engine.connections == 2
 
 
@@ -337,7 +337,7 @@
     Closed, the bytes are written whole, so that it may have run; reset, none is, so that it never did. What
     it said unasked is no stream of events.
     """
-    with stage(serve_all) as (scene, engine):
+    with running_router(serve_all) as (scene, engine):
         socks: list[socket.socket] = []
 
         def keep(sock: socket.socket, message: Message) -> None:
@@ -347,7 +347,7 @@
         engine.script = keep
         pool = scene.host.endpoints()._pool
         assert scene.client().send(ask()).answer().status == 200
-        until(lambda: scene.host.open_requests() == 0 and pool._idle)
+        wait_until(lambda: scene.host.open_requests() == 0 and pool._idle)
         take = pool.take
 
         def taken(endpoint: str) -> Any:
@@ -364,7 +364,7 @@
 
         pool.take = taken
         scene.client().send(ask(X_Correlation_Id="next")).answer()
-        until(lambda: len(outcomes(scene)) > 1)
+        wait_until(lambda: len(outcomes(scene)) > 1)
         expected = {"closed": i.Outcome.RESET, "reset": i.Outcome.UNREACHABLE, "spoke": i.Outcome.ERROR}
         assert outcomes(scene)[1] is expected[how]
 
@@ -378,9 +378,9 @@
         go.wait()
         sock.sendall(WHOLE)
 
-    with stage(late) as (scene, engine):
+    with running_router(late) as (scene, engine):
         client = scene.client().send(ask())
-        until(lambda: engine.requests)
+        wait_until(lambda: engine.requests)
         host = scene.host
         (key,) = host._requests
         claim = host.claim
@@ -407,14 +407,14 @@
         status = {"deadline first": 504, "overdue": 504, "refused first": 503, "event first": 200}[order]
         assert client.answer().status == status
         assert claims == [status == 200]
-        until(lambda: host.open_requests() == 0 and outcomes(scene))
+        wait_until(lambda: host.open_requests() == 0 and outcomes(scene))
         assert len(outcomes(scene)) == 1
         # Nothing more came behind it, and the connection goes on.
         assert client.send(b"GET /up HTTP/1.1\r\n\r\n").answer().status == 200
 
 
 @pytest.mark.parametrize("end", [socket.socket.close, reset])
-@pytest.mark.parametrize("cut", [len(HEAD), len(HEAD) + 1, len(HEAD) + 9, len(HEAD + chunk(EVENTS[0])) - 3])
+@pytest.mark.parametrize("cut", [len(STREAM_HEAD), len(STREAM_HEAD) + 1, len(STREAM_HEAD) + 9, len(STREAM_HEAD + chunk(EVENTS[0])) - 3])
 @pytest.mark.parametrize(
     "framing", [chunk, lambda event: b"".join(chunk(event[n : n + 1]) for n in range(len(event)))]
 )
@@ -426,22 +426,22 @@
         scripts.remove(breaks)
         for engine in engines:
             engine.script = serve_all
-        sock.sendall((HEAD + framing(EVENTS[0]))[:cut])
+        sock.sendall((STREAM_HEAD + framing(EVENTS[0]))[:cut])
         go.wait()
         end(sock)
         return True
 
     scripts = [breaks]
-    with stage(breaks, breaks) as (scene, *engines):
+    with running_router(breaks, breaks) as (scene, *engines):
         client = scene.client().send(ask())
-        until(lambda: not scripts)
+        wait_until(lambda: not scripts)
         (request,) = scene.host._requests.values()
-        until(lambda: request.attempts[0].running and not request.attempts[0].running.connection.stale())
-        assert not scene.heard(i.StreamStarted)
+        wait_until(lambda: request.attempts[0].answer_reader and not request.attempts[0].answer_reader.connection.stale())
+        assert not scene.events_of(i.StreamStarted)
         go.set()
         answer = client.answer()
         assert answer.status == 200 and b"".join(answer.take_body()) == b"".join(EVENTS)
-        until(lambda: len(outcomes(scene)) == 2)
+        wait_until(lambda: len(outcomes(scene)) == 2)
         assert outcomes(scene) == [i.Outcome.RESET, i.Outcome.SERVED]
 
 
@@ -457,15 +457,15 @@
         go.wait()
         sock.sendall(WHOLE)
 
-    with stage(silent, silent) as (scene, *engines):
+    with running_router(silent, silent) as (scene, *engines):
         client = scene.client().send(ask())
-        until(lambda: engines[0].requests or engines[1].requests)
+        wait_until(lambda: engines[0].requests or engines[1].requests)
         host = scene.host
         (request,) = host._requests.values()
         other = {"e0": 1, "e1": 0}[request.attempts[0].endpoint]
         engines[other].script = late
         host._send(i.Send(request.key, f"e{other}"))
-        until(lambda: engines[other].requests)
+        wait_until(lambda: engines[other].requests)
         claim = host.claim
 
         def claimed(attempt: Any) -> bool:
@@ -480,6 +480,6 @@
         host.claim = claimed
         go.set()
         assert client.answer().status == 200
-        until(lambda: len(outcomes(scene)) == 2)
+        wait_until(lambda: len(outcomes(scene)) == 2)
         assert outcomes(scene) == [i.Outcome.RESET, i.Outcome.SERVED]
         assert client.send(b"GET /up HTTP/1.1\r\n\r\n").answer().status == 200
--- a/tests/test_arrival.py
+++ b/tests/test_arrival.py
@@ -12,7 +12,7 @@
 import pytest
 
 from spoolbarrow import interface as i
-from tests.stage import ask, serve_all, stage, until
+from tests.router_harness import ask, serve_all, running_router, wait_until
 
 HELD_S = 0.4  # for so long no greenlet runs
 SLACK_MS = 150.0
@@ -31,9 +31,9 @@
 
 
 def test_a_request_that_lay_unread_is_told_with_the_time_that_is_left() -> None:
-    with stage(serve_all) as (scene, engine):
+    with running_router(serve_all) as (scene, engine):
         client = scene.client()
-        until(lambda: scene.inbound._clients)
+        wait_until(lambda: scene.inbound._clients)
         held(ask(left=LEFT), client=client)
         assert client.answer().status == 200
         assert told(engine)[0] <= LEFT - 1000 * HELD_S + SLACK_MS
@@ -41,9 +41,9 @@
 
 @pytest.mark.parametrize("first", [b"", b"GET /up HTTP/1.1\r\n\r\n"])
 def test_requests_read_at_once_count_from_when_they_came(first: bytes) -> None:
-    with stage(serve_all) as (scene, engine):
+    with running_router(serve_all) as (scene, engine):
         client = scene.client()
-        until(lambda: scene.inbound._clients)
+        wait_until(lambda: scene.inbound._clients)
         held(first + b"".join(ask(left=LEFT, X_Correlation_Id=str(n)) for n in range(3)), client=client)
         for _ in range(3 + bool(first)):
             assert client.answer().status == 200
@@ -51,9 +51,9 @@
 
 
 def test_a_request_in_pieces_read_at_once_counts_from_its_first_byte() -> None:
-    with stage(serve_all) as (scene, engine):
+    with running_router(serve_all) as (scene, engine):
         client = scene.client()
-        until(lambda: scene.inbound._clients)
+        wait_until(lambda: scene.inbound._clients)
         request = ask(left=LEFT)
         held(request[:30], request[30:], client=client)
         assert client.answer().status == 200
@@ -61,21 +61,21 @@
 
 
 def test_a_request_that_is_read_promptly_keeps_its_time() -> None:
-    with stage(serve_all) as (scene, _):
+    with running_router(serve_all) as (scene, _):
         client = scene.client()
         for n in range(5):
             gevent.sleep(0.05)
             assert client.send(ask(left=LEFT, X_Correlation_Id=str(n))).answer().status == 200
-        arrived = [event.budget_ms for event in scene.heard(i.RequestArrived)]
+        arrived = [event.budget_ms for event in scene.events_of(i.RequestArrived)]
         assert max(arrived) > LEFT - 60
 
 
 def test_a_request_in_one_piece_loses_nothing_where_the_loop_is_busy() -> None:
     """The loop looked last before it was held, and the request came at the end of that."""
-    with stage(serve_all) as (scene, _):
+    with running_router(serve_all) as (scene, _):
         client = scene.client()
-        until(lambda: scene.inbound._clients)
+        wait_until(lambda: scene.inbound._clients)
         time.sleep(HELD_S)
         client.sock._sock.sendall(ask(left=LEFT))
         assert client.answer().status == 200
-        assert scene.heard(i.RequestArrived)[0].budget_ms > LEFT - 1000 * HELD_S / 2
+        assert scene.events_of(i.RequestArrived)[0].budget_ms > LEFT - 1000 * HELD_S / 2
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -17,7 +17,7 @@
 from spoolbarrow.cli import COMMANDS, main, run
 from spoolbarrow.cli.faults import Faulty, NoAnswer
 from spoolbarrow.net.http1 import Message
-from tests.stage import LISTEN, Client, Party, make_config, until
+from tests.router_harness import LISTEN, Client, ScriptedServer, make_config, wait_until
 
 ROOT = Path(__file__).resolve().parent.parent
 
@@ -82,10 +82,10 @@
         sock.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(text), text))
         return True
 
-    party = Party(other)
+    party = ScriptedServer(other)
     with ThreadPoolExecutor(1) as pool:
         done = pool.submit(run, [*command, f"{LISTEN}:{party.port}"])
-        until(done.done)
+        wait_until(done.done)
     assert done.result() == 1
     assert capsys.readouterr().out.startswith(f"{LISTEN}:{party.port}: no answer")
     party.close()
@@ -135,7 +135,7 @@
     with subprocess.Popen(run, cwd=ROOT, stderr=subprocess.PIPE, text=True) as router:
         assert router.stderr is not None
         try:
-            until(lambda: not socket.socket().connect_ex((LISTEN, port)))
+            wait_until(lambda: not socket.socket().connect_ex((LISTEN, port)))
             while "started" not in (line := router.stderr.readline()):
                 assert line
             assert line.split()[1:3] == ["info", "started"] and "name=n0" in line  # as for people
@@ -151,7 +151,7 @@
             router.send_signal(signal.SIGHUP)
             router.send_signal(signal.SIGTERM)
             assert "draining" not in router.stderr.read()
-            until(lambda: router.poll() is not None)
+            wait_until(lambda: router.poll() is not None)
             assert router.returncode == 0
         finally:
             router.kill()
--- a/tests/test_client_races.py
+++ b/tests/test_client_races.py
@@ -15,10 +15,10 @@
 
 from spoolbarrow import interface as i
 from spoolbarrow.net import connection_handover, http1
-from spoolbarrow.net.client import Client as InboundClient
+from spoolbarrow.net.client import ClientConnection as InboundClient
 from spoolbarrow.net.http1 import Message
 from spoolbarrow.net.request import Attempt
-from tests.stage import EVENTS, HEAD, Client, ask, chunk, serve_all, stage, until
+from tests.router_harness import EVENTS, STREAM_HEAD, Client, ask, chunk, serve_all, running_router, wait_until
 from tests.test_gone import ENDS
 
 END = b"0\r\n\r\n"
@@ -26,7 +26,7 @@
 
 def the_client(scene: Any) -> InboundClient:
     """The router's side of the only client's connection."""
-    inside: InboundClient | None = until(lambda: next(iter(scene.inbound._clients), None))
+    inside: InboundClient | None = wait_until(lambda: next(iter(scene.inbound._clients), None))
     assert inside is not None
     return inside
 
@@ -51,20 +51,20 @@
     """
 
     def half(sock: socket.socket, message: Message) -> None:
-        sock.sendall(HEAD + chunk(EVENTS[0]))
+        sock.sendall(STREAM_HEAD + chunk(EVENTS[0]))
         go.wait()
         sock.sendall(chunk(b"data: late\n\n") if event_first else END)
 
     go = Event()
     monkeypatch.setattr(Attempt, "stop", lambda attempt: None)
-    with stage(half) as (scene, _):
+    with running_router(half) as (scene, _):
         client = scene.client().send(ask())
         inside = the_client(scene)
-        until(lambda: scene.heard(i.StreamStarted))
+        wait_until(lambda: scene.events_of(i.StreamStarted))
         (request,) = scene.host._requests.values()
         (attempt,) = request.attempts
         client.send(b"".join(ask(X_Correlation_Id=str(n)) for n in range(5)) + b"POST")
-        until(inside.unread)
+        wait_until(inside.has_unread)
         scene.host.move_streams()
         assert inside.ending and not inside._closed
         go.set()
@@ -85,17 +85,17 @@
         go.wait()
         serve_all(sock, message)
 
-    with stage(wait, limits={"memory_mb": 0.01}) as (scene, engine):
+    with running_router(wait, limits={"memory_mb": 0.01}) as (scene, engine):
         client = scene.client().send(ask(X_Correlation_Id="first"))
-        until(lambda: engine.requests)
+        wait_until(lambda: engine.requests)
         inside = the_client(scene)
         behind = ask(X_Correlation_Id="second") + ask(b"x" * 60_000, X_Correlation_Id="third")[:-1]
         client.send(behind)
-        until(inside.unread)
-        assert not inside._parser.whole and not scene.heard(i.RequestGone)
+        wait_until(inside.has_unread)
+        assert not inside._parser.complete and not scene.events_of(i.RequestGone)
         go.set()
         assert client.answer().status == 200
-        until(lambda: inside._parser.fault)
+        wait_until(lambda: inside._parser.error)
         for _ in range(2):
             answer = client.answer()
             assert answer.status == 503 and float(answer.fields[b"retry-after"]) > 0
@@ -110,13 +110,13 @@
     def silent(sock: socket.socket, message: Message) -> None:
         """Say nothing."""
 
-    with stage(silent) as (scene, engine):
+    with running_router(silent) as (scene, engine):
         client = scene.client().send(ask() + b"POST / HTTP/1.1\r\nContent-Length: x\r\n\r\n")
-        until(lambda: engine.requests)
-        assert the_client(scene)._parser.fault
+        wait_until(lambda: engine.requests)
+        assert the_client(scene)._parser.error
         go(client)
-        until(lambda: scene.heard(i.RequestGone) and scene.host.open_requests() == 0)
-        until(lambda: not scene.inbound._clients)
+        wait_until(lambda: scene.events_of(i.RequestGone) and scene.host.open_requests() == 0)
+        wait_until(lambda: not scene.inbound._clients)
 
 
 def test_a_request_that_asks_for_a_go_ahead_after_the_last_answer_does_not_reset_it() -> None:
@@ -125,16 +125,16 @@
     def reject(sock: socket.socket, message: Message) -> None:
         sock.sendall(b"HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n")
 
-    with stage(reject) as (scene, engine):
+    with running_router(reject) as (scene, engine):
         client = scene.client().send(ask())
         inside = the_client(scene)
-        until(lambda: inside.ending)
+        wait_until(lambda: inside.ending)
         client.send(ask(Expect="100-continue").removesuffix(b'{"model":"chat"}'))
-        until(lambda: inside._closed or inside.unread())
+        wait_until(lambda: inside._closed or inside.has_unread())
         assert not inside._parser.reading
         assert client.answer().status == 400 and client.ended()
         client.sock.close()
-        until(lambda: not scene.inbound._clients)
+        wait_until(lambda: not scene.inbound._clients)
         assert len(engine.requests) == 1
 
 
@@ -147,13 +147,13 @@
         go.wait()
         serve_all(sock, message)
 
-    with stage(wait) as (scene, engine):
+    with running_router(wait) as (scene, engine):
         client = scene.client()
         for n in range(pieces):
             client.send(ask(X_Correlation_Id=str(n)))
         client.send(ask(Expect="100-continue").removesuffix(b'{"model":"chat"}'))
         inside = the_client(scene)
-        until(lambda: engine.requests and inside._parser.reading)
+        wait_until(lambda: engine.requests and inside._parser.reading)
         go.set()
         assert [client.answer().status for _ in range(pieces)] == [200] * pieces
         assert client.sock.recv(25, socket.MSG_WAITALL) == b"HTTP/1.1 100 Continue\r\n\r\n"
@@ -172,7 +172,7 @@
         send(sock, pieces)
 
     monkeypatch.setattr(http1, "send_pieces", late)
-    with stage(serve_all) as (scene, _):
+    with running_router(serve_all) as (scene, _):
         client = scene.client().send(ask(Expect="100-continue").removesuffix(b'{"model":"chat"}'))
         waits.wait()
         inside = the_client(scene)
@@ -194,7 +194,7 @@
 
     def late(*given: Any, **named: Any) -> None:
         client.send(raw)
-        until(read)
+        wait_until(read)
         kill(*given, **named)
         ended.set()
 
@@ -221,13 +221,13 @@
         go.wait()
         serve_all(sock, message)
 
-    with stage(wait) as (scene, engine):
+    with running_router(wait) as (scene, engine):
         client = scene.client().send(b"GET /up HTTP/1.1\r\n\r\n")
         assert client.answer().status == 200
         inside = the_client(scene)
-        until(inside.idle)
+        wait_until(inside.idle)
         read_as_its_reader_ends(inside, client, ask(), lambda: engine.requests)
-        assert not connection_handover.give_idle(inside, newer.take)
+        assert not connection_handover.send_idle(inside, newer.take)
         go.set()
         assert not newer.taken and client.answer().status == 200
         assert client.send(ask(X_Correlation_Id="next")).answer().status == 200  # it is read again
@@ -239,22 +239,22 @@
     go, newer = Event(), Newer()
 
     def in_three(sock: socket.socket, message: Message) -> None:
-        sock.sendall(HEAD + chunk(EVENTS[0]))
+        sock.sendall(STREAM_HEAD + chunk(EVENTS[0]))
         go.wait()
         sock.sendall(chunk(EVENTS[1]))
 
-    with stage(in_three) as (scene, _):
+    with running_router(in_three) as (scene, _):
         client = scene.client().send(ask())
         inside = the_client(scene)
-        until(lambda: scene.heard(i.StreamStarted))
+        wait_until(lambda: scene.events_of(i.StreamStarted))
         if moment == "before":
             client.send(raw)
-            until(inside.unread)
+            wait_until(inside.has_unread)
         else:
-            read_as_its_reader_ends(inside, client, raw, inside.unread)
-        scene.host.give = lambda underway: connection_handover.give(scene.host, underway, newer.take)
+            read_as_its_reader_ends(inside, client, raw, inside.has_unread)
+        scene.host.give = lambda underway: connection_handover.send_stream(scene.host, underway, newer.take)
         go.set()
-        until(lambda: newer.taken and inside not in scene.inbound._clients)
+        wait_until(lambda: newer.taken and inside not in scene.inbound._clients)
         with newer.taken[0] as passed:
             passed.settimeout(20)
             assert passed.recv(65536) == raw
@@ -269,14 +269,14 @@
         go.wait()
         serve_all(sock, message)
 
-    with stage(late) as (scene, engine):
+    with running_router(late) as (scene, engine):
         client = scene.client().send(ask())
-        until(lambda: engine.requests)
+        wait_until(lambda: engine.requests)
         client.send(behind)
         inside = the_client(scene)
-        until(lambda: inside._parser.fault or inside.unread())
+        wait_until(lambda: inside._parser.error or inside.has_unread())
         go.set()
         answer = client.answer()
-        assert answer.status == 200 and not scene.heard(i.RequestGone)
+        assert answer.status == 200 and not scene.events_of(i.RequestGone)
         got = all_of(client)
         assert got.startswith(b"HTTP/1.1 400 ") and got.count(b"HTTP/1.1 ") == 1 and b"data:" not in got
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -11,7 +11,7 @@
 from hypothesis import strategies as st
 
 from spoolbarrow import config
-from tests.stage import entry, make_config
+from tests.router_harness import endpoint_entry, make_config
 
 
 def put(raw: dict[str, Any], path: str, value: object) -> dict[str, Any]:
@@ -48,7 +48,7 @@
     ],
 )
 def test_a_fault_names_its_key(path: str, value: object, named: str) -> None:
-    raw = put(make_config([entry("e", 1)]), path, value)
+    raw = put(make_config([endpoint_entry("e", 1)]), path, value)
     with pytest.raises(config.ConfigError) as fault:
         config.parse(msgspec.json.encode(raw))
     assert str(fault.value).startswith(named + ":")
@@ -75,7 +75,7 @@
 @settings(derandomize=True, deadline=None, max_examples=200)
 @given(st.integers(0, 4000), st.binary(min_size=1, max_size=3))
 def test_damaged_text_is_a_config_error_or_still_a_configuration(place: int, damage: bytes) -> None:
-    text = bytearray(msgspec.json.encode(make_config([entry("e", 1)])))
+    text = bytearray(msgspec.json.encode(make_config([endpoint_entry("e", 1)])))
     text[place % len(text) : place % len(text) + len(damage)] = damage
     try:
         made = config.parse(bytes(text))
--- a/tests/test_deadlines.py
+++ b/tests/test_deadlines.py
@@ -16,7 +16,7 @@
 from spoolbarrow import interface as i
 from spoolbarrow.net import http1, tcpinfo
 from spoolbarrow.net.http1 import RequestParser
-from tests.stage import Stage, ask, entry, make_config, serve_all, stage, turns, until
+from tests.router_harness import RouterHarness, ask, endpoint_entry, make_config, serve_all, running_router, run_ready, wait_until
 from tests.test_answer_races import LONG, outcomes, rest_of, silent, stuck, unread_engine
 from tests.test_gone import ENDS
 
@@ -25,15 +25,15 @@
 SLACK_MS = 150.0  # by so much an endpoint may be told more than its client has left
 
 
-def pass_time(scene: Stage, ms: float) -> None:
+def pass_time(scene: RouterHarness, ms: float) -> None:
     """Set the router's clock on; its loop looks at its sockets before anything else happens."""
     clock = scene.host.now
     scene.host.now = lambda: clock() + ms  # type: ignore[assignment]
-    turns()
+    run_ready()
 
 
 @contextmanager
-def slow_engine(**settings: Any) -> Iterator[tuple[Stage, socket.socket]]:
+def slow_engine(**settings: Any) -> Iterator[tuple[RouterHarness, socket.socket]]:
     """A router before an engine whose window is full while this machine's kernel holds the rest."""
     with socket.socket() as machine:
         machine.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, SMALL)
@@ -41,7 +41,7 @@
         machine.listen(4)
         changes = make_config([])["settings"]
         changes["Limits"] |= settings
-        scene = Stage(make_config([entry("e0", machine.getsockname()[1])], settings=changes))
+        scene = RouterHarness(make_config([endpoint_entry("e0", machine.getsockname()[1])], settings=changes))
         try:
             yield scene, machine
         finally:
@@ -49,7 +49,7 @@
             scene.host.stop()
 
 
-def handed_over(scene: Stage) -> bool:
+def handed_over(scene: RouterHarness) -> bool:
     """Whether an attempt's last byte was given to the kernel."""
     return any(
         attempt.connection for request in scene.host._requests.values() for attempt in request.attempts
@@ -58,9 +58,9 @@
 
 def whole_of(sock: socket.socket) -> http1.Message:
     parser = RequestParser(16384, 262144)
-    while not parser.whole:
+    while not parser.complete:
         parser.feed(memoryview(sock.recv(65536)))
-    return parser.whole[0]
+    return parser.complete[0]
 
 
 def test_a_request_half_written_too_long_is_not_written_on(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -68,11 +68,11 @@
     with unread_engine(monkeypatch, True) as (scene, machine):
         client = scene.client().send(ask(LONG))
         engine, _ = machine.accept()
-        until(lambda: stuck(engine))
+        wait_until(lambda: stuck(engine))
         pass_time(scene, BEYOND_MS)
-        until(lambda: outcomes(scene))
+        wait_until(lambda: outcomes(scene))
         assert outcomes(scene)[0] is i.Outcome.UNREACHABLE
-        assert not rest_of(engine).whole
+        assert not rest_of(engine).complete
         assert client.answer().status == 503  # no other engine, and it never ran
 
 
@@ -81,11 +81,11 @@
     with slow_engine() as (scene, machine):
         client = scene.client().send(ask(LONG))
         engine, _ = machine.accept()
-        until(lambda: handed_over(scene) and stuck(engine))
+        wait_until(lambda: handed_over(scene) and stuck(engine))
         pass_time(scene, BEYOND_MS)
-        until(lambda: outcomes(scene))
+        wait_until(lambda: outcomes(scene))
         assert outcomes(scene)[0] is i.Outcome.UNREACHABLE
-        assert not rest_of(engine).whole
+        assert not rest_of(engine).complete
         assert client.answer().status == 503
 
 
@@ -98,21 +98,21 @@
     with slow_engine(Cancelling=cancelling) as (scene, machine):
         client = scene.client().send(ask(LONG))
         engine, _ = machine.accept()
-        until(lambda: handed_over(scene) and stuck(engine))
+        wait_until(lambda: handed_over(scene) and stuck(engine))
         go(client)
-        until(lambda: scene.heard(i.RequestGone) and scene.host.open_requests() == 0)
-        assert not rest_of(engine).whole
+        wait_until(lambda: scene.events_of(i.RequestGone) and scene.host.open_requests() == 0)
+        assert not rest_of(engine).complete
 
 
 def test_what_this_machine_holds_of_a_request_does_not_go_on_after_its_deadline() -> None:
     with slow_engine() as (scene, machine):
         client = scene.client().send(ask(LONG))
         engine, _ = machine.accept()
-        until(lambda: handed_over(scene) and stuck(engine))
+        wait_until(lambda: handed_over(scene) and stuck(engine))
         (key,) = scene.host._requests
         scene.host._deadline(key)
         assert client.answer().status in (503, 504)
-        assert not rest_of(engine).whole
+        assert not rest_of(engine).complete
 
 
 def test_an_engine_that_takes_long_requests_in_slowly_is_told_less_time_for_the_next() -> None:
@@ -120,13 +120,13 @@
     with slow_engine() as (scene, machine):
         scene.client().send(ask(LONG))
         engine, _ = machine.accept()
-        until(lambda: handed_over(scene) and stuck(engine))
+        wait_until(lambda: handed_over(scene) and stuck(engine))
         pass_time(scene, BEYOND_MS)
-        until(lambda: outcomes(scene))
+        wait_until(lambda: outcomes(scene))
         pass_time(scene, 5000.0)  # long enough for it not to count as silent any more
         scene.client().send(ask(LONG, X_Correlation_Id="again"))
         engine, _ = machine.accept()
-        until(lambda: handed_over(scene) and stuck(engine))
+        wait_until(lambda: handed_over(scene) and stuck(engine))
         pass_time(scene, BEYOND_MS)
         message = whole_of(engine)
         (request,) = scene.host._requests.values()
@@ -141,14 +141,14 @@
         machine.listen(1)
         sock = http1.connect(machine.getsockname(), 10.0)
         with sock, machine.accept()[0]:
-            assert not tcpinfo.unsent(sock)
+            assert not tcpinfo.has_unsent(sock)
             sock.sendall(LONG)
-            assert tcpinfo.unsent(sock)
+            assert tcpinfo.has_unsent(sock)
 
 
 def test_an_attempt_that_is_cancelled_in_the_batch_that_sent_it_never_connects() -> None:
     """Its greenlet has not begun: killed before, it does nothing."""
-    with stage(serve_all) as (scene, engine):
+    with running_router(serve_all) as (scene, engine):
         decide = scene.host._router.handle
 
         def send_and_cancel(now: float, events: list[i.Event]) -> list[i.Action]:
@@ -158,7 +158,7 @@
 
         scene.host._router.handle = send_and_cancel
         client = scene.client().send(ask())
-        until(lambda: outcomes(scene))
+        wait_until(lambda: outcomes(scene))
         scene.host._router.handle = decide
         assert client.answer().status == 503
         assert outcomes(scene) == [i.Outcome.CANCELLED] and not engine.connections
@@ -180,29 +180,29 @@
             gevent.spawn(greenlet.kill, block=False)
         return sock
 
-    with stage(serve_all) as (scene, engine):
+    with running_router(serve_all) as (scene, engine):
         monkeypatch.setattr(http1, "connect", cancelled_meanwhile)
         scene.client().send(ask())
-        until(lambda: engine.ends == 1)
+        wait_until(lambda: engine.closed == 1)
         assert not engine.requests and outcomes(scene)[0] is i.Outcome.CANCELLED
 
 
 @ENDS
 def test_the_connection_of_an_attempt_ends_as_soon_as_its_client_went(go: Any) -> None:
-    with stage(silent) as (scene, engine):
+    with running_router(silent) as (scene, engine):
         client = scene.client().send(ask())
-        until(lambda: engine.requests)
+        wait_until(lambda: engine.requests)
         go(client)
-        until(lambda: engine.ends == 1)
-        until(lambda: scene.host.open_requests() == 0)
+        wait_until(lambda: engine.closed == 1)
+        wait_until(lambda: scene.host.open_requests() == 0)
 
 
 def test_a_request_whose_client_went_is_not_asked_about_again() -> None:
     """The door is taken away in the tick in which the client went: the decisions would keep it for ever."""
-    with stage(serve_all) as (scene, engine):
+    with running_router(serve_all) as (scene, engine):
         scene.host._post(i.RequestGone("7"))
         scene.host.ask_again([i.RequestArrived("7", cls=0, budget_ms=5000.0)])
         assert scene.client().send(ask()).answer().status == 200
-        until(lambda: not scene.host._router.requests)
-        assert [event.request for event in scene.heard(i.RequestArrived)] == ["1"]
+        wait_until(lambda: not scene.host._router.requests)
+        assert [event.request for event in scene.events_of(i.RequestArrived)] == ["1"]
         assert len(engine.requests) == 1
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -23,7 +23,7 @@
 from spoolbarrow.net import connection_pool, http1
 from spoolbarrow.net.failover import ZoneWatch
 from spoolbarrow.operator import FailoverTable
-from tests.stage import HEAD, Client, Party, ask, chunk, entry, make_config, serve_all, stage, until
+from tests.router_harness import STREAM_HEAD, Client, ScriptedServer, ask, chunk, endpoint_entry, make_config, serve_all, running_router, wait_until
 
 MANY = 2000  # clients that say nothing to the point
 TOLD_S = 3.0  # after connecting, each of them is told or closed
@@ -63,7 +63,7 @@
         line = json.dumps({"index": 9, "snapshot": True, "endpoints": self.endpoints}).encode() + b"\n"
         with suppress(OSError):  # it may have given up
             watch = b"stream=1" in sock.recv(4096)
-            sock.sendall(HEAD + chunk(line) + b"0\r\n\r\n" * (not watch))
+            sock.sendall(STREAM_HEAD + chunk(line) + b"0\r\n\r\n" * (not watch))
             while watch:
                 gevent.sleep(1.0)
                 sock.sendall(chunk(b"\n"))
@@ -148,13 +148,13 @@
     most_files()
     made: list[Router] = []
     discovery = Discovery()
-    engine = Party(serve_all)
-    discovery.endpoints = [entry("e0", engine.port)]
+    engine = ScriptedServer(serve_all)
+    discovery.endpoints = [endpoint_entry("e0", engine.port)]
 
     def make(sockets: int = 256, limit: int = 256, script: Any = serve_all, **changes: Any) -> Any:
         engine.script = script
         made.append(Router(tmp_path, sockets, limit, discovery, **changes))
-        until(lambda: made[-1].process.events("started"))
+        wait_until(lambda: made[-1].process.events("started"))
         return made[-1], discovery, engine
 
     yield make
@@ -179,7 +179,7 @@
     gevent.sleep(1.0)  # silent
     discovery.answers = True
     back = time.monotonic()
-    until(router.listed)
+    wait_until(router.listed)
     assert time.monotonic() - back < LIST_S
     for one in idlers:
         one.again = False
@@ -196,15 +196,15 @@
     world: Callable[..., Any],
 ) -> None:
     def stream(sock: socket.socket, message: Any) -> None:
-        sock.sendall(HEAD + chunk(b"data: " + b"x" * 60_000 + b"\n\n") * 200)
+        sock.sendall(STREAM_HEAD + chunk(b"data: " + b"x" * 60_000 + b"\n\n") * 200)
 
     router, discovery, engine = world(script=stream, known=[])
     discovery.answers = True
     discovery.listen()
-    until(router.listed)
+    wait_until(router.listed)
     places = config.share_out(256, False)[0]
     slow = [Client(router.port).send(ask(X_Correlation_Id=f"s{n}", left=15_000)) for n in range(places)]
-    until(lambda: len(engine.requests) == places)
+    wait_until(lambda: len(engine.requests) == places)
     begun = time.monotonic()
     late = Client(router.port).send(ask())
     assert late.answer().status == 503 and late.ended()
@@ -225,7 +225,7 @@
     discovery.listen()
     back = time.monotonic()
     for router, _, _ in made:
-        until(router.listed)
+        wait_until(router.listed)
     assert time.monotonic() - back < LIST_S
     assert longest(idlers) < TOLD_S
     for (router, _, _), (_, limit) in zip(made, limits, strict=True):
@@ -237,7 +237,7 @@
     file.write_text(json.dumps(make_config([], 1)))
     process = Process("-c", LIMITED, "40", env={"NODE_CONFIG": str(file)})
     assert process.popen.wait(30) == 2
-    until(lambda: process.events("bad_config"))
+    wait_until(lambda: process.events("bad_config"))
     assert process.events("bad_config")[0]["error"].startswith("limits.sockets: ")
 
 
@@ -255,8 +255,8 @@
     older = Handover(str(tmp_path))
     newer = Handover(str(tmp_path))
     try:
-        newer.look()
-        fitted = newer.fit(made)
+        newer.refresh_peers()
+        fitted = newer.divide_limits(made)
         own = fitted.max_inbound + fitted.max_outbound + config.RESERVED + config.RESERVED_CONTROL
         assert newer.older and own == 128 and fitted.max_inbound == 38
     finally:
@@ -267,7 +267,7 @@
 def test_running_out_of_descriptors_is_logged_once(
     monkeypatch: pytest.MonkeyPatch, capfd: pytest.CaptureFixture[str]
 ) -> None:
-    with stage(serve_all) as (scene, _):
+    with running_router(serve_all) as (scene, _):
         accept = type(scene.inbound._listener).accept
         failures = iter([OSError(24, "Too many open files")] * 4)
 
@@ -294,7 +294,7 @@
     monkeypatch.setattr(
         connection_pool, "SHORT_LOG_MS", 1e9
     )  # a busy machine must not pass for a second period
-    with stage(serve_all, serve_all) as (scene, *engines):
+    with running_router(serve_all, serve_all) as (scene, *engines):
         pool, replicas = scene.host._endpoints._pool, scene.host._router.pool.replicas.values()
         with monkeypatch.context() as lacking:
             if lack == "places":
@@ -306,11 +306,11 @@
                 assert answer.status == 503 and answer.fields[b"retry-after"]
                 pool.sweep()
             # Each at once after its attempts, on both engines: a deadline would have ended it otherwise.
-            assert [event.outcome for event in scene.heard(i.AttemptEnded)] == [i.Outcome.MOOT] * 6
+            assert [event.outcome for event in scene.events_of(i.AttemptEnded)] == [i.Outcome.MOOT] * 6
             for name in ("e0", "e1"):
                 scene.host._endpoints.probe(name)
-            until(lambda: len(scene.heard(i.ProbeAnswered)) == 2)
-            assert {event.outcome for event in scene.heard(i.ProbeAnswered)} == {i.Outcome.MOOT}
+            wait_until(lambda: len(scene.events_of(i.ProbeAnswered)) == 2)
+            assert {event.outcome for event in scene.events_of(i.ProbeAnswered)} == {i.Outcome.MOOT}
             assert not any(replica.strikes or replica.load for replica in replicas)
         assert scene.client().send(ask(X_Correlation_Id="b")).answer().status == 200
         assert sum(len(engine.requests) for engine in engines) == 1
@@ -322,7 +322,7 @@
 def test_a_check_that_asked_nothing_for_lack_of_descriptors_says_nothing_of_a_zone(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    with stage(serve_all) as (scene, engine):
+    with running_router(serve_all) as (scene, engine):
         watch = ZoneWatch(scene.host, FailoverTable(period_ms=600_000.0))
         with monkeypatch.context() as lacking:
             lacking.setattr(http1, "socket", none_left)
--- a/tests/test_door_serving.py
+++ b/tests/test_door_serving.py
@@ -19,7 +19,7 @@
 from spoolbarrow.door.keeper import TICKET, Keeper, Prepared
 from spoolbarrow.interface import RequestArrived
 from spoolbarrow.operator import DoorTable
-from tests.stage import ask, make_config, serve_all, stage, until
+from tests.router_harness import ask, make_config, serve_all, running_router, wait_until
 from tests.test_cli import written
 
 
@@ -41,18 +41,18 @@
 
 
 def test_requests_pass_the_door_and_leave_nothing_behind() -> None:
-    with stage(serve_all) as (scene, _), guarded(scene, client_header="X-User") as (_, gate):
+    with running_router(serve_all) as (scene, _), guarded(scene, client_header="X-User") as (_, gate):
         for n in range(3):
             full(scene, gate, 0.0 if n == 0 else 0.45)
             gate._looked_at = 0.0
             answer = scene.client().send(ask(X_Correlation_Id=f"r{n}", X_User="ann")).answer()
             assert answer.status == 200
-        until(lambda: not gate.door.inside and not gate._events)
+        wait_until(lambda: not gate.door.inside and not gate._events)
         assert gate.door.watching and gate.door.counts["let in"] == 2
 
 
 def test_a_client_is_known_by_its_header_else_by_its_address() -> None:
-    with stage(serve_all) as (scene, _), guarded(scene, client_header="X-User") as (keeper, gate):
+    with running_router(serve_all) as (scene, _), guarded(scene, client_header="X-User") as (keeper, gate):
         full(scene, gate, 0.45)
         seen: list[Any] = []
         who = keeper._who
@@ -73,7 +73,7 @@
 
 
 def test_a_refusal_shows_a_ticket_that_lets_its_client_in_at_its_time() -> None:
-    with stage(serve_all) as (scene, _), guarded(scene, tickets=True, promised_share=1.0) as (keeper, gate):
+    with running_router(serve_all) as (scene, _), guarded(scene, tickets=True, promised_share=1.0) as (keeper, gate):
         gate.door.capacity.rate = 1e6
         full(scene, gate, 1e6)  # hopeless: the decisions refuse at once
         refused = scene.client().send(ask(X_Correlation_Id="r1", X_Session_Key="0")).answer()
@@ -83,14 +83,14 @@
         assert keeper._read(shown) == 1 and keeper._read(b"1." + b"0" * 24) == 0 == keeper._read(b"x")
         full(scene, gate, 1.2)
         told = next(iter(gate.door.calendar.callers.values()))
-        until(lambda: scene.host.now() >= told.at)
+        wait_until(lambda: scene.host.now() >= told.at)
         again = ask(X_Correlation_Id="r2", X_Session_Key="0", X_Come_Back=shown.decode())
         back = scene.client().send(again).answer()
         assert back.status == 200 and gate.door.counts["let in promised"] == 1
 
 
 def test_a_reload_changes_weights_and_switching_off_hands_on_who_waits() -> None:
-    with stage(serve_all) as (scene, _):
+    with running_router(serve_all) as (scene, _):
         keeper = Keeper(scene.host, Prepared(DoorTable(max_wait_ms=60_000.0), scene.config))
         gate = keeper._gate
         assert gate is not None
@@ -98,11 +98,11 @@
         assert scene.client().send(ask(X_Correlation_Id="r1")).answer().status == 200
         keeper.apply(Prepared(DoorTable(weights={"acme": 9.0}, max_wait_ms=60_000.0), scene.config))
         assert gate.door.settings.weights[0] == 9.0
-        until(lambda: not gate.door.inside)  # else its end would settle what is charged here
+        wait_until(lambda: not gate.door.inside)  # else its end would settle what is charged here
         gate.door.wronged[1] = 1.0
         gate.door.shares.charge(0, 1, 1e6)
         waiting = scene.client().send(ask(X_Correlation_Id="r2"))
-        until(lambda: gate.door.waiting)
+        wait_until(lambda: gate.door.waiting)
         keeper.stop()
         assert waiting.answer().status == 200 and scene.host._decider is scene.host._router
 
--- a/tests/test_drain.py
+++ b/tests/test_drain.py
@@ -29,24 +29,24 @@
 from spoolbarrow.config import parse
 from spoolbarrow.net import connection_handover, drainer
 from spoolbarrow.net.connection_pool import Connection
-from spoolbarrow.net.drain_schedule import NEVER_MS, Step, end_schedule
+from spoolbarrow.net.drain_schedule import NEVER_MS, DrainStep, shutdown_schedule
 from spoolbarrow.net.engine_answer import Underway
 from spoolbarrow.net.http1 import Message, ResponseParser
 from spoolbarrow.net.request import Attempt
-from tests.stage import (
+from tests.router_harness import (
     EVENTS,
-    HEAD,
+    STREAM_HEAD,
     LISTEN,
     Client,
-    Party,
+    ScriptedServer,
     ask,
     chunk,
-    entry,
+    endpoint_entry,
     free_port,
     make_config,
     serve_all,
-    stage,
-    until,
+    running_router,
+    wait_until,
 )
 from tests.test_handover import service
 
@@ -58,7 +58,7 @@
 TIMES = {"accept": 100.0, "keep": 300.0, "move": 600.0, "answer": 900.0}
 
 
-class Engine(Party):
+class Engine(ScriptedServer):
     """One that does what a request's body says: answer, begin and wait for `go`, or say nothing."""
 
     def __init__(self) -> None:
@@ -70,9 +70,9 @@
         if message.body == b"serve":
             serve_all(sock, message)
         elif message.body == b"much":
-            sock.sendall(HEAD + chunk(b"data: " + b"x" * 10_000 + b"\n\n") + END)
+            sock.sendall(STREAM_HEAD + chunk(b"data: " + b"x" * 10_000 + b"\n\n") + END)
         elif message.body == b"begin":
-            sock.sendall(HEAD + chunk(EVENTS[0]))
+            sock.sendall(STREAM_HEAD + chunk(EVENTS[0]))
             self.go.wait()
             sock.sendall(chunk(EVENTS[1]) + END)
 
@@ -94,7 +94,7 @@
                 stderr=log,
                 env={**os.environ, "NODE_CONFIG": str(folder / "config.json")},
             )
-        until(self.listens)
+        wait_until(self.listens)
 
     def listens(self) -> bool:
         with socket.socket() as sock:
@@ -118,18 +118,18 @@
     def waiting(self) -> Client:
         """A connection whose request has come to its engine and is never answered there."""
         client = self.client().send(asked("waits", b"silence"))
-        until(lambda: self.engine.got("waits"))
+        wait_until(lambda: self.engine.got("waits"))
         return client
 
     def term(self) -> None:
         self.process.send_signal(signal.SIGTERM)
-        until(lambda: "draining" in self.log())
+        wait_until(lambda: "draining" in self.log())
 
     def log(self) -> str:
         return self.log_file.read_text()
 
     def ends(self) -> None:
-        until(lambda: self.process.poll() is not None)
+        wait_until(lambda: self.process.poll() is not None)
         assert self.process.returncode == 0 and "unexpected" not in self.log()
 
 
@@ -151,7 +151,7 @@
         for _ in range(2):
             with suppress(TimeoutError):
                 engine.held.append(socket.create_connection(("127.0.0.1", port), 0.2))
-    raw = make_config([entry("e0", port or engine.port)])
+    raw = make_config([endpoint_entry("e0", port or engine.port)])
     raw["settings"]["Classes"][0]["DeadlineMs"] = deadline
     raw["settings"] |= RESUME if resume else {}
     raw["settings"]["Limits"]["SecondCopies"] = resume
@@ -196,7 +196,7 @@
     with router(tmp_path, TIMES | {"keep": 5000.0, "move": 9000.0, "answer": 9000.0}) as made:
         kept, fresh = made.used(), made.client()
         made.term()
-        until(lambda: not made.listens())
+        wait_until(lambda: not made.listens())
         for client, name in ((kept, "kept"), (fresh, "fresh")):
             assert client.send(asked(name)).answer().status == 200
             client.sock.close()
@@ -263,7 +263,7 @@
         idle, half, fresh = made.used(), made.used(), made.client()
         half.send(asked("half")[:60])
         fresh.send(asked("fresh")[:-1])
-        until(lambda: nothing_unsent(half.sock) and nothing_unsent(fresh.sock))
+        wait_until(lambda: nothing_unsent(half.sock) and nothing_unsent(fresh.sock))
         made.term()
         assert idle.ended()  # drain_keep_ms has passed, or where nobody resumes drain_accept_ms
         half.send(asked("half")[60:])
@@ -279,7 +279,7 @@
 def test_half_read_when_all_is_answered_a_request_is_refused(tmp_path: Path) -> None:
     with router(tmp_path) as made:
         half = made.used().send(asked("half")[:60])
-        until(lambda: nothing_unsent(half.sock))
+        wait_until(lambda: nothing_unsent(half.sock))
         made.term()
         assert refused(half) and half.ended()
         made.ends()
@@ -306,7 +306,7 @@
 
 
 def test_a_connection_that_waits_when_the_address_changes_is_served() -> None:
-    with stage(serve_all) as (scene, _), plain.socket() as waits:
+    with running_router(serve_all) as (scene, _), plain.socket() as waits:
         waits.connect(scene.config.listen)  # no other greenlet runs meanwhile
         waits.sendall(ask())
         scene.inbound.apply(replace(scene.config, listen=(LISTEN, free_port())))
@@ -318,7 +318,7 @@
 
 def test_a_connection_that_came_just_now_may_still_say_what_it_wants(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(drainer, "NEWCOMER_MS", NEVER)
-    with stage(options={"drain_accept_ms": 50.0}) as (scene,):
+    with running_router(options={"drain_accept_ms": 50.0}) as (scene,):
         idle, newcomer = scene.client().send(b"GET /up HTTP/1.1\r\n\r\n"), scene.client()
         idle.answer()
         draining = gevent.spawn(scene.inbound.drain)
@@ -328,10 +328,10 @@
 
 
 def test_a_request_that_has_come_and_is_not_read_yet_keeps_its_connection() -> None:
-    with stage(serve_all) as (scene, _):
+    with running_router(serve_all) as (scene, _):
         client = scene.client()
         for name in ("first", "second"):
-            until(lambda: [c for c in scene.inbound._clients if c.idle()])
+            wait_until(lambda: [c for c in scene.inbound._clients if c.idle()])
             client.send(asked(name))  # written, and no other greenlet has run
             scene.inbound.drainer.close_idle(scene.host.now() + NEVER)
             assert client.answer().status == 200
@@ -342,7 +342,7 @@
     with router(tmp_path, TIMES | {"move": NEVER, "answer": NEVER}) as made:
         idle, slow = made.used(), slow_socket(made.port)
         slow.send(asked("slow", b"much"))
-        until(lambda: '"served"' in made.log())
+        wait_until(lambda: '"served"' in made.log())
         made.term()
         assert idle.ended()  # drain_keep_ms has passed
         slow.send(asked("next"))
@@ -371,7 +371,7 @@
             return None
 
         clients = [gevent.spawn(ask_on, who) for who in range(24)]
-        until(lambda: told > 100)
+        wait_until(lambda: told > 100)
         made.term()
         gevent.joinall(clients, raise_error=True)
         made.ends()
@@ -385,7 +385,7 @@
     """Its engine's machine never takes the connection up."""
     with socket.socket() as full, router(tmp_path, full=full) as made:
         waits = made.client().send(asked("waits"))
-        until(lambda: nothing_unsent(waits.sock))
+        wait_until(lambda: nothing_unsent(waits.sock))
         made.term()
         assert refused(waits) and waits.ended()
         made.ends()
@@ -396,7 +396,7 @@
     with router(tmp_path, {}, deadline=1500.0) as made:
         waiting = made.client()
         waiting.send(ask(b"silence", left=2900))
-        until(lambda: made.engine.requests)
+        wait_until(lambda: made.engine.requests)
         made.term()
         assert waiting.answer().status == 502
         made.ends()
@@ -420,14 +420,14 @@
     raw = make_config([])
     raw["settings"] |= RESUME if resume else {}
     raw["settings"]["Classes"][0]["DeadlineMs"] = longest
-    told = end_schedule(parse(msgspec.json.encode(raw)), succeeded)
-    ends = (told.at(step) for step in (Step.END_ANSWERS, Step.REFUSE, Step.ANSWER_ALL))
+    told = shutdown_schedule(parse(msgspec.json.encode(raw)), succeeded)
+    ends = (told.at(step) for step in (DrainStep.END_ANSWERS, DrainStep.REFUSE, DrainStep.ANSWER_ALL))
     keep, refuse, answer = ends
-    move = told.at(Step.MOVE_STREAMS) if resume else times[4]
-    assert (told.accept, keep, refuse, told.pass_on, move, answer, told.retry_after) == (*times, 500)
-    assert told.at(Step.CLOSE_IDLE) == (NEVER_MS if succeeded else keep)
-    assert told.at(Step.REFUSE_HALF_READ) == answer and (resume or told.at(Step.MOVE_STREAMS) == NEVER_MS)
-    assert told.at(Step.CLOSE_ALL) == max(told.accept, min(longest, 3000.0) + 700.0)
+    move = told.at(DrainStep.MOVE_STREAMS) if resume else times[4]
+    assert (told.accept_ms, keep, refuse, told.handover_ms, move, answer, told.retry_after_ms) == (*times, 500)
+    assert told.at(DrainStep.CLOSE_IDLE) == (NEVER_MS if succeeded else keep)
+    assert told.at(DrainStep.REFUSE_HALF_READ) == answer and (resume or told.at(DrainStep.MOVE_STREAMS) == NEVER_MS)
+    assert told.at(DrainStep.CLOSE_ALL) == max(told.accept_ms, min(longest, 3000.0) + 700.0)
 
 
 # Streams
@@ -440,7 +440,7 @@
         step = Event()
 
         def late_end(sock: socket.socket, message: Message) -> None:
-            sock.sendall(HEAD + chunk(EVENTS[0]) + chunk(EVENTS[1]))
+            sock.sendall(STREAM_HEAD + chunk(EVENTS[0]) + chunk(EVENTS[1]))
             step.wait()
             sock.sendall(chunk(b": X-Backend-Load: queue=0\n\n") + END)
 
@@ -493,7 +493,7 @@
         request: Any = None  # nothing is asked of it
         connection = Connection("e", ("", 1), sock, 1)
         underway = Underway(Attempt(request, 0, "e", 0.0), connection, ResponseParser(16384))
-        underway.parser.feed(memoryview(HEAD + read))
+        underway.parser.feed(memoryview(STREAM_HEAD + read))
         underway.tail = b"".join(underway.parser.take_body())
         engine.sendall(unread)
         assert underway.stays() is stays
@@ -520,7 +520,7 @@
     full, finished, block = Event(), Event(), chunk(b"data: " + b"x" * 8000 + b"\n\n")
 
     def flood(sock: socket.socket, message: Message) -> None:
-        sock.sendall(HEAD)
+        sock.sendall(STREAM_HEAD)
         sock.settimeout(0.5)
         written = 0
         with suppress(TimeoutError):  # neither side's kernel takes any more
@@ -556,16 +556,16 @@
         ahead.send(asked("begun", b"begin") + asked("ahead"))
         assert ahead.sock.recv(1) == b"H"
         slow, got = slow_client(made.port, engine)
-        until(lambda: nothing_unsent(half.sock))
+        wait_until(lambda: nothing_unsent(half.sock))
         made.start()
         made.processes[old].send_signal(signal.SIGTERM)
-        until(lambda: "draining" in made.log(old))
+        wait_until(lambda: "draining" in made.log(old))
         assert idle.send(asked("after")).answer().status == 200
         assert half.send(asked("half")[60:]).answer().status == 200
         engine.go.set()
         assert rest(ahead).status == 200 and ahead.answer().status == 200
         assert rest(slow, got).status == 200
-        until(lambda: made.processes[old].poll() is not None)
+        wait_until(lambda: made.processes[old].poll() is not None)
         assert made.processes[old].returncode == 0 and len(engine.requests) == 6
 
 
@@ -577,13 +577,13 @@
         idle = [Client(made.port).send(asked(f"{n}")) for n in range(16)]
         assert all(client.answer().status == 200 for client in idle)
         waiting = Client(made.port).send(asked("waits", b"silence"))
-        until(lambda: engine.got("waits"))
+        wait_until(lambda: engine.got("waits"))
         new = made.start()
         made.processes[new].send_signal(signal.SIGSTOP)
         made.processes[old].send_signal(signal.SIGTERM)
         with gevent.Timeout(3.7):
             assert waiting.answer().status == 502 and waiting.ended()
-            until(lambda: made.processes[old].poll() is not None)
+            wait_until(lambda: made.processes[old].poll() is not None)
         assert made.processes[old].returncode == 0
         assert sum(closed(client) for client in idle) == 15  # one may be the newer process's
         made.processes[new].send_signal(signal.SIGCONT)
@@ -601,14 +601,14 @@
 
 def test_a_connection_that_has_ended_is_not_passed_on() -> None:
     """Another one's passing takes time, and its client may leave meanwhile."""
-    with stage() as (scene,):
+    with running_router() as (scene,):
         client = scene.client().send(b"GET /up HTTP/1.1\r\n\r\n")
         client.answer()
         (held,) = scene.inbound._clients
-        until(held.idle)
+        wait_until(held.idle)
         client.sock.close()
-        until(lambda: not scene.inbound._clients)
-        assert not held.idle() and not connection_handover.give_idle(held, lambda text, descriptors: True)
+        wait_until(lambda: not scene.inbound._clients)
+        assert not held.idle() and not connection_handover.send_idle(held, lambda text, descriptors: True)
 
 
 def test_a_stream_on_its_way_to_a_newer_process_is_not_broken_off() -> None:
@@ -620,12 +620,12 @@
         return False
 
     def in_two(sock: socket.socket, message: Message) -> None:
-        sock.sendall(HEAD + chunk(EVENTS[0]))
+        sock.sendall(STREAM_HEAD + chunk(EVENTS[0]))
         told.wait()
         sock.sendall(chunk(EVENTS[1]) + END)
 
-    with stage(in_two) as (scene, _):
-        scene.host.give = lambda underway: connection_handover.give(scene.host, underway, send)
+    with running_router(in_two) as (scene, _):
+        scene.host.give = lambda underway: connection_handover.send_stream(scene.host, underway, send)
         client = scene.client().send(ask())
         asked_for.wait()
         scene.host.move_streams()
@@ -637,14 +637,14 @@
     step, met = Event(), Event()
 
     def in_two(sock: socket.socket, message: Message) -> None:
-        sock.sendall(HEAD + chunk(EVENTS[0]))
+        sock.sendall(STREAM_HEAD + chunk(EVENTS[0]))
         step.wait()
         sock.sendall(chunk(EVENTS[1]) + END)
 
-    with stage(in_two, options={"drain_accept_ms": NEVER, "drain_move_ms": NEVER}) as (scene, engine):
+    with running_router(in_two, options={"drain_accept_ms": NEVER, "drain_move_ms": NEVER}) as (scene, engine):
         idle, busy = scene.client().send(b"GET /up HTTP/1.1\r\n\r\n"), scene.client().send(ask())
         idle.answer()
-        until(lambda: engine.requests)
+        wait_until(lambda: engine.requests)
         draining = gevent.spawn(scene.inbound.drain, lambda client: met.set())
         met.wait()
         busy.send(asked("next"))
@@ -663,14 +663,14 @@
         client.detach()
         return True
 
-    with stage() as (scene,):
+    with running_router() as (scene,):
         idle, leaving = scene.client(), scene.client()
         leaving.send(b"GET /up HTTP/1.1\r\nConnection: close\r\n\r\n").answer()
-        until(lambda: [client for client in scene.inbound._clients if client.ending])
+        wait_until(lambda: [client for client in scene.inbound._clients if client.ending])
         draining = gevent.spawn(scene.inbound.drain, pass_on)
         assert idle.ended()
-        until(lambda: len(scene.inbound._clients) == 1)
-        assert len(met) == 1 and not scene.inbound.drainer.state.reached(Step.CLOSE_IDLE, scene.host.now())
+        wait_until(lambda: len(scene.inbound._clients) == 1)
+        assert len(met) == 1 and not scene.inbound.drainer.state.reached(DrainStep.CLOSE_IDLE, scene.host.now())
         leaving.sock.close()
         draining.join()
 
@@ -686,9 +686,9 @@
     def silent(sock: socket.socket, message: Message) -> None:
         """Say nothing."""
 
-    with stage(silent, options={f"drain_{name}_ms": 20.0 for name in TIMES}) as (scene, engine):
+    with running_router(silent, options={f"drain_{name}_ms": 20.0 for name in TIMES}) as (scene, engine):
         waiting = scene.client().send(ask())
-        until(lambda: engine.requests)
+        wait_until(lambda: engine.requests)
         monkeypatch.setattr(scene.host, "answer_all", fault)
         draining = gevent.spawn(scene.inbound.drain)
         assert waiting.answer().status == 502 and met.is_set()
--- a/tests/test_drain_state.py
+++ b/tests/test_drain_state.py
@@ -19,16 +19,16 @@
 from spoolbarrow.net.drain_schedule import (
     CALL_CLOSE_ALL_MS,
     CALL_REFUSE_MS,
-    LONG_AGO_MS,
+    ALL_STEPS_REACHED_MS,
     DrainCause,
     DrainSchedule,
     DrainState,
-    Step,
-    call_schedule,
-    end_schedule,
+    DrainStep,
+    operator_schedule,
+    shutdown_schedule,
 )
 from spoolbarrow.net.http1 import Message
-from tests.stage import EVENTS, HEAD, ask, chunk, make_config, serve_all, stage, until
+from tests.router_harness import EVENTS, STREAM_HEAD, ask, chunk, make_config, serve_all, running_router, wait_until
 
 NEVER = 600_000.0
 HELD_MS, RECENT_MS, LATE_CALL_MS = 4000.0, 2000.0, 1000.0  # the operators' terms
@@ -51,7 +51,7 @@
     """An engine whose answers begin at once and end when they may."""
 
     def script(sock: socket.socket, message: Message) -> None:
-        sock.sendall(HEAD + chunk(EVENTS[0]))
+        sock.sendall(STREAM_HEAD + chunk(EVENTS[0]))
         go.wait()
         sock.sendall(chunk(EVENTS[1]) + END)
 
@@ -61,7 +61,7 @@
 def passed(scene: Any, ms: float) -> None:
     """Have the drain by hand of this router begun so long ago."""
     scene.inbound.activate()
-    scene.inbound.drain_by_call(ms)
+    scene.inbound.begin_operator_drain(ms)
 
 
 # The state
@@ -69,13 +69,13 @@
 
 def test_after_a_call_what_is_recent_by_the_terms_is_refused() -> None:
     """The call may have waited for up to a second: its clock began with its caller's."""
-    schedule = call_schedule(configured())
-    assert schedule.at(Step.REFUSE) + RECENT_MS + LATE_CALL_MS <= HELD_MS
+    schedule = operator_schedule(configured())
+    assert schedule.at(DrainStep.REFUSE) + RECENT_MS + LATE_CALL_MS <= HELD_MS
     late = drainer.LATE_NEWCOMER_MS + drainer.LOOK_S * 1000.0
-    assert schedule.at(Step.CLOSE_ALL) + late + LATE_CALL_MS <= HELD_MS
-    order = (Step.END_ANSWERS, Step.CLOSE_IDLE, Step.REFUSE, Step.CLOSE_ALL)
+    assert schedule.at(DrainStep.CLOSE_ALL) + late + LATE_CALL_MS <= HELD_MS
+    order = (DrainStep.END_ANSWERS, DrainStep.CLOSE_IDLE, DrainStep.REFUSE, DrainStep.CLOSE_ALL)
     assert [schedule.at(step) for step in order] == sorted(schedule.at(step) for step in order)
-    assert not schedule.steps.keys() & {Step.MOVE_STREAMS, Step.ANSWER_ALL}  # the process goes on
+    assert not schedule.steps.keys() & {DrainStep.MOVE_STREAMS, DrainStep.ANSWER_ALL}  # the process goes on
 
 
 @settings(derandomize=True, deadline=None)
@@ -85,20 +85,20 @@
             st.sampled_from(list(DrainCause)),
             st.booleans(),
             st.floats(0.0, 5000.0),
-            st.sampled_from(list(Step)),
+            st.sampled_from(list(DrainStep)),
         ),
         max_size=12,
     )
 )
 def test_of_several_drains_the_first_that_comes_to_a_step_counts(
-    told: list[tuple[DrainCause, bool, float, Step]],
+    told: list[tuple[DrainCause, bool, float, DrainStep]],
 ) -> None:
     state, now, begun = DrainState(), 0.0, dict[DrainCause, float]()
     config = configured(True)
     schedules = {
-        DrainCause.CALL: call_schedule(config),
-        DrainCause.SIGTERM: end_schedule(config, False),
-        DrainCause.SUCCESSOR: end_schedule(config, True),
+        DrainCause.OPERATOR: operator_schedule(config),
+        DrainCause.SIGTERM: shutdown_schedule(config, False),
+        DrainCause.SUCCESSOR: shutdown_schedule(config, True),
     }
     for cause, begins, later, step in told:
         now += later
@@ -106,22 +106,22 @@
             assert state.begin(cause, schedules[cause], now) is (cause not in begun)
             begun.setdefault(cause, now)
         else:
-            assert (state.take_back(cause) is not None) is (begun.pop(cause, None) is not None)
+            assert (state.cancel(cause) is not None) is (begun.pop(cause, None) is not None)
         reached = [now - at >= schedules[one].at(step) for one, at in begun.items()]
         assert state.reached(step, now) is any(reached) and state.active() is bool(begun)
-        refusing = [one for one, at in begun.items() if now - at >= schedules[one].at(Step.REFUSE)]
+        refusing = [one for one, at in begun.items() if now - at >= schedules[one].at(DrainStep.REFUSE)]
         assert (state.refusal(now) is not None) is bool(refusing)
-        assert state.called() is (DrainCause.CALL in begun)
-        assert state.ends() is bool(begun.keys() - {DrainCause.CALL})
+        assert state.by_operator() is (DrainCause.OPERATOR in begun)
+        assert state.process_ending() is bool(begun.keys() - {DrainCause.OPERATOR})
 
 
 def test_where_the_newer_process_takes_no_more_idle_connections_end_here() -> None:
     state = DrainState()
-    state.begin(DrainCause.SUCCESSOR, end_schedule(configured(), True), 0.0)
-    assert not state.reached(Step.CLOSE_IDLE, 900.0) and state.refusal(900.0) is None
+    state.begin(DrainCause.SUCCESSOR, shutdown_schedule(configured(), True), 0.0)
+    assert not state.reached(DrainStep.CLOSE_IDLE, 900.0) and state.refusal(900.0) is None
     state.pass_nothing_more(100.0, resumes=False)
-    assert state.reached(Step.END_ANSWERS, 100.0) and state.refusal(100.0) is not None
-    assert not state.reached(Step.CLOSE_IDLE, 900.0) and state.reached(Step.CLOSE_IDLE, 1000.0)
+    assert state.reached(DrainStep.END_ANSWERS, 100.0) and state.refusal(100.0) is not None
+    assert not state.reached(DrainStep.CLOSE_IDLE, 900.0) and state.reached(DrainStep.CLOSE_IDLE, 1000.0)
 
 
 # Where a connection may end
@@ -131,14 +131,14 @@
 def test_a_stream_that_began_before_ends_its_connection(kind: str) -> None:
     """Its head told its client that the connection stays; the drain began after it."""
     go = Event()
-    with stage(streams_until(go), options=PATIENT) as (scene, engine):
+    with running_router(streams_until(go), options=PATIENT) as (scene, engine):
         client = scene.client().send(named("long"))
-        until(lambda: engine.requests)
+        wait_until(lambda: engine.requests)
         assert client.sock.recv(1) == b"H"
         if kind == "call":
-            scene.inbound.drain_by_call()
+            scene.inbound.begin_operator_drain()
         else:
-            steps = {Step.END_ANSWERS: 0.0}
+            steps = {DrainStep.END_ANSWERS: 0.0}
             scene.inbound.drainer.begin(DrainCause.SIGTERM, DrainSchedule(steps))
         go.set()
         answer = b"H"
@@ -151,26 +151,26 @@
 def test_what_stands_unread_behind_a_stream_is_left_so_late_in_a_drain() -> None:
     """Its client sends it again elsewhere: the kernel says that it was not read."""
     go = Event()
-    with stage(streams_until(go), options=PATIENT) as (scene, engine):
+    with running_router(streams_until(go), options=PATIENT) as (scene, engine):
         client = scene.client().send(named("long"))
-        until(lambda: engine.requests)
+        wait_until(lambda: engine.requests)
         client.send(named("behind"))
         (inside,) = scene.inbound._clients
-        until(inside.unread)
+        wait_until(inside.has_unread)
         passed(scene, CALL_CLOSE_ALL_MS)
         go.set()
-        until(lambda: not scene.inbound._clients)
+        wait_until(lambda: not scene.inbound._clients)
         assert len(engine.requests) == 1 and scene.inbound.drainer.log.counts.refused == 0
 
 
 def test_what_stands_unread_behind_a_stream_is_refused_while_there_is_time() -> None:
     go = Event()
-    with stage(streams_until(go), options=PATIENT) as (scene, engine):
+    with running_router(streams_until(go), options=PATIENT) as (scene, engine):
         client = scene.client().send(named("long"))
-        until(lambda: engine.requests)
+        wait_until(lambda: engine.requests)
         client.send(named("behind"))
         (inside,) = scene.inbound._clients
-        until(inside.unread)
+        wait_until(inside.has_unread)
         passed(scene, CALL_REFUSE_MS)
         go.set()
         assert client.answer().status == 200
@@ -183,11 +183,11 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """A machine that has gone acknowledges nothing; what was written stays with the kernel."""
-    with stage(serve_all, options=PATIENT) as (scene, _):
+    with running_router(serve_all, options=PATIENT) as (scene, _):
         client = scene.client().send(UP)
         client.answer()
         (inside,) = scene.inbound._clients
-        until(inside.idle)
+        wait_until(inside.idle)
         monkeypatch.setattr(type(inside), "answered", lambda self: False)
         passed(scene, CALL_REFUSE_MS)
         gevent.sleep(2 * drainer.LOOK_S)
@@ -198,12 +198,12 @@
 
 
 def test_a_client_that_stays_after_its_last_answer_is_not_waited_for_late_in_a_drain() -> None:
-    with stage(serve_all, options=PATIENT) as (scene, _):
+    with running_router(serve_all, options=PATIENT) as (scene, _):
         client = scene.client().send(b"GET /up HTTP/1.1\r\nConnection: close\r\n\r\n")
         client.answer()
-        until(lambda: [one for one in scene.inbound._clients if one.ending])
+        wait_until(lambda: [one for one in scene.inbound._clients if one.ending])
         passed(scene, CALL_CLOSE_ALL_MS)
-        until(lambda: not scene.inbound._clients)
+        wait_until(lambda: not scene.inbound._clients)
 
 
 @pytest.mark.parametrize("ends", [True, False])
@@ -212,19 +212,19 @@
     stopped = Event()
 
     def flood(sock: socket.socket, message: Message) -> None:
-        sock.sendall(HEAD)
+        sock.sendall(STREAM_HEAD)
         while not stopped.is_set():
             sock.sendall(chunk(b"data: " + b"x" * 60_000 + b"\n\n"))
 
-    with stage(flood, options=PATIENT) as (scene, _):
+    with running_router(flood, options=PATIENT) as (scene, _):
         client = scene.client().send(ask())
-        (inside,) = until(lambda: scene.inbound._clients)
-        until(lambda: inside.stalled(scene.host.now() - 100.0))
-        cause = DrainCause.SIGTERM if ends else DrainCause.CALL
-        scene.inbound.drainer.begin(cause, DrainSchedule({Step.CLOSE_ALL: 0.0}))
+        (inside,) = wait_until(lambda: scene.inbound._clients)
+        wait_until(lambda: inside.stalled(scene.host.now() - 100.0))
+        cause = DrainCause.SIGTERM if ends else DrainCause.OPERATOR
+        scene.inbound.drainer.begin(cause, DrainSchedule({DrainStep.CLOSE_ALL: 0.0}))
         inside.writing_since -= drainer.STALL_MS
         if ends:
-            until(lambda: not scene.inbound._clients)
+            wait_until(lambda: not scene.inbound._clients)
         else:
             gevent.sleep(3 * drainer.LOOK_S)
             assert scene.inbound._clients and not client.sock.closed
@@ -233,7 +233,7 @@
 
 @pytest.mark.parametrize("sent", [b"", ask()[:40], ask()[:-3]])
 def test_a_connection_that_says_nothing_or_half_is_ended_late_in_a_drain(sent: bytes) -> None:
-    with stage(serve_all, options=PATIENT) as (scene, engine):
+    with running_router(serve_all, options=PATIENT) as (scene, engine):
         passed(scene, CALL_CLOSE_ALL_MS)
         client = scene.client().send(sent) if sent else scene.client()
         if sent:
@@ -244,7 +244,7 @@
 
 def test_a_connection_that_waits_for_room_late_in_a_drain_is_told_at_once() -> None:
     go = Event()
-    with stage(streams_until(go), options=PATIENT, limits={"sockets": 64}) as (scene, _):
+    with running_router(streams_until(go), options=PATIENT, limits={"sockets": 64}) as (scene, _):
         most = scene.config.max_inbound
         busy = [scene.client().send(named(f"busy{n}")) for n in range(most)]
         assert [client.sock.recv(1) for client in busy] == [b"H"] * most
@@ -259,7 +259,7 @@
 
 
 def test_a_new_connection_is_refused_late_in_a_drain_and_served_after_activate() -> None:
-    with stage(serve_all, options=PATIENT) as (scene, engine):
+    with running_router(serve_all, options=PATIENT) as (scene, engine):
         passed(scene, CALL_REFUSE_MS)
         client = scene.client().send(named("late"))
         answer = client.answer()
@@ -272,37 +272,37 @@
 
 
 def test_a_call_that_is_repeated_does_not_begin_anew() -> None:
-    with stage(serve_all, options=PATIENT) as (scene, _):
+    with running_router(serve_all, options=PATIENT) as (scene, _):
         passed(scene, CALL_REFUSE_MS)
-        scene.inbound.drain_by_call()
+        scene.inbound.begin_operator_drain()
         assert scene.client().send(ask()).answer().status == 503
 
 
 def test_activate_takes_back_no_end_of_the_process() -> None:
-    with stage(serve_all, options=PATIENT) as (scene, _):
-        scene.inbound.drain_by_call()
-        scene.inbound.drainer.begin(DrainCause.SIGTERM, end_schedule(scene.config, False))
+    with running_router(serve_all, options=PATIENT) as (scene, _):
+        scene.inbound.begin_operator_drain()
+        scene.inbound.drainer.begin(DrainCause.SIGTERM, shutdown_schedule(scene.config, False))
         scene.inbound.activate()
-        assert not scene.inbound.ready() and not scene.inbound.able() and not scene.inbound.drained()
+        assert not scene.inbound.ready() and not scene.inbound.can_serve() and not scene.inbound.operator_drained()
 
 
 @pytest.mark.parametrize("at_start", [True, False])
 def test_a_drain_that_an_earlier_process_was_told_is_old_at_the_start(at_start: bool) -> None:
-    with stage(serve_all, options=PATIENT) as (scene, _):
+    with running_router(serve_all, options=PATIENT) as (scene, _):
         orders, other = Orders(scene.host, scene.inbound), Words()
         other.say(AWAY, True, 1.0)
         orders.adopt(other, at_start)
-        assert scene.inbound.drained()
+        assert scene.inbound.operator_drained()
         assert scene.client().send(ask()).answer().status == (503 if at_start else 200)
 
 
 def test_what_one_step_runs_into_keeps_no_other_from_its_turn(monkeypatch: pytest.MonkeyPatch) -> None:
-    with stage(serve_all, options=PATIENT) as (scene, _):
+    with running_router(serve_all, options=PATIENT) as (scene, _):
         client = scene.client().send(UP)
         client.answer()
         client.send(ask()[:40])  # half a request
-        monkeypatch.setitem(scene.inbound.drainer._acts, Step.CLOSE_IDLE, lambda now: 1 / 0)
-        passed(scene, LONG_AGO_MS)
+        monkeypatch.setitem(scene.inbound.drainer._acts, DrainStep.CLOSE_IDLE, lambda now: 1 / 0)
+        passed(scene, ALL_STEPS_REACHED_MS)
         assert client.answer().status == 503 and client.ended()
 
 
@@ -310,21 +310,21 @@
 
 
 def test_the_log_tells_each_step_request_and_connection(capfd: pytest.CaptureFixture[str]) -> None:
-    with stage(serve_all, options=PATIENT) as (scene, _):
+    with running_router(serve_all, options=PATIENT) as (scene, _):
         idle = scene.client().send(UP)
         idle.answer()
-        scene.inbound.drain_by_call()
+        scene.inbound.begin_operator_drain()
         scene.client().send(named("taken")).answer()
-        passed(scene, LONG_AGO_MS)
+        passed(scene, ALL_STEPS_REACHED_MS)
         scene.client().send(named("refused")).answer()
-        until(lambda: not scene.inbound._clients)
+        wait_until(lambda: not scene.inbound._clients)
         counts = scene.inbound.drainer.log.counts
         assert (counts.taken, counts.refused, counts.closed) == (1, 1, 3)
     told = [msgspec.json.decode(line) for line in capfd.readouterr().err.splitlines()]
     states = [(line["cause"], line["state"]) for line in told if line["event"] == "drain_state"]
     assert states[0] == ("call", "begun") and ("call", "taken_back") in states
-    assert states[-len(call_schedule(scene.config).steps) :] == [
-        ("call", step.value) for step in Step if step in call_schedule(scene.config).steps
+    assert states[-len(operator_schedule(scene.config).steps) :] == [
+        ("call", step.value) for step in DrainStep if step in operator_schedule(scene.config).steps
     ]
     requests = [(line["id"], line["what"]) for line in told if line["event"] == "drain_request"]
     assert requests == [("taken", "taken"), ("refused", "refused")]
--- a/tests/test_event_delay.py
+++ b/tests/test_event_delay.py
@@ -23,14 +23,14 @@
 from spoolbarrow.net.http1 import READS_A_TURN, Message, ResponseParser
 from spoolbarrow.net.log import Log
 from spoolbarrow.net.request import Attempt, Request
-from spoolbarrow.net.taps import Observer, Opened
-from tests.stage import HEAD, Client, ask, chunk, stage, until
+from spoolbarrow.net.observers import Observer, OpenConnection
+from tests.router_harness import STREAM_HEAD, Client, ask, chunk, running_router, wait_until
 
 
 class Engines:
     """An engine whose streams a test writes: by the client's name of the request, its connection."""
 
-    def __init__(self, head: bytes = HEAD) -> None:
+    def __init__(self, head: bytes = STREAM_HEAD) -> None:
         self.socks: dict[str, socket.socket] = {}
         self._head = head
 
@@ -66,7 +66,7 @@
     def __init__(self) -> None:
         self.noted: list[Any] = []
 
-    def passed_on(self, request: Request, parts: list[bytes]) -> None:
+    def parts_forwarded(self, request: Request, parts: list[bytes]) -> None:
         self.noted.append(request.id)
 
 
@@ -76,16 +76,16 @@
 
 def test_each_event_of_twenty_streams_leaves_alone_beside_a_client_that_does_not_read() -> None:
     engines, many = Engines(), 20
-    with stage(engines) as (scene, _):
+    with running_router(engines) as (scene, _):
         readers = {
             f"s{n}": Reader(scene.client().send(ask(X_Correlation_Id=f"s{n}", X_Session_Key=f"{n + 1:x}")))
             for n in range(many)
         }
         scene.client().send(ask(X_Correlation_Id="slow", X_Session_Key="ff"))
-        until(lambda: len(engines.socks) == many + 1)
+        wait_until(lambda: len(engines.socks) == many + 1)
         flood = gevent.spawn(engines.write, "slow", chunk(event("x" * 60_000)) * 1000)  # 60 MB
         # All buffers on the way are full: the router waits for the client, and so does the engine.
-        until(lambda: any(client.writing_since for client in scene.inbound._clients) and not flood.ready())
+        wait_until(lambda: any(client.writing_since for client in scene.inbound._clients) and not flood.ready())
         for k, name in itertools.product(range(10), readers):
             told = event(f"{name}-{k}")
             engines.write(name, chunk(told))  # the last event of every other stream has arrived
@@ -102,35 +102,35 @@
     engines = Engines()
 
     class Flood(Order):
-        def passed_on(self, request: Request, parts: list[bytes]) -> None:
-            super().passed_on(request, parts)
+        def parts_forwarded(self, request: Request, parts: list[bytes]) -> None:
+            super().parts_forwarded(request, parts)
             if request.id == "flood" and self.noted.count("flood") <= rounds:
                 engines.write("flood", chunk(event("x" * size)))  # there before the router reads again
                 if self.noted.count("flood") == 1:
                     engines.write("other", chunk(event("a")))
 
-    with stage(engines) as (scene, _):
+    with running_router(engines) as (scene, _):
         order = Flood()
         readers = {
             name: Reader(scene.client().send(ask(X_Correlation_Id=name, X_Session_Key=name.encode().hex())))
             for name in ("flood", "other")
         }
-        until(lambda: len(engines.socks) == 2)
-        scene.host.taps.add(order)
+        wait_until(lambda: len(engines.socks) == 2)
+        scene.host.observers.add(order)
         engines.write("flood", chunk(event("x" * size)))
         assert readers["other"].read(len(event("a"))) == event("a")
-        until(lambda: order.noted.count("flood") > rounds)
+        wait_until(lambda: order.noted.count("flood") > rounds)
         assert order.noted.index("other") <= 2 * READS_A_TURN
 
 
 def test_events_leave_between_hundreds_of_decisions() -> None:
     """All requests wait for the decisions when an event comes, which leaves before they are through."""
     engines, many = Engines(), 8 * AT_ONCE
-    with stage(engines) as (scene, _):
+    with running_router(engines) as (scene, _):
         order, held, through = Order(), Event(), Event()
         reader = Reader(scene.client().send(ask(X_Correlation_Id="stream")))
-        until(lambda: "stream" in engines.socks)
-        scene.host.taps.add(order)
+        wait_until(lambda: "stream" in engines.socks)
+        scene.host.observers.add(order)
         handle = scene.host._router.handle
 
         def deciding(now: float, events: list[i.Event]) -> list[i.Action]:
@@ -149,21 +149,21 @@
         held.wait()
         for n in range(many):
             scene.client().send(ask(X_Correlation_Id=f"r{n}"))
-        until(lambda: sum(isinstance(one, i.RequestArrived) for one in scene.host._inbox) == many)
+        wait_until(lambda: sum(isinstance(one, i.RequestArrived) for one in scene.host._inbox) == many)
         through.set()
         assert reader.read(len(event("a"))) == event("a")
-        until(lambda: order.noted.count("decided") >= many // AT_ONCE)
+        wait_until(lambda: order.noted.count("decided") >= many // AT_ONCE)
         assert order.noted.index("stream") <= 3
 
 
 def test_events_leave_between_hundreds_of_timers() -> None:
     """Hundreds of requests reach their time in one tick; an event that comes then leaves in between."""
     engines, many = Engines(), 8 * AT_ONCE
-    with stage(engines) as (scene, _):
+    with running_router(engines) as (scene, _):
         order = Order()
         reader = Reader(scene.client().send(ask(X_Correlation_Id="stream")))
-        until(lambda: "stream" in engines.socks)
-        scene.host.taps.add(order)
+        wait_until(lambda: "stream" in engines.socks)
+        scene.host.observers.add(order)
 
         def fire() -> None:
             if "timer" not in order.noted:
@@ -174,7 +174,7 @@
             scene.host._at(scene.host.now(), fire)
         scene.host._wake.set()
         assert reader.read(len(event("a"))) == event("a")
-        until(lambda: order.noted.count("timer") == many)
+        wait_until(lambda: order.noted.count("timer") == many)
         assert order.noted.index("stream") <= 3 * AT_ONCE
 
 
@@ -185,21 +185,21 @@
     ("head", "pieces"),
     [
         # An event whole inside a chunk that is not, then one over two chunks, and line ends that come late.
-        (HEAD, [(b"20\r\ndata: one\n\n", b"data: one\n\n"), (b"data: two\n\n", b"data: two\n\n")]),
+        (STREAM_HEAD, [(b"20\r\ndata: one\n\n", b"data: one\n\n"), (b"data: two\n\n", b"data: two\n\n")]),
         # Only the first event waits to be whole: until then another attempt may still serve the request.
-        (HEAD, [(b"5\r\ndata:", b""), (b"\r\n6\r\n one\n\n", b"data: one\n\n")]),
-        (HEAD, [(b"b\r\ndata: one\n\n", b"data: one\n\n"), (b"\r\n5\r\ndata:", b"data:")]),
-        (HEAD, [(b"b\r\ndata: one\n\n\r", b"data: one\n\n"), (b"\nb\r\ndata: two\n\n", b"data: two\n\n")]),
-        (HEAD, [(b"b;x=y\r\ndata: one\n\n\r\nb", b"data: one\n\n"), (b"\r\nd", b"d")]),
+        (STREAM_HEAD, [(b"5\r\ndata:", b""), (b"\r\n6\r\n one\n\n", b"data: one\n\n")]),
+        (STREAM_HEAD, [(b"b\r\ndata: one\n\n", b"data: one\n\n"), (b"\r\n5\r\ndata:", b"data:")]),
+        (STREAM_HEAD, [(b"b\r\ndata: one\n\n\r", b"data: one\n\n"), (b"\nb\r\ndata: two\n\n", b"data: two\n\n")]),
+        (STREAM_HEAD, [(b"b;x=y\r\ndata: one\n\n\r\nb", b"data: one\n\n"), (b"\r\nd", b"d")]),
         (LENGTH, [(b"data: one\n\n", b"data: one\n\n"), (b"data: tw", b"data: tw"), (b"o\n\n", b"o\n\n")]),
     ],
 )
 def test_events_leave_in_whatever_pieces_they_come(head: bytes, pieces: list[tuple[bytes, bytes]]) -> None:
     """Ruled out: no byte of a body waits for the end of its chunk, nor for the line end after it."""
     engines = Engines(head)
-    with stage(engines) as (scene, _):
+    with running_router(engines) as (scene, _):
         reader = Reader(scene.client().send(ask(X_Correlation_Id="s")))
-        until(lambda: engines.socks)
+        wait_until(lambda: engines.socks)
         for written, told in pieces:
             engines.write("s", written)
             assert reader.read(len(told)) == told
@@ -216,18 +216,18 @@
             self.options: list[int] = []
             self.socks: list[Any] = []
 
-        def connection_opened(self, opened: Opened) -> None:
+        def connection_opened(self, opened: OpenConnection) -> None:
             self.socks.append(opened.sock)
 
         def attempt_sent(self, attempt: Attempt) -> None:
             self.options += [sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY) for sock in self.socks]
 
     engines = Engines()
-    with stage(engines) as (scene, _):
+    with running_router(engines) as (scene, _):
         delays = Delays()
-        scene.host.taps.add(delays)
+        scene.host.observers.add(delays)
         scene.client().send(ask())
-        until(lambda: delays.options)
+        wait_until(lambda: delays.options)
         assert len(delays.options) == 2 and all(delays.options)
     listener = http1.listen(("127.0.0.1", 0), 8)
     with listener, socket.create_connection(listener.getsockname()):
@@ -301,6 +301,6 @@
     log.start()
     gevent.sleep(0)
     assert told(reader) == []  # it is read again from here on
-    until(lambda: not log._lines)
+    wait_until(lambda: not log._lines)
     assert told(reader) == ["destinations", "started"]
     log.stop()
--- a/tests/test_failover.py
+++ b/tests/test_failover.py
@@ -224,14 +224,14 @@
     from spoolbarrow import interface as i
     from spoolbarrow.net.failover import ZoneWatch
     from spoolbarrow.operator import FailoverTable
-    from tests.stage import ask, make_config, serve_all, stage, until
+    from tests.router_harness import ask, make_config, serve_all, running_router, wait_until
 
     two = make_config([])["settings"] | {"Zones": ["a", "b"]}
-    with stage(serve_all, serve_all, serve_all, settings=two) as (scene, near, other, far):
+    with running_router(serve_all, serve_all, serve_all, settings=two) as (scene, near, other, far):
         scene.config.known.endpoints[2].zone = "b"
         scene.host.destinations.restore(scene.config.known)
         replicas = scene.host._router.pool.replicas
-        until(lambda: "e2" in replicas and replicas["e2"].zone == 1)
+        wait_until(lambda: "e2" in replicas and replicas["e2"].zone == 1)
         watch = ZoneWatch(scene.host, FailoverTable(period_ms=600_000.0, regions={"all": ["a", "b"]}))
         now = scene.host.now()
         for name in ("e0", "e1"):
@@ -240,12 +240,12 @@
         assert state(watch, "a") is State.SUSPECT and replicas["e0"].serving
         watch.weigh(now + 1000.0)
         assert state(watch, "a") is State.FAILED and state(watch, "all") is State.SUSPECT
-        until(lambda: not replicas["e0"].serving and not replicas["e1"].serving)
+        wait_until(lambda: not replicas["e0"].serving and not replicas["e1"].serving)
         assert scene.client().send(ask()).answer().status == 200
         assert far.requests and not near.requests and not other.requests
         watch.weigh(now + 3500.0)  # the failures aged out; the hold is over
         assert state(watch, "a") is State.RETURNING
-        until(lambda: replicas["e0"].serving)
+        wait_until(lambda: replicas["e0"].serving)
         assert replicas["e0"].started_at >= now + 1000.0  # cold: rule 4's ramp takes it from here
         watch.stop()
 
@@ -254,7 +254,7 @@
     from spoolbarrow import config
     from spoolbarrow.operator import read
     from spoolbarrow.subsystems import Subsystems
-    from tests.stage import make_config
+    from tests.router_harness import make_config
 
     def faults(text: str) -> list[str]:
         (tmp_path / "operator.toml").write_text(text)
@@ -272,7 +272,7 @@
 
 
 def test_check_names_a_zone_of_failover_that_the_settings_lack(tmp_path: Path) -> None:
-    from tests.stage import make_config
+    from tests.router_harness import make_config
     from tests.test_cli import call
 
     (tmp_path / "config.json").write_bytes(msgspec.json.encode(make_config([])))
@@ -290,10 +290,10 @@
     from spoolbarrow import interface as i
     from spoolbarrow.net import failover
     from spoolbarrow.operator import FailoverTable
-    from tests.stage import serve_all, stage
+    from tests.router_harness import serve_all, running_router
 
     monkeypatch.setattr(failover, "MOST_HEARD", 1)
-    with stage(serve_all) as (scene, _):
+    with running_router(serve_all) as (scene, _):
         watch = failover.ZoneWatch(scene.host, FailoverTable(period_ms=600_000.0))
         for _ in range(3):
             watch.probe_ended("e0", i.Outcome.SERVED, 1.0)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -21,7 +21,7 @@
 from spoolbarrow.interface import Tenant
 from spoolbarrow.lab.leases import Broken, play
 from spoolbarrow.net.follow import Follower
-from tests.stage import Party, make_config, stage, until
+from tests.router_harness import ScriptedServer, make_config, running_router, wait_until
 
 AGE = 1000.0
 
@@ -237,7 +237,7 @@
     def __init__(self) -> None:
         self.documents: dict[str, tuple[int, str]] = {}
         self.revision, self.says = 10, b""
-        self.party = Party(self.answer)
+        self.party = ScriptedServer(self.answer)
 
     def write(self, key: str, text: str) -> int:
         self.revision += 1
@@ -276,7 +276,7 @@
     stores = [Store() for _ in range(members)]
     named = [f"127.0.0.1:{store.party.port}" for store in stores]
     table = operator.FleetTable(named, list(parts), 1.0, 2.0, 50.0, 50.0, 500.0)
-    with stage() as (made, *_):
+    with running_router() as (made, *_):
         laid: list[Any] = []
         follower = Follower(made.host, table, lambda: laid.append(made.host.config.settings.tenants))
         try:
@@ -292,16 +292,16 @@
 def test_shares_are_laid_over_the_file_and_not_wider_without_word() -> None:
     with following() as (host, follower, (store,)):
         revision = store.write(d.SHARES, '{"acme": {"portion": 0.5}}')
-        until(lambda: host.config.settings.tenants == tenants(0.5))
+        wait_until(lambda: host.config.settings.tenants == tenants(0.5))
         host.apply(config.parse(msgspec.json.encode(make_config([]))))  # as SIGHUP reads it anew
-        until(lambda: host.config.settings.tenants == tenants(0.5))
+        wait_until(lambda: host.config.settings.tenants == tenants(0.5))
         assert follower.versions()[d.SHARES][0] == revision
         store.write(d.SHARES, '{"acme": {"portion": 0.7}, "other": {"portion": 3.0}}')
-        until(lambda: host.config.settings.tenants == tenants(0.7, 3.0))
+        wait_until(lambda: host.config.settings.tenants == tenants(0.7, 3.0))
         store.says = b"garbage"
-        until(lambda: host.config.settings.tenants == tenants(0.5))
+        wait_until(lambda: host.config.settings.tenants == tenants(0.5))
         store.says = b""
-        until(lambda: host.config.settings.tenants == tenants(0.7, 3.0))
+        wait_until(lambda: host.config.settings.tenants == tenants(0.7, 3.0))
 
 
 @pytest.mark.parametrize(
@@ -322,16 +322,16 @@
                 store.says = says if store is stores[turn] and store.documents else b""
             for store in stores:
                 store.write(d.SUSPENSIONS, json.dumps([f"e{store.revision}"]))
-            until(lambda: host.destinations.suspended(f"e{stores[0].revision - 1}"))
+            wait_until(lambda: host.destinations.suspended(f"e{stores[0].revision - 1}"))
 
 
 def test_the_older_of_two_processes_is_silent_until_the_later_one_is() -> None:
     own = f"{d.EVIDENCE}roll/n0"
     with following("roll") as (_, follower, (store,)):
-        until(lambda: follower.versions().get("fleet/roll"))
+        wait_until(lambda: follower.versions().get("fleet/roll"))
         spoken = store.documents[own]
         later = store.write(own, told("n0", "later", 1, b'"n0"').decode())
-        until(lambda: follower.tell()["parts"]["roll"]["silent"])  # type: ignore[index]
+        wait_until(lambda: follower.tell()["parts"]["roll"]["silent"])  # type: ignore[index]
         assert store.documents[own][0] == later > spoken[0]
-        until(lambda: store.documents[own][0] > later)
+        wait_until(lambda: store.documents[own][0] > later)
         assert d.read(own, store.documents[own][1], d.Summary).incarnation != "later"
--- a/tests/test_fleet_agreement.py
+++ b/tests/test_fleet_agreement.py
@@ -15,7 +15,7 @@
 
 from spoolbarrow.cli import run
 from spoolbarrow.lab.cluster import LISTEN, Cluster, Load, cluster
-from tests.stage import until
+from tests.router_harness import wait_until
 
 ALL = range(5)
 
@@ -56,7 +56,7 @@
 
 def test_a_change_is_taken_by_all_or_by_none(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
     with loaded(tmp_path) as made:
-        until(lambda: agree(made, "status", capsys)[0] == 0)  # lists come one after the other
+        wait_until(lambda: agree(made, "status", capsys)[0] == 0)  # lists come one after the other
         before = [versions(made, n) for n in ALL]
 
         # One router's view of the change is faulty: refused everywhere, naming the key.
@@ -88,7 +88,7 @@
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     with loaded(tmp_path) as made:
-        until(lambda: agree(made, "status", capsys)[0] == 0)
+        wait_until(lambda: agree(made, "status", capsys)[0] == 0)
         write(made, operator(2), [1, 4])  # two routers are reloaded by hand, the others are not
         for n in (1, 4):
             made.routers[n].popen.send_signal(signal.SIGHUP)
@@ -111,26 +111,26 @@
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     with loaded(tmp_path) as made:
-        until(lambda: agree(made, "status", capsys)[0] == 0)
+        wait_until(lambda: agree(made, "status", capsys)[0] == 0)
         gate = [len(made.names) * len(made.ports) + 2]  # before router 2's discovery
         made.fault("drop", gate)
         made.out.add(0)
         made.list_again()
         others = [0, 1, 3, 4]
-        until(lambda: all(versions(made, n)["list"]["number"] == made.listing for n in others))
+        wait_until(lambda: all(versions(made, n)["list"]["number"] == made.listing for n in others))
         status, said = agree(made, "status", capsys)
         assert status == 1 and "list: contradict for" in said
         (older,) = [line for line in said.splitlines() if line.startswith("  1 ")]
         assert "r2 (" in older and "," not in older
         made.fault("pass", gate)
-        until(lambda: agree(made, "status", capsys)[0] == 0)
+        wait_until(lambda: agree(made, "status", capsys)[0] == 0)
 
 
 def test_suspensions_said_to_some_routers_only_are_told_of(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     with loaded(tmp_path) as made:
-        until(lambda: agree(made, "status", capsys)[0] == 0)
+        wait_until(lambda: agree(made, "status", capsys)[0] == 0)
         for n in ALL[:3]:
             made.control(n, "engines/e1/suspend", "POST")
         status, said = agree(made, "status", capsys)
@@ -146,7 +146,7 @@
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     with loaded(tmp_path) as made:
-        until(lambda: agree(made, "status", capsys)[0] == 0)
+        wait_until(lambda: agree(made, "status", capsys)[0] == 0)
         write(made, operator(2))
         checked = {made.control(n, "settings/check")["files"] for n in ALL}
         assert len(checked) == 1
@@ -157,7 +157,7 @@
             made.control(n, f"settings/adopt/{next(iter(checked))}", "POST")
         made.routers[4] = made.start_router(4)
         made.routers[4].wait_for(lambda: bool(made.routers[4].events("destinations")))
-        until(lambda: agree(made, "status", capsys)[0] == 0)
+        wait_until(lambda: agree(made, "status", capsys)[0] == 0)
         assert all(versions(made, n)["operator"]["number"] == 2 for n in ALL)
         told = [json.loads(line) for line in made.routers[4].lines if '"version"' in line]
         assert {one["item"] for one in told} >= {"settings", "shares", "operator", "list", "suspensions"}
--- a/tests/test_fleet_pools.py
+++ b/tests/test_fleet_pools.py
@@ -31,9 +31,9 @@
 from spoolbarrow.lab.followed import Followed, at_key, until
 from spoolbarrow.lab.members import ask
 from spoolbarrow.net import pools
-from spoolbarrow.net.http1 import Fault, Message
+from spoolbarrow.net.http1 import HttpError, Message
 from spoolbarrow.net.request import Attempt, Request
-from spoolbarrow.net.taps import Taps
+from spoolbarrow.net.observers import Observers
 from spoolbarrow.operator import FleetTable, fleet_faults
 from spoolbarrow.pools import sketch
 from spoolbarrow.pools.evidence import Notes, hear
@@ -100,7 +100,7 @@
             begun = time.monotonic()
             try:
                 status, _ = call(port, text, 20.0)
-            except (OSError, Fault):
+            except (OSError, HttpError):
                 status = 0
             now = time.monotonic()
             self.answers.append(Answer(now, router, status, (now - begun) * 1000))
@@ -331,7 +331,7 @@
     lines = [ListEntry("e0", "", "z", "big")]
     host: Any = SimpleNamespace(
         now=lambda: 9000.0,
-        taps=Taps(),
+        observers=Observers(),
         config=SimpleNamespace(
             settings=i.Settings(nodes=1, classes=classes), classes={}, tenants={}, zones={}
         ),
@@ -344,21 +344,21 @@
 
     def request(key: str) -> Any:
         made = Request(key, key, Message(), Mock(), i.RequestArrived(key, 0, 0.0), 5000.0, 9e9)
-        host.taps.request_taken(made, i.RequestArrived(key, 0, 0.0, prompt_tokens=1000))
+        host.observers.request_taken(made, i.RequestArrived(key, 0, 0.0, prompt_tokens=1000))
         return made
 
     served, left, refused, beyond = (request(key) for key in "abcd")
     for one in (served, left):
-        one.stream = Attempt(one, 0, "e0", 5100.0)
-        one.stream.first_at = 5900.0
-        host.taps.passed_on(one, [b"data: {}\n\n", b"data: {}\n\n"])
-    host.taps.passed_on(
+        one.serving_attempt = Attempt(one, 0, "e0", 5100.0)
+        one.serving_attempt.first_at = 5900.0
+        host.observers.parts_forwarded(one, [b"data: {}\n\n", b"data: {}\n\n"])
+    host.observers.parts_forwarded(
         served,
         [b'data: {"usage":{"completion_tokens":63,"prompt_tokens_details":{"cached_tokens":400}}}\n\n'],
     )
     for one, how in ((served, "served"), (left, "left"), (refused, "fail_fast"), (beyond, "served")):
-        one.end(how)
-        host.taps.request_answered(one)
+        one.finish(how)
+        host.observers.request_answered(one)
     cell = part._pools.notes.seen.cells[0, 0]
     pace = part._pools.notes.seen.paces["big"]
     assert (sum(cell.ended.values()), sum(cell.cut.values()), cell.answered, cell.late) == (1, 1, 3, 2)
@@ -370,6 +370,6 @@
     for tail in (b"", b'data: {"usage":{"completion_tokens":-1}}\n', b'data: {"usage":[]}\n', b'"usage"'):
         assert pools.usage(tail) is None
     part.end()
-    assert not host.taps.active
+    assert not host.observers.active
     both = FleetTable(["127.0.0.1:7200"], only_read=["big"], only_write=["small", "big"])
     assert ["fleet.only_write[1]" in str(fault) for fault in fleet_faults(both)] == [True]
--- a/tests/test_fleet_store.py
+++ b/tests/test_fleet_store.py
@@ -12,7 +12,7 @@
 
 from spoolbarrow.lab.cluster import LISTEN, Process, free_ports
 from spoolbarrow.lab.members import ask
-from tests.stage import until
+from tests.router_harness import wait_until
 
 LIFE_S = 120.0
 
@@ -86,7 +86,7 @@
                 and sum(one.get("leader") == f"m{n}" for one in told.values()) >= 2
             ]
 
-        return until(found)[0] if not (at := found()) else at[0]
+        return wait_until(found)[0] if not (at := found()) else at[0]
 
     def get(self, number: int, key: str) -> tuple[str, int] | None:
         code, told = ask(self.controls[number], "GET", f"/v1/store/{key}")
@@ -126,7 +126,7 @@
     def more(self, count: int) -> None:
         """Until so many more are written."""
         goal = len(self.written) + count
-        until(lambda: len(self.written) >= goal)
+        wait_until(lambda: len(self.written) >= goal)
 
     def stop(self) -> None:
         self._stop.set()
@@ -146,7 +146,7 @@
             writer.stop()
         assert len(writer.written) > 20
         well = [n for n in range(3) if not made.status(n)["fault"]]
-        until(lambda: len({made.status(n)["applied"] for n in well}) == 1)
+        wait_until(lambda: len({made.status(n)["applied"] for n in well}) == 1)
         for key, revision in writer.written.items():
             assert {made.get(n, key) for n in well} == {(key * writer.size, revision)}
         for key in writer.unknown:
@@ -165,7 +165,7 @@
             assert made.leader(others) != lost
             writer.more(10)
             made.processes[lost] = made.start(lost)
-            until(lambda n=lost: made.status(n).get("leader"))  # type: ignore[misc]
+            wait_until(lambda n=lost: made.status(n).get("leader"))  # type: ignore[misc]
 
 
 def test_a_leader_that_is_cut_off_takes_no_changes_and_comes_back_with_an_old_log(tmp_path: Path) -> None:
@@ -175,14 +175,14 @@
         made.cut(lost, "drop")
         others = [n for n in range(3) if n != lost]
         made.leader(others)
-        until(lambda: made.status(lost)["role"] != "leader")
+        wait_until(lambda: made.status(lost)["role"] != "leader")
         code, told = ask(made.controls[lost], "PUT", "/v1/store/alone", b"x")
         assert code == 409 and told["leader"] != f"m{lost}"
         assert made.get(lost, "k0") is not None  # what it had is told on
         writer.more(20)
         made.cut(lost, "pass")
         had = max(made.status(n)["applied"] for n in others)  # once: the writer goes on
-        until(lambda: made.status(lost)["applied"] >= had)
+        wait_until(lambda: made.status(lost)["applied"] >= had)
         assert made.get(lost, "alone") is None
 
 
@@ -210,7 +210,7 @@
 
 def test_a_member_whose_disk_is_full_says_so_and_the_others_carry_on(tmp_path: Path) -> None:
     with written(tmp_path, pages={1: 24}, size=256) as (made, writer):
-        until(lambda: made.status(1)["fault"])
+        wait_until(lambda: made.status(1)["fault"])
         assert "full" in made.status(1)["fault"] and made.status(1)["role"] == "stopped"
         made.leader([0, 2])
         writer.more(20)
@@ -243,23 +243,23 @@
         made.processes[back] = made.start(back)
         writer.more(20)
         had = made.status(lead)["applied"]
-        until(lambda: made.status(back).get("applied", 0) >= had)
+        wait_until(lambda: made.status(back).get("applied", 0) >= had)
         made.kill(third)
         # Committed with the one that was begun again: so it has counted, and what it had was answered for.
-        until(lambda: ask(made.controls[lead], "PUT", "/v1/store/on-both", b"x")[0] == 200)
+        wait_until(lambda: ask(made.controls[lead], "PUT", "/v1/store/on-both", b"x")[0] == 200)
         made.kill(back)
         for file in tmp_path.glob(f"m{back}.store*"):
             file.unlink()
         for file in (tmp_path / "kept").iterdir():
             shutil.copy(file, tmp_path)
         made.processes[back] = made.start(back)
-        until(lambda: made.status(back).get("behind"))
+        wait_until(lambda: made.status(back).get("behind"))
         code, _ = ask(made.controls[lead], "PUT", "/v1/store/on-one", b"x")
         assert code != 200 and made.status(back)["behind"]  # two of three run, one counts
         assert made.processes[back].events("store_member_behind")
         made.processes[third] = made.start(third)
-        until(lambda: made.status(back).get("behind") is False, 20.0)
-        until(lambda: made.status(back).get("applied", 0) >= had, 20.0)
+        wait_until(lambda: made.status(back).get("behind") is False, 20.0)
+        wait_until(lambda: made.status(back).get("applied", 0) >= had, 20.0)
         made.leader()
         writer.more(5)
         lost = made.leader()
@@ -267,7 +267,7 @@
         made.leader([n for n in range(3) if n != lost])
         writer.more(5)
         made.processes[lost] = made.start(lost)
-        until(lambda: made.status(lost).get("leader"))
+        wait_until(lambda: made.status(lost).get("leader"))
 
 
 def test_a_file_that_is_torn_or_foreign_is_not_begun_from(tmp_path: Path) -> None:
--- a/tests/test_fleet_told.py
+++ b/tests/test_fleet_told.py
@@ -21,7 +21,7 @@
 from spoolbarrow.fleet.pacing import CLOCK_MS
 from spoolbarrow.lab.cluster import Cluster, Load, cluster
 from spoolbarrow.lab.told import CASES, play, take_back
-from tests.stage import LISTEN, make_config, until
+from tests.router_harness import LISTEN, make_config, wait_until
 
 ROOT = Path(__file__).parent.parent
 ROUTERS, ENGINES = 16, 2
@@ -80,7 +80,7 @@
     with subprocess.Popen(run, cwd=ROOT, env=environment, stderr=subprocess.PIPE) as router:
         try:
             assert router.stderr is not None
-            until(lambda: not socket.socket().connect_ex((LISTEN, port)))
+            wait_until(lambda: not socket.socket().connect_ex((LISTEN, port)))
             file.write_bytes(msgspec.json.encode({**bad, "discovery": "127.0.0.1:2"}))
             router.send_signal(signal.SIGHUP)
             while b"reload_failed" not in (line := router.stderr.readline()):
--- a/tests/test_flows.py
+++ b/tests/test_flows.py
@@ -41,19 +41,19 @@
 from spoolbarrow.net.http1 import Message as HttpMessage
 from spoolbarrow.net.tcpinfo import Counters
 from spoolbarrow.operator import Collector, FlowsTable
-from tests.stage import (
+from tests.router_harness import (
     EVENTS,
-    HEAD,
+    STREAM_HEAD,
     LISTEN,
     Client,
-    Party,
+    ScriptedServer,
     ask,
     chunk,
-    entry,
+    endpoint_entry,
     make_config,
     serve_all,
-    stage,
-    until,
+    running_router,
+    wait_until,
 )
 from tests.test_taps import Listener as TapListener
 
@@ -331,16 +331,16 @@
 
 @pytest.mark.parametrize("kind", ["udp", "tcp"])
 def test_a_collector_reads_connections_and_requests_as_they_were(kind: str) -> None:
-    with stage(serve_all) as (scene, _), collecting(kind) as (heard, listener):
+    with running_router(serve_all) as (scene, _), collecting(kind) as (heard, listener):
         with exporting(scene, table(f"{kind}://127.0.0.1:{listener.port}")):
             taps = TapListener()
-            scene.host.taps.add(taps)
+            scene.host.observers.add(taps)
             client = scene.client().send(ask())
             assert client.answer().status == 200
             client.sock.close()
-            until(lambda: heard.of(257) and heard.of(256))
+            wait_until(lambda: heard.of(257) and heard.of(256))
             scene.host._endpoints._pool.forget("e0")
-            until(lambda: len(heard.of(256)) == 2)
+            wait_until(lambda: len(heard.of(256)) == 2)
             (request,) = heard.of(257)
             ours = next(c for c in heard.of(256) if c["flowId"] == request["flowId"])
             theirs = next(c for c in heard.of(256) if c["flowId"] == request["routerEngineFlowId"])
@@ -348,8 +348,8 @@
                 counted = taps.counters[record["flowId"]]
                 sent, received = ("", "reverseT") if outbound else ("reverseT", "")
                 name = "ransportOctetDeltaCount"
-                assert record[(sent or "t") + name] == counted.sent
-                assert record[(received or "t") + name] == counted.received
+                assert record[(sent or "t") + name] == counted.bytes_sent
+                assert record[(received or "t") + name] == counted.bytes_received
                 forward = counted.segments_sent if outbound else counted.segments_received
                 assert record["packetDeltaCount"] == forward
                 assert record["octetDeltaCount"] >= record["transportOctetDeltaCount"] + 40 * forward
@@ -368,19 +368,19 @@
 
 def test_a_collector_that_is_dead_at_start_or_dies_gets_everything_when_it_is_back() -> None:
     port = free_port_of_collector()
-    with stage(serve_all) as (scene, _), exporting(scene, table(f"tcp://127.0.0.1:{port}")) as exporter:
+    with running_router(serve_all) as (scene, _), exporting(scene, table(f"tcp://127.0.0.1:{port}")) as exporter:
         (sink,) = exporter._sinks.values()
         seen: list[int] = []
         for round in range(3):
             for _ in range(5):
                 client = scene.client().send(ask())
                 assert client.answer().status == 200
-                until(lambda: scene.host.open_requests() == 0)
+                wait_until(lambda: scene.host.open_requests() == 0)
             with collecting("tcp", port) as (heard, listener):
-                until(lambda: len(seen) + len(heard.of(257)) == 5 * (round + 1))  # noqa: B023
+                wait_until(lambda: len(seen) + len(heard.of(257)) == 5 * (round + 1))  # noqa: B023
                 seen += [request["routerRequestNumber"] for request in heard.of(257)]
                 assert listener.lost == 0
-            until(lambda: not sink.healthy())
+            wait_until(lambda: not sink.healthy())
         assert seen == list(range(1, 16)) and sink.queue.dropped == 0
 
 
@@ -423,7 +423,7 @@
 
 
 def test_a_collector_that_never_reads_costs_records_not_answers() -> None:
-    with stage(serve_all) as (scene, _), socket.create_server(("127.0.0.1", 0)) as deaf:
+    with running_router(serve_all) as (scene, _), socket.create_server(("127.0.0.1", 0)) as deaf:
         deaf.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         made = table(f"tcp://127.0.0.1:{deaf.getsockname()[1]}", queue_records=50, write_timeout_ms=60_000.0)
         with exporting(scene, made) as exporter:
@@ -435,13 +435,13 @@
                 gevent.sleep(0.001)
             for _ in range(20):
                 assert scene.client().send(ask()).answer().status == 200
-            until(lambda: scene.host.open_requests() == 0)
+            wait_until(lambda: scene.host.open_requests() == 0)
             assert len(sink.queue) <= 50
 
 
 def test_two_collectors_the_slow_one_loses_the_other_does_not() -> None:
     with (
-        stage(serve_all) as (scene, _),
+        running_router(serve_all) as (scene, _),
         collecting("tcp") as (heard, listener),
         socket.create_server(("127.0.0.1", 0)) as deaf,
     ):
@@ -449,27 +449,27 @@
         made = table(*where, queue_records=3, write_timeout_ms=60_000.0)
         with exporting(scene, made) as exporter:
             slow, quick = exporter._sinks.values()
-            until(lambda: slow.healthy() and quick.healthy())
+            wait_until(lambda: slow.healthy() and quick.healthy())
             exporter._sinks[where[0]].queue.resize(1, 1 << 20)
             for number in range(1, 11):
                 assert scene.client().send(ask()).answer().status == 200
-                until(lambda: len(heard.of(257)) == number)  # noqa: B023
+                wait_until(lambda: len(heard.of(257)) == number)  # noqa: B023
             assert quick.queue.dropped == 0
 
 
 def test_the_first_collector_that_is_up_gets_the_records_where_so_asked() -> None:
     port = free_port_of_collector()
-    with stage(serve_all) as (scene, _), collecting("tcp") as (heard, listener):
+    with running_router(serve_all) as (scene, _), collecting("tcp") as (heard, listener):
         where = [f"tcp://127.0.0.1:{port}", f"tcp://127.0.0.1:{listener.port}"]
         with exporting(scene, table(*where, send_to="first")) as exporter:
             first, second = exporter._sinks.values()
-            until(second.healthy)
+            wait_until(second.healthy)
             assert scene.client().send(ask()).answer().status == 200
-            until(lambda: heard.of(257))
+            wait_until(lambda: heard.of(257))
             with collecting("tcp", port) as (later, _):
-                until(first.healthy)
+                wait_until(first.healthy)
                 assert scene.client().send(ask()).answer().status == 200
-                until(lambda: later.of(257))
+                wait_until(lambda: later.of(257))
                 assert len(heard.of(257)) == 1
 
 
@@ -477,7 +477,7 @@
     go = Event()
 
     def slowly(sock: socket.socket, message: HttpMessage) -> None:
-        sock.sendall(HEAD)
+        sock.sendall(STREAM_HEAD)
         for _ in range(10):
             sock.sendall(chunk(EVENTS[0]))
             go.wait()
@@ -485,12 +485,12 @@
         sock.sendall(chunk(EVENTS[1]) + b"0\r\n\r\n")
 
     with (
-        stage(slowly) as (scene, _),
+        running_router(slowly) as (scene, _),
         collecting("tcp") as (heard, listener),
         collecting("tcp") as (more, other),
     ):
         client = scene.client().send(ask())
-        until(lambda: scene.host._requests and next(iter(scene.host._requests.values())).stream)
+        wait_until(lambda: scene.host._requests and next(iter(scene.host._requests.values())).serving_attempt)
         first, second = (f"tcp://127.0.0.1:{one.port}" for one in (listener, other))
         quick = {"active_timeout_ms": 20.0, "idle_timeout_ms": 10_000.0}
         with exporting(scene, table(first, **quick)) as exporter:  # begins in the middle of an answer
@@ -498,23 +498,23 @@
                 before = len(heard.of(256)) + len(more.of(256))
                 go.set()
                 if round < 9:
-                    until(lambda: len(heard.of(256)) + len(more.of(256)) >= before + 2)  # noqa: B023
+                    wait_until(lambda: len(heard.of(256)) + len(more.of(256)) >= before + 2)  # noqa: B023
                 if round == 4:
                     exporter.apply(Prepared(table(second, **quick)))
             assert client.answer().status == 200
-            until(lambda: scene.host.open_requests() == 0)
+            wait_until(lambda: scene.host.open_requests() == 0)
             taps = TapListener()
-            scene.host.taps.add(taps)
+            scene.host.observers.add(taps)
             client.sock.close()
             scene.host._endpoints._pool.forget("e0")
-            until(lambda: len(taps.counters) == 2)
+            wait_until(lambda: len(taps.counters) == 2)
 
         def told(number: int) -> list[int]:
             ours = [r for r in heard.of(256) + more.of(256) if r["flowId"] == number]
             return [r["transportOctetDeltaCount"] + r["reverseTransportOctetDeltaCount"] for r in ours]
 
         for number, counted in taps.counters.items():
-            until(lambda: sum(told(number)) == counted.sent + counted.received)  # noqa: B023
+            wait_until(lambda: sum(told(number)) == counted.bytes_sent + counted.bytes_received)  # noqa: B023
             assert len(told(number)) >= 5
 
 
@@ -522,10 +522,10 @@
     monkeypatch.setattr("spoolbarrow.flows.exporter.CLOSE_S", 20.0)  # a busy disk is no broken one
     leftover = tmp_path / "20200101T000000-999999999-00001.ipfix.zst.part"
     leftover.write_bytes(b"\x28\xb5\x2f\xfd")
-    with stage(serve_all) as (scene, _), exporting(scene, table(f"file:{tmp_path}", file_bytes=4096)):
+    with running_router(serve_all) as (scene, _), exporting(scene, table(f"file:{tmp_path}", file_bytes=4096)):
         for _ in range(3):
             assert scene.client().send(ask()).answer().status == 200
-            until(lambda: scene.host.open_requests() == 0)
+            wait_until(lambda: scene.host.open_requests() == 0)
     assert [p.name for p in tmp_path.glob("*.torn")] == [leftover.with_suffix(".torn").name]
     found = [path for path in sorted(tmp_path.glob("*.ipfix.zst"))]
     records = [r for path in found for m in fc.read_file(path, OWN) for r in m.records]
@@ -539,21 +539,21 @@
 
 
 def test_five_hundred_connections_at_once_are_each_told_and_nothing_is_kept_of_them() -> None:
-    with stage(serve_all, limits={"sockets": 1100}) as (scene, _), collecting("tcp") as (heard, listener):
+    with running_router(serve_all, limits={"sockets": 1100}) as (scene, _), collecting("tcp") as (heard, listener):
         with exporting(scene, table(f"tcp://127.0.0.1:{listener.port}")) as exporter:
             clients = [scene.client() for _ in range(500)]
-            until(lambda: len(exporter._meter) == 500)
+            wait_until(lambda: len(exporter._meter) == 500)
             for n, client in enumerate(clients):
                 if n % 5 == 0:  # a reset
                     client.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
                 client.sock.close()
-            until(lambda: len({r["flowId"] for r in heard.of(256)}) == 500)
+            wait_until(lambda: len({r["flowId"] for r in heard.of(256)}) == 500)
             assert not len(exporter._meter) and not exporter._socks and not exporter._answers
         assert listener.lost == 0
 
 
 def test_a_collector_that_hangs_up_at_once_is_tried_ever_more_seldom() -> None:
-    with stage(serve_all) as (scene, _), socket.socket() as rude:
+    with running_router(serve_all) as (scene, _), socket.socket() as rude:
         rude.bind(("127.0.0.1", 0))
         rude.listen()
 
@@ -565,7 +565,7 @@
         made = table(f"tcp://127.0.0.1:{rude.getsockname()[1]}", retry_least_ms=1.0, retry_most_ms=64.0)
         with exporting(scene, made) as exporter:
             sink: Any = next(iter(exporter._sinks.values()))
-            until(lambda: sink._backoff._failures >= 7)
+            wait_until(lambda: sink._backoff._failures >= 7)
             assert scene.client().send(ask()).answer().status == 200
         greenlet.kill()
 
@@ -579,23 +579,23 @@
     context = fc.server_context(*(str(tmp_path / n) for n in ("ca.pem", "server.pem", "server.key")))
     told = operator.TlsTable(*(str(tmp_path / n) for n in ("ca.pem", "client.pem", "client.key")))
     with (
-        stage(serve_all) as (scene, _),
+        running_router(serve_all) as (scene, _),
         collecting("tls", tls=context) as (heard, listener),
         exporting(scene, table(f"tls://127.0.0.1:{listener.port}", tls=told)) as exporter,
     ):
         sink: Any = exporter._sinks[f"tls://127.0.0.1:{listener.port}"]
         assert scene.client().send(ask()).answer().status == 200
         if not trusted:
-            until(lambda: sink._backoff._failures >= 2)
+            wait_until(lambda: sink._backoff._failures >= 2)
             assert not heard.messages and not sink.queue.dropped and len(sink.queue) >= 1
             return
-        until(lambda: len(heard.of(257)) == 1)
+        wait_until(lambda: len(heard.of(257)) == 1)
         before = sink._sock
         ca.issue(tmp_path, "client")  # replaced, and read again
         exporter.apply(Prepared(table(f"tls://127.0.0.1:{listener.port}", tls=told)))
-        until(lambda: sink._sock not in (None, before))
+        wait_until(lambda: sink._sock not in (None, before))
         assert scene.client().send(ask()).answer().status == 200
-        until(lambda: len(heard.of(257)) == 2)
+        wait_until(lambda: len(heard.of(257)) == 2)
         assert sink.queue.dropped == listener.lost == 0
 
 
@@ -613,7 +613,7 @@
 
 
 def request_log(scene: Any, capfd: pytest.CaptureFixture[str]) -> str:
-    until(lambda: scene.host.open_requests() == 0)
+    wait_until(lambda: scene.host.open_requests() == 0)
     return capfd.readouterr().err
 
 
@@ -621,11 +621,11 @@
     tmp_path: Path, capfd: pytest.CaptureFixture[str], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr("spoolbarrow.flows.exporter.CLOSE_S", 20.0)  # a busy disk is no broken one
-    with stage(serve_all) as (scene, _):
+    with running_router(serve_all) as (scene, _):
         with exporting(scene, table(f"file:{tmp_path}")):
             for account in ("acme", "acme", "other"):
                 assert scene.client().send(ask(X_Account=account)).answer().status == 200
-                until(lambda: scene.host.open_requests() == 0)
+                wait_until(lambda: scene.host.open_requests() == 0)
         said = request_log(scene, capfd)
     log, (file,) = tmp_path / "log", tmp_path.glob("*.ipfix.zst")
     log.write_text(said)
@@ -657,8 +657,8 @@
 
 
 def test_a_served_router_exports_to_a_collecting_command_and_flushes_at_sigterm(tmp_path: Path) -> None:
-    engine, kept, port = Party(serve_all), tmp_path / "kept", free_port_of_collector()
-    raw = make_config([entry("e0", engine.port)])
+    engine, kept, port = ScriptedServer(serve_all), tmp_path / "kept", free_port_of_collector()
+    raw = make_config([endpoint_entry("e0", engine.port)])
     (tmp_path / "config.json").write_bytes(msgspec.json.encode(raw))
     (tmp_path / "o.toml").write_text(
         f'[flows]\ncollectors = ["tcp://127.0.0.1:{port}"]\nflush_ms = 60000.0\nretry_most_ms = 200.0\n'
@@ -676,16 +676,16 @@
             assert router.stderr is not None and collector.stdout is not None
             while "collector_up" not in (line := router.stderr.readline()):
                 assert line
-            until(lambda: not socket.socket().connect_ex((LISTEN, listens)))
+            wait_until(lambda: not socket.socket().connect_ex((LISTEN, listens)))
             assert Client(listens).send(ask()).answer().status == 200
             router.send_signal(signal.SIGTERM)  # long before `flush_ms`
-            until(lambda: router.poll() is not None)
+            wait_until(lambda: router.poll() is not None)
             assert router.returncode == 0
             rows: list[dict[str, Any]] = []
             while not any(row["kind"] == "request" for row in rows):
                 rows.append(orjson.loads(collector.stdout.readline()))
             collector.send_signal(signal.SIGTERM)
-            until(lambda: collector.poll() is not None)
+            wait_until(lambda: collector.poll() is not None)
             assert collector.returncode == 0
         finally:
             router.kill()
--- a/tests/test_gone.py
+++ b/tests/test_gone.py
@@ -25,7 +25,7 @@
 from spoolbarrow.net import client as client_connection
 from spoolbarrow.net import http1
 from spoolbarrow.net.http1 import Message
-from tests.stage import LISTEN, TURNED_AWAY, Client, Stage, ask, entry, make_config, serve_all, stage, until
+from tests.router_harness import LISTEN, UNPROCESSED_503, Client, RouterHarness, ask, endpoint_entry, make_config, serve_all, running_router, wait_until
 from tests.test_drain import asked, router
 
 MANY = 8  # requests at once
@@ -54,14 +54,14 @@
 ENDS = pytest.mark.parametrize("go", [close, reset, half_close, with_more_unread])
 
 
-def await_in_kernel(inside: client_connection.Client, what: int) -> None:
+def await_in_kernel(inside: client_connection.ClientConnection, what: int) -> None:
     """Until it is there; no greenlet runs meanwhile."""
     watched = select.poll()
     watched.register(inside.sock.fileno(), what)
     assert watched.poll(20_000)
 
 
-def leave(inside: client_connection.Client, client: Any, go: Callable[[Any], None]) -> None:
+def leave(inside: client_connection.ClientConnection, client: Any, go: Callable[[Any], None]) -> None:
     """Go, and let no greenlet run until the end is in the kernel."""
     go(client)
     await_in_kernel(inside, select.POLLRDHUP)
@@ -87,7 +87,7 @@
         if NOW in events:
             go_now()
             return actions + kept
-        if moment == "retry" and has(i.AttemptEnded, events) and not scene.host.request("1").over:
+        if moment == "retry" and has(i.AttemptEnded, events) and not scene.host.request("1").finished:
             go_now()
         if has(i.RequestArrived, events) and moment == "held":
             kept.extend(action for action in actions if isinstance(action, i.Send))
@@ -97,15 +97,15 @@
 
     def first(sock: socket.socket, message: Message) -> None:
         if moment == "retry":
-            sock.sendall(TURNED_AWAY)
+            sock.sendall(UNPROCESSED_503)
         elif moment == "hedge":
             kept.append(i.Send("1", "e0"))
             scene.host._post(NOW)
 
-    with stage(first, first) as (scene, *engines):
+    with running_router(first, first) as (scene, *engines):
         decide, scene.host._router.handle = scene.host._router.handle, handle
         client = scene.client().send(ask())
-        until(lambda: scene.heard(i.RequestGone) and scene.host.open_requests() == 0)
+        wait_until(lambda: scene.events_of(i.RequestGone) and scene.host.open_requests() == 0)
         assert sum(len(engine.requests) for engine in engines) == (moment in ("retry", "hedge"))
 
 
@@ -121,11 +121,11 @@
             leave(next(iter(scene.inbound._clients)), client, go)
         return sock
 
-    with stage(serve_all) as (scene, engine):
+    with running_router(serve_all) as (scene, engine):
         monkeypatch.setattr(http1, "connect", last_instant)
         client = scene.client().send(ask())
-        until(lambda: scene.heard(i.RequestGone) and scene.host.open_requests() == 0)
-        until(lambda: engine.ends == 1)  # the connection, and nothing on it
+        wait_until(lambda: scene.events_of(i.RequestGone) and scene.host.open_requests() == 0)
+        wait_until(lambda: engine.closed == 1)  # the connection, and nothing on it
         assert not engine.requests
 
 
@@ -139,17 +139,17 @@
             with suppress(TimeoutError):
                 filler.settimeout(0.2)
                 filler.connect(full.getsockname())
-        scene = Stage(make_config([entry("slow", full.getsockname()[1])]))
+        scene = RouterHarness(make_config([endpoint_entry("slow", full.getsockname()[1])]))
         try:
             client = scene.client().send(ask(X_Correlation_Id="first"))
-            inside = until(lambda: next(iter(scene.inbound._clients), None))
+            inside = wait_until(lambda: next(iter(scene.inbound._clients), None))
             assert inside is not None
-            until(lambda: scene.heard(i.RequestArrived))
+            wait_until(lambda: scene.events_of(i.RequestArrived))
             client.send(b"".join(ask(X_Correlation_Id=str(n)) for n in range(MANY)))
-            until(inside.unread)
+            wait_until(inside.has_unread)
             close(client)
-            until(lambda: scene.heard(i.RequestGone) and scene.host.open_requests() == 0)
-            assert len(scene.heard(i.RequestArrived)) == 1 and inside not in scene.inbound._clients
+            wait_until(lambda: scene.events_of(i.RequestGone) and scene.host.open_requests() == 0)
+            assert len(scene.events_of(i.RequestArrived)) == 1 and inside not in scene.inbound._clients
         finally:
             scene.inbound.close()
             scene.host.stop()
@@ -159,45 +159,45 @@
 def test_the_decisions_never_hear_of_a_client_that_went_before_it_was_accepted(
     go: Callable[[Any], None], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    go_on = client_connection.Client.go_on
-    seen: list[client_connection.Client] = []
+    go_on = client_connection.ClientConnection.start_reading
+    seen: list[client_connection.ClientConnection] = []
 
-    def first_sees_it_go(inside: client_connection.Client) -> None:
+    def first_sees_it_go(inside: client_connection.ClientConnection) -> None:
         if not seen:
             seen.append(inside)
             leave(inside, late, go)
         go_on(inside)
 
-    with stage(serve_all) as (scene, engine):
-        monkeypatch.setattr(client_connection.Client, "go_on", first_sees_it_go)
+    with running_router(serve_all) as (scene, engine):
+        monkeypatch.setattr(client_connection.ClientConnection, "start_reading", first_sees_it_go)
         late = Client.__new__(Client)
         late.sock = plain.create_connection((LISTEN, scene.config.listen[1]))
         late.send(ask(X_Correlation_Id="late"))
-        until(lambda: seen and not scene.inbound._clients)
+        wait_until(lambda: seen and not scene.inbound._clients)
         assert scene.client().send(ask()).answer().status == 200
-        assert len(scene.heard(i.RequestArrived)) == len(engine.requests) == 1
+        assert len(scene.events_of(i.RequestArrived)) == len(engine.requests) == 1
 
 
 def test_where_the_system_tells_of_no_half_close_the_end_is_found_by_looking(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(client_connection, "ENDED", 0)
-    with stage(serve_all) as (scene, _):
+    with running_router(serve_all) as (scene, _):
         client = scene.client()
-        inside = until(lambda: next(iter(scene.inbound._clients), None))
-        assert inside is not None and not inside.gone()  # nothing to read: it did not wait
+        inside = wait_until(lambda: next(iter(scene.inbound._clients), None))
+        assert inside is not None and not inside.disconnected()  # nothing to read: it did not wait
         client.sock.sendall(b"P")
         await_in_kernel(inside, select.POLLIN)
-        assert not inside.gone()
-        until(lambda: inside._parser.reading)
+        assert not inside.disconnected()
+        wait_until(lambda: inside._parser.reading)
         client.sock.shutdown(plain.SHUT_WR)
         await_in_kernel(inside, select.POLLIN)
-        assert inside.gone()
+        assert inside.disconnected()
 
 
 def test_a_client_that_said_its_end_still_hears_what_was_wrong() -> None:
     """Where no endpoint is asked, an answer costs nothing: programs that check routers do so."""
-    with stage(serve_all) as (scene, _):
+    with running_router(serve_all) as (scene, _):
         for raw, status in ((b"GET /up HTTP/1.1\r\n\r\n", 200), (ask(X_Account="nobody"), 400)):
             client = scene.client().send(raw)
             half_close(client)
@@ -218,7 +218,7 @@
         gevent.sleep(LONG_S)
         os.kill(made.process.pid, signal.SIGCONT)
         assert made.client().send(asked("last")).answer().status == 200
-        until(lambda: made.log().count('"event":"request"') >= 1)
+        wait_until(lambda: made.log().count('"event":"request"') >= 1)
         assert [m.fields[b"x-correlation-id"] for m in made.engine.requests] == [b"last"]
 
 
@@ -229,11 +229,11 @@
     def silent(sock: socket.socket, message: Message) -> None:
         """Say nothing."""
 
-    with stage(silent) as (scene, engine):
+    with running_router(silent) as (scene, engine):
         client = scene.client().send(ask())
-        until(lambda: engine.requests)
+        wait_until(lambda: engine.requests)
         (inside,) = scene.inbound._clients
         leave(inside, client, go)  # no greenlet runs meanwhile
         scene.host.client_left(inside.exchange.request)
-        until(lambda: not scene.inbound._clients)
+        wait_until(lambda: not scene.inbound._clients)
         assert not scene.host.open_requests()
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -23,24 +23,24 @@
 from spoolbarrow.admin.orders import Orders
 from spoolbarrow.admin.words import AWAY, Words
 from spoolbarrow.config import INHERITED, ConfigError, HostList, ListEntry
-from spoolbarrow.handover import Handover, Torn
+from spoolbarrow.handover import Handover, HandoverDataError
 from spoolbarrow.net import connection_handover
 from spoolbarrow.net.http1 import Message
 from spoolbarrow.router import Router
-from tests.stage import (
+from tests.router_harness import (
     EVENTS,
-    HEAD,
+    STREAM_HEAD,
     LISTEN,
     Client,
-    Party,
+    ScriptedServer,
     ask,
     chunk,
-    entry,
+    endpoint_entry,
     free_port,
     make_config,
     serve_all,
-    stage,
-    until,
+    running_router,
+    wait_until,
 )
 
 ROOT = Path(__file__).resolve().parent.parent
@@ -120,24 +120,24 @@
 def test_a_process_is_there_while_it_holds_its_lock(tmp_path: Path) -> None:
     one = Handover(str(tmp_path))
     two = Handover(str(tmp_path))
-    one.look()
-    assert one.newer == [two.me] and two.older == [one.me] and not one.older
-    one.write_words(b"said")
-    assert two.others_words([]) == [b"said"] and two.others_words([]) == []
+    one.refresh_peers()
+    assert one.newer == [two.process_name] and two.older == [one.process_name] and not one.older
+    one.write_overrides(b"said")
+    assert two.read_peer_overrides([]) == [b"said"] and two.read_peer_overrides([]) == []
     one.close()  # as a kill would, but for what is left of it
-    dead = two.look()
-    assert dead == [one.me] and not two.older
-    two.forget(dead)
-    assert {path.name for path in (tmp_path / handover.FOLDER).iterdir()} == {f"{two.me}.lock"}
+    dead = two.refresh_peers()
+    assert dead == [one.process_name] and not two.older
+    two.remove_files(dead)
+    assert {path.name for path in (tmp_path / handover.FOLDER).iterdir()} == {f"{two.process_name}.lock"}
     two.close()
 
 
 def test_words_of_the_dead_hold(tmp_path: Path) -> None:
     first = Handover(str(tmp_path))
-    first.write_words(b"banned")
+    first.write_overrides(b"banned")
     first.close()
     second = Handover(str(tmp_path))
-    assert second.others_words(second.look()) == [b"banned"]
+    assert second.read_peer_overrides(second.refresh_peers()) == [b"banned"]
     second.close()
 
 
@@ -146,7 +146,7 @@
 ) -> None:
     one = Handover(str(tmp_path))
     one._folder = tmp_path / "gone"
-    one.write_words(b"said")
+    one.write_overrides(b"said")
     assert "handover_failed" in capfd.readouterr().err
     one.close()
 
@@ -154,28 +154,28 @@
 @pytest.mark.parametrize("text", ["", "three", "-1", "1000000", "99999999999999999999"])
 def test_what_is_no_descriptor_is_a_fault_that_names_its_variable(text: str) -> None:
     with pytest.raises(ConfigError, match=f"^{INHERITED}: "):
-        handover.inherited({INHERITED: text})
+        handover.inherited_listener({INHERITED: text})
 
 
 def test_only_a_listening_tcp_socket_is_taken() -> None:
     with socket.socket() as idle, open(os.devnull) as file:
         for number in (idle.fileno(), file.fileno()):
             with pytest.raises(ConfigError, match="no "):
-                handover.inherited({INHERITED: str(number)})
-    assert handover.inherited({}) is None
+                handover.inherited_listener({INHERITED: str(number)})
+    assert handover.inherited_listener({}) is None
 
 
 def test_words_of_another_process_are_carried_out() -> None:
-    with stage(serve_all) as (scene, _):
+    with running_router(serve_all) as (scene, _):
         orders, other = Orders(scene.host, scene.inbound), Words()
         other.say("e0", True, 1.0)
         other.say(AWAY, True, 1.0)
         assert orders.adopt(other) and not orders.adopt(other)
-        assert scene.host.destinations.suspended("e0") and scene.inbound.drained()
+        assert scene.host.destinations.suspended("e0") and scene.inbound.operator_drained()
         other.say("e0", False, 2.0)
         other.say(AWAY, False, 2.0)
         orders.adopt(other)
-        assert scene.host.destinations.serving("e0") and not scene.inbound.drained()
+        assert scene.host.destinations.serving("e0") and not scene.inbound.operator_drained()
 
 
 # Real processes
@@ -217,7 +217,7 @@
             )
         self.calls.append(control)
         if ready:
-            until(lambda: self.call(number, "readyz", "GET") == 200)
+            wait_until(lambda: self.call(number, "readyz", "GET") == 200)
         return number
 
     def call(self, number: int, path: str, method: str = "POST") -> int:
@@ -231,7 +231,7 @@
         """SIGTERM, as after a yes: the exit status."""
         process = self.processes[number]
         process.send_signal(signal.SIGTERM)
-        until(lambda: process.poll() is not None)
+        wait_until(lambda: process.poll() is not None)
         return process.returncode
 
     def log(self, number: int) -> str:
@@ -239,8 +239,8 @@
 
 
 @contextmanager
-def service(folder: Path, *parties: Party, **changes: Any) -> Iterator[Service]:
-    endpoints = [entry(f"e{n}", party.port) for n, party in enumerate(parties)]
+def service(folder: Path, *parties: ScriptedServer, **changes: Any) -> Iterator[Service]:
+    endpoints = [endpoint_entry(f"e{n}", party.port) for n, party in enumerate(parties)]
     made = Service(folder, make_config(endpoints, **changes))
     try:
         yield made
@@ -257,7 +257,7 @@
     """Every request gets one final answer, from the router that holds the socket at that time."""
 
     def in_steps(sock: socket.socket, message: Message) -> None:
-        sock.sendall(HEAD + chunk(EVENTS[0]))
+        sock.sendall(STREAM_HEAD + chunk(EVENTS[0]))
         gevent.sleep(0.05)
         sock.sendall(chunk(EVENTS[1]) + b"0\r\n\r\n")
 
@@ -281,7 +281,7 @@
                     client, unheard = None, unheard + 1
             gevent.sleep(0.02)
 
-    with service(tmp_path, Party(in_steps)) as made:
+    with service(tmp_path, ScriptedServer(in_steps)) as made:
         old = made.start()
         clients = [gevent.spawn(load, who) for who in range(8)]
         for _ in range(10):
@@ -297,7 +297,7 @@
 
 
 def test_bans_and_drains_hold_over_an_upgrade_and_words_said_to_either_hold_in_both(tmp_path: Path) -> None:
-    engines = [Party(serve_all), Party(serve_all)]
+    engines = [ScriptedServer(serve_all), ScriptedServer(serve_all)]
 
     def asked(number: int) -> int:
         return Client(made.port).send(ask(X_Correlation_Id=str(number))).answer().status
@@ -311,36 +311,36 @@
         second = made.start()
         assert {up() for _ in range(8)} == {503}
         assert made.call(first, "router/activate") == 200  # said to the older one
-        until(lambda: {up() for _ in range(8)} == {200})
+        wait_until(lambda: {up() for _ in range(8)} == {200})
         assert made.call(second, "engines/e1/suspend") == 200  # and to the newer one
-        until(lambda: '"on":true' in made.log(first).rpartition("e1")[2])
+        wait_until(lambda: '"on":true' in made.log(first).rpartition("e1")[2])
         assert {asked(n) for n in range(8)} == {503} and not any(party.requests for party in engines)
         assert made.end(first) == 0
         third = made.start()
         assert made.call(second, "engines/e1/resume") == 200
-        until(lambda: '"on":false' in made.log(third).rpartition("e1")[2])
+        wait_until(lambda: '"on":false' in made.log(third).rpartition("e1")[2])
         assert made.end(second) == 0
         assert made.call(third, "engines/e0/suspend") == 200 and not engines[0].requests
 
 
 def test_a_new_process_that_does_not_come_up_leaves_the_old_one_as_it_was(tmp_path: Path) -> None:
-    with service(tmp_path, Party(serve_all)) as made:
+    with service(tmp_path, ScriptedServer(serve_all)) as made:
         old = made.start()
         new = made.start(ready=False)
-        until(lambda: "handed_over" in made.log(old))
+        wait_until(lambda: "handed_over" in made.log(old))
         made.processes[new].kill()
         made.raw["settings"]["Classes"] = []
         faulty = made.start(ready=False)
-        until(lambda: made.processes[faulty].poll() is not None)
+        wait_until(lambda: made.processes[faulty].poll() is not None)
         assert made.processes[faulty].returncode == 2
         made.raw = make_config([])  # one without an endpoint is never ready
         made.raw["name"] = "n1"
         idle = made.start(ready=False)
-        until(lambda: made.call(idle, "readyz", "GET") == 503)
+        wait_until(lambda: made.call(idle, "readyz", "GET") == 503)
         asking = [Client(made.port).send(ask(X_Correlation_Id=str(n))) for n in range(8)]
         assert {client.answer().status for client in asking} == {200}
         assert made.end(idle) == 0
-        until(lambda: len(list((tmp_path / handover.FOLDER).glob("*.lock"))) == 1)
+        wait_until(lambda: len(list((tmp_path / handover.FOLDER).glob("*.lock"))) == 1)
         assert made.call(old, "readyz", "GET") == 200
 
 
@@ -350,16 +350,16 @@
 @contextmanager
 def two_processes(*script: Any) -> Iterator[tuple[Any, Any, Any]]:
     """Two routers of which the first passes its streams to the second: (old, new, engine)."""
-    with stage(*script) as (old, engine), stage() as (new,):
+    with running_router(*script) as (old, engine), running_router() as (new,):
 
         def send(text: bytes, descriptors: Any) -> bool:
-            connection_handover.take(
+            connection_handover.receive(
                 new.host, new.inbound, text, [os.dup(number) for number in descriptors]
             )()
             return True
 
         old.send = send
-        old.host.give = lambda underway: connection_handover.give(old.host, underway, old.send)
+        old.host.give = lambda underway: connection_handover.send_stream(old.host, underway, old.send)
         yield old, new, engine
 
 
@@ -367,7 +367,7 @@
     step = Event()
 
     def in_steps(sock: socket.socket, message: Message) -> None:
-        sock.sendall(HEAD + chunk(EVENTS[0]))
+        sock.sendall(STREAM_HEAD + chunk(EVENTS[0]))
         step.wait()
         sock.sendall(chunk(EVENTS[1])[:5])  # cut anywhere
         gevent.sleep(0.05)
@@ -375,55 +375,55 @@
 
     with two_processes(in_steps) as (old, new, _):
         client = old.client().send(ask())
-        until(lambda: new.host.in_progress() == 1)
-        until(lambda: not old.inbound._clients and old.host.open_requests() == 0)
-        assert old.heard(i.AttemptEnded)[0].closed and old.host.in_progress() == 0
+        wait_until(lambda: new.host.in_progress() == 1)
+        wait_until(lambda: not old.inbound._clients and old.host.open_requests() == 0)
+        assert old.events_of(i.AttemptEnded)[0].closed and old.host.in_progress() == 0
         assert old.host._endpoints._pool._open == 0 and new.host._endpoints._pool._open == 1
         step.set()
         answer = client.answer()
         assert answer.status == 200 and b"".join(answer.take_body()) == b"".join(EVENTS)
-        until(lambda: new.host.open_requests() == 0)
+        wait_until(lambda: new.host.open_requests() == 0)
         assert client.send(ask()).answer().status == 503  # it is the new one's now, which has no engine
-        assert len(new.heard(i.RequestArrived)) == 1 and len(old.heard(i.RequestArrived)) == 1
+        assert len(new.events_of(i.RequestArrived)) == 1 and len(old.events_of(i.RequestArrived)) == 1
 
 
 def test_an_idle_connection_goes_on_in_the_next_process() -> None:
     with two_processes(serve_all) as (old, _, engine):
         client, busy = old.client(), old.client().send(ask()[:30])
         assert client.send(ask()).answer().status == 200
-        until(lambda: len(old.inbound._clients) == 2 and old.host.open_requests() == 0)
-        given = [connection_handover.give_idle(one, old.send) for one in list(old.inbound._clients)]
+        wait_until(lambda: len(old.inbound._clients) == 2 and old.host.open_requests() == 0)
+        given = [connection_handover.send_idle(one, old.send) for one in list(old.inbound._clients)]
         assert sorted(given) == [False, True]  # not the one that is half read
         assert client.send(ask()).answer().status == 503 and len(engine.requests) == 1  # the new one has none
         assert busy.send(ask()[30:]).answer().status == 200
         (left,) = old.inbound._clients
-        until(lambda: left.idle())
-        assert not connection_handover.give_idle(left, lambda text, descriptors: False)
+        wait_until(lambda: left.idle())
+        assert not connection_handover.send_idle(left, lambda text, descriptors: False)
         assert busy.send(ask(X_Correlation_Id="on")).answer().status == 200  # and is read on here
 
 
 def test_a_client_that_leaves_after_the_passing_frees_its_engine() -> None:
     def begin(sock: socket.socket, message: Message) -> None:
-        sock.sendall(HEAD + chunk(EVENTS[0]))
+        sock.sendall(STREAM_HEAD + chunk(EVENTS[0]))
 
     with two_processes(begin) as (old, new, engine):
         client = old.client().send(ask())
-        until(lambda: new.host.in_progress() == 1)
+        wait_until(lambda: new.host.in_progress() == 1)
         client.sock.close()
-        until(lambda: engine.ends == 1 and new.host.open_requests() == 0 and not new.inbound._clients)
+        wait_until(lambda: engine.closed == 1 and new.host.open_requests() == 0 and not new.inbound._clients)
 
 
 def test_an_engine_that_breaks_after_the_passing_ends_the_clients_connection() -> None:
     step = Event()
 
     def half(sock: socket.socket, message: Message) -> bool:
-        sock.sendall(HEAD + chunk(EVENTS[0]))
+        sock.sendall(STREAM_HEAD + chunk(EVENTS[0]))
         step.wait()
         return True
 
     with two_processes(half) as (old, new, _):
         client = old.client().send(ask())
-        until(lambda: new.host.in_progress() == 1)
+        wait_until(lambda: new.host.in_progress() == 1)
         step.set()
         with pytest.raises(ConnectionResetError):
             client.answer()
@@ -439,7 +439,7 @@
 
     def in_two(sock: socket.socket, message: Message) -> None:
         begin_only(sock, message)
-        until(lambda: tries)
+        wait_until(lambda: tries)
         sock.sendall(chunk(EVENTS[1]) + b"0\r\n\r\n")
 
     with two_processes(in_two) as (old, new, _):
@@ -452,43 +452,43 @@
         else:
             with pytest.raises(ConnectionResetError):
                 client.answer()
-        assert connection_handover.read(tries[0]).id == "9b1f" and not new.inbound._clients
+        assert connection_handover.decode_stream(tries[0]).id == "9b1f" and not new.inbound._clients
 
 
 def begin_only(sock: socket.socket, message: Message) -> None:
-    sock.sendall(HEAD + chunk(EVENTS[0]))
+    sock.sendall(STREAM_HEAD + chunk(EVENTS[0]))
 
 
 def test_nothing_is_passed_while_something_of_it_is_half_read() -> None:
     step = Event()
 
     def cut(sock: socket.socket, message: Message) -> None:
-        sock.sendall(HEAD + chunk(EVENTS[0]) + chunk(EVENTS[1])[:7])
+        sock.sendall(STREAM_HEAD + chunk(EVENTS[0]) + chunk(EVENTS[1])[:7])
         step.wait()
         sock.sendall(chunk(EVENTS[1])[7:] + b"0\r\n\r\n")
 
     with two_processes(cut) as (old, new, _):
         client = old.client().send(ask())
-        until(lambda: old.heard(i.StreamStarted))
+        wait_until(lambda: old.events_of(i.StreamStarted))
         gevent.sleep(0.05)
         assert not new.inbound._clients
         step.set()
         assert client.answer().status == 200
     with two_processes(begin_only) as (old, new, _):  # nor where the client has sent more already
         old.client().send(ask() + ask(X_Correlation_Id="next"))
-        until(lambda: old.heard(i.StreamStarted))
+        wait_until(lambda: old.events_of(i.StreamStarted))
         gevent.sleep(0.05)
         assert not new.inbound._clients and old.host.in_progress() == 1
 
 
 @pytest.mark.parametrize("text", [b"", b'{"v":1', b'{"v":2}', b"[]"])
 def test_a_message_that_is_torn_or_foreign_is_not_taken(text: bytes) -> None:
-    with stage() as (new,):
+    with running_router() as (new,):
         ends = socket.socketpair()
         with pytest.raises(ValueError):
-            connection_handover.take(new.host, new.inbound, text, [os.dup(end.fileno()) for end in ends])
+            connection_handover.receive(new.host, new.inbound, text, [os.dup(end.fileno()) for end in ends])
         with pytest.raises(ValueError):
-            connection_handover.take(new.host, new.inbound, text, [])
+            connection_handover.receive(new.host, new.inbound, text, [])
         assert not new.inbound._clients
         for end in ends:
             end.close()
@@ -498,7 +498,7 @@
     folder = tmp_path / ("long" * 30)  # longer than a Unix socket's path may be
     folder.mkdir()
     one, two = Handover(str(folder)), Handover(str(folder))
-    one.look()
+    one.refresh_peers()
     ends = socket.socketpair()
     numbers = [end.fileno() for end in ends]
     assert one.send_stream(b"x", numbers) is False  # nobody listens yet
@@ -507,7 +507,7 @@
     def take(text: bytes, descriptors: list[int]) -> Any:
         got.append((text, descriptors))
         if text == b"bad":
-            raise Torn("", "no")
+            raise HandoverDataError("", "no")
         if text == b"slow":
             gevent.sleep(1.0)
         return lambda: None
@@ -532,13 +532,13 @@
     go_on = Event()
 
     def long(sock: socket.socket, message: Message) -> None:
-        sock.sendall(HEAD)
+        sock.sendall(STREAM_HEAD)
         while not go_on.is_set():
             sock.sendall(chunk(EVENTS[0]))
             gevent.sleep(0.05)
         sock.sendall(chunk(EVENTS[1]) + b"0\r\n\r\n")
 
-    with service(tmp_path, Party(long)) as made:
+    with service(tmp_path, ScriptedServer(long)) as made:
         first = made.start()
         clients = [Client(made.port).send(ask(X_Correlation_Id=str(n))) for n in range(4)]
         assert all(client.sock.recv(1) == b"H" for client in clients)
--- a/tests/test_handover_races.py
+++ b/tests/test_handover_races.py
@@ -22,11 +22,11 @@
 from spoolbarrow import interface as i
 from spoolbarrow.admin.operations import Operations
 from spoolbarrow.config import INHERITED
-from spoolbarrow.handover import Handover, Torn
+from spoolbarrow.handover import Handover, HandoverDataError
 from spoolbarrow.net import connection_handover
 from spoolbarrow.net.drain_schedule import DrainCause, DrainSchedule
 from spoolbarrow.net.http1 import Message
-from tests.stage import EVENTS, HEAD, LISTEN, ask, chunk, make_config, serve_all, stage, until
+from tests.router_harness import EVENTS, STREAM_HEAD, LISTEN, ask, chunk, make_config, serve_all, running_router, wait_until
 from tests.test_drain import END, asked, rest
 from tests.test_handover import begin_only, two_processes
 
@@ -57,18 +57,18 @@
         given.wait()
         serve_all(sock, message)
 
-    with stage(later) as (scene, engine):
+    with running_router(later) as (scene, engine):
         client = scene.client().send(b"GET /up HTTP/1.1\r\n\r\n")
         client.answer()
         (held,) = scene.inbound._clients
-        until(held.idle)
+        wait_until(held.idle)
 
         def crossing() -> None:
             client.send(asked("crossing"))
-            until(lambda: scene.heard(i.RequestArrived))
+            wait_until(lambda: scene.events_of(i.RequestArrived))
 
         LateReader(held, crossing)
-        assert not connection_handover.give_idle(held, never_sent)
+        assert not connection_handover.send_idle(held, never_sent)
         given.set()
         assert client.answer().status == 200 and len(engine.requests) == 1
         assert client.send(asked("next")).answer().status == 200  # it is read on
@@ -76,18 +76,18 @@
 
 @pytest.mark.parametrize("size", [1, 40])
 def test_the_begin_of_a_request_that_is_read_while_it_is_paused_is_kept(size: int) -> None:
-    with stage(serve_all) as (scene, _):
+    with running_router(serve_all) as (scene, _):
         client = scene.client().send(b"GET /up HTTP/1.1\r\n\r\n")
         client.answer()
         (held,) = scene.inbound._clients
-        until(held.idle)
+        wait_until(held.idle)
 
         def crossing() -> None:
             client.send(asked("crossing")[:size])
-            until(lambda: held._parser.reading)
+            wait_until(lambda: held._parser.reading)
 
         LateReader(held, crossing)
-        assert not connection_handover.give_idle(held, never_sent)
+        assert not connection_handover.send_idle(held, never_sent)
         assert client.send(asked("crossing")[size:]).answer().status == 200
 
 
@@ -97,36 +97,36 @@
 
     def in_two(sock: socket.socket, message: Message) -> None:
         step.wait()
-        sock.sendall(HEAD + chunk(EVENTS[0]))
-        until(lambda: new.host.in_progress() == 1)
+        sock.sendall(STREAM_HEAD + chunk(EVENTS[0]))
+        wait_until(lambda: new.host.in_progress() == 1)
         sock.sendall(chunk(EVENTS[1]) + END)
 
     with two_processes(in_two) as (old, new, engine):
         client = old.client().send(asked("first"))
-        until(lambda: engine.requests)
+        wait_until(lambda: engine.requests)
         (held,) = old.inbound._clients
 
         def crossing() -> None:
             client.send(asked("second"))
-            until(held.unread)
+            wait_until(held.has_unread)
 
         LateReader(held, crossing)
         step.set()
         assert rest(client, b"").status == 200
         assert client.answer().status == 503  # the next process has no engine
-        assert not old.inbound._clients and not held._parser.whole
+        assert not old.inbound._clients and not held._parser.complete
 
 
 def test_a_stream_is_not_broken_off_while_its_reader_is_stopped() -> None:
     """The clock of a drain may come to `drain_move_ms` then."""
     with two_processes(begin_only) as (old, new, engine):
         client = old.client()
-        until(lambda: old.inbound._clients)
+        wait_until(lambda: old.inbound._clients)
         (held,) = old.inbound._clients
         LateReader(held, old.host.move_streams)
         client.send(ask())
-        until(lambda: new.host.in_progress() == 1)
-        assert old.heard(i.StreamStarted) and engine.ends == 0
+        wait_until(lambda: new.host.in_progress() == 1)
+        assert old.events_of(i.StreamStarted) and engine.closed == 0
         client.sock.settimeout(0.0)
         taken = client.sock.recv(65536)
         assert taken.endswith(chunk(EVENTS[0]))
@@ -140,7 +140,7 @@
 @contextmanager
 def stream(**changes: Any) -> Iterator[tuple[bytes, list[int], list[socket.socket]]]:
     """A stream's message, and descriptors of two connections that run: those the other sides hold."""
-    told = connection_handover.Stream(
+    told = connection_handover.StreamState(
         connection_handover.VERSION, "9b1f", "chat", "acme", 0.0, 0.0, "e0", 0.0, 0.0,
         [("content-type", "text/event-stream"), ("transfer-encoding", "chunked")], "", True, False,
     )  # fmt: skip
@@ -167,9 +167,9 @@
     head: list[tuple[str, str]],
 ) -> None:
     """The other process is told so and goes on with it."""
-    with stage() as (new,), stream(head=head) as (text, numbers, ends):
-        with pytest.raises(Torn):
-            connection_handover.take(new.host, new.inbound, text, numbers)
+    with running_router() as (new,), stream(head=head) as (text, numbers, ends):
+        with pytest.raises(HandoverDataError):
+            connection_handover.receive(new.host, new.inbound, text, numbers)
         assert not new.inbound._clients and not new.host.open_requests() and not new.host.is_open("9b1f")
         assert new.host._endpoints._pool._open == 0
         assert [end.recv(1) for end in ends] == [b"", b""]  # no descriptor stays
@@ -178,23 +178,23 @@
 @pytest.mark.parametrize("idle", [True, False])
 def test_a_process_that_ends_takes_nothing_more(idle: bool) -> None:
     """It may be at its last step, after it looked for what is still open."""
-    with stage() as (new,), stream() as (text, numbers, ends):
+    with running_router() as (new,), stream() as (text, numbers, ends):
         new.inbound.drainer.begin(DrainCause.SIGTERM, DrainSchedule({}))
         if idle:
             os.close(numbers.pop())
             text = connection_handover.IDLE
-        with pytest.raises(Torn):
-            connection_handover.take(new.host, new.inbound, text, numbers)
+        with pytest.raises(HandoverDataError):
+            connection_handover.receive(new.host, new.inbound, text, numbers)
         assert not new.inbound._clients and [end.recv(1) for end in ends] == [b"", b""]
 
 
 @pytest.mark.parametrize("first", [True, False])
 def test_where_a_descriptor_is_no_socket_none_stays_open(first: bool) -> None:
-    with stage() as (new,), stream() as (text, numbers, ends):
+    with running_router() as (new,), stream() as (text, numbers, ends):
         file = os.open(os.devnull, os.O_RDONLY)
         numbers.insert(0 if first else 2, file)
         with pytest.raises(OSError):
-            connection_handover.take(new.host, new.inbound, text, numbers)
+            connection_handover.receive(new.host, new.inbound, text, numbers)
         assert [end.recv(1) for end in ends] == [b"", b""]
         with pytest.raises(OSError):
             os.fstat(file)
@@ -204,7 +204,7 @@
 def test_what_was_never_sent_is_not_in_doubt(tmp_path: Path, taken: bool) -> None:
     """Only what left this process may be with another one: else the stream goes on here."""
     one, two = Handover(str(tmp_path)), Handover(str(tmp_path))
-    one.look()
+    one.refresh_peers()
     two.listen_for_streams(lambda text, descriptors: lambda: None)
     with socket.socket() as idle:
         number = idle.fileno() if taken else -1  # one that is closed can't be sent
@@ -218,16 +218,16 @@
 ) -> None:
     """A process may be out of descriptors for a moment."""
     one, two = Handover(str(tmp_path)), Handover(str(tmp_path))
-    one.look()
-    two.write_words(b"said")
+    one.refresh_peers()
+    two.write_overrides(b"said")
 
     def none_left(path: Path) -> bytes:
         raise OSError(errno.EMFILE, "Too many open files")
 
     with monkeypatch.context() as lacking:
         lacking.setattr(Path, "read_bytes", none_left)
-        assert one.others_words([]) == []
-    assert one.others_words([]) == [b"said"] and one.others_words([]) == []
+        assert one.read_peer_overrides([]) == []
+    assert one.read_peer_overrides([]) == [b"said"] and one.read_peer_overrides([]) == []
     one.close()
     two.close()
 
@@ -237,7 +237,7 @@
 ) -> None:
     """SIGTERM may come before the next look: the router then ends as one that nobody follows."""
     raw = make_config([])
-    with socket.socket() as shared, stage() as (scene,):
+    with socket.socket() as shared, running_router() as (scene,):
         shared.bind((LISTEN, 0))
         shared.listen(8)
         monkeypatch.setenv("TMPDIR", str(tmp_path))
@@ -245,7 +245,7 @@
         older = Operations(config.parse(msgspec.json.encode(raw)))
         older._host, older._inbound = scene.host, scene.inbound
         newer = Handover(str(tmp_path))
-        older._handover.look()  # type: ignore[union-attr]
+        older._handover.refresh_peers()  # type: ignore[union-attr]
         assert older.succeeded()
         newer.close()
         assert older.drain() is None
@@ -258,20 +258,20 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """It comes after the first look at the connection and before the second, unread as yet."""
-    give_idle = connection_handover.give_idle
+    give_idle = connection_handover.send_idle
     monkeypatch.setenv("TMPDIR", str(tmp_path))
-    with stage(serve_all) as (scene, _):
+    with running_router(serve_all) as (scene, _):
         client = scene.client().send(ask())
         assert client.answer().status == 200
         (held,) = scene.inbound._clients
-        until(held.idle)
+        wait_until(held.idle)
 
         def just_now(given: Any, send: Any) -> bool:
             client.send(ask(X_Correlation_Id="next"))
-            assert given.unread() and given.idle()  # no greenlet had its turn
+            assert given.has_unread() and given.idle()  # no greenlet had its turn
             return give_idle(given, send)
 
-        monkeypatch.setattr(connection_handover, "give_idle", just_now)
+        monkeypatch.setattr(connection_handover, "send_idle", just_now)
         operations = Operations(scene.config)
         monkeypatch.setattr(operations, "_send_idle", never_sent)
         assert operations._give_idle(held)
--- a/tests/test_http1.py
+++ b/tests/test_http1.py
@@ -8,7 +8,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from spoolbarrow.net.http1 import Fault, Message, RequestParser, ResponseParser, request_pieces
+from spoolbarrow.net.http1 import HttpError, Message, RequestParser, ResponseParser, request_pieces
 
 fixed = settings(derandomize=True, deadline=None, max_examples=150)
 TEXT = st.binary(max_size=200)
@@ -48,9 +48,9 @@
     sent: list[tuple[bytes, bytes, list[tuple[bytes, bytes]]]], cuts: list[int]
 ) -> None:
     parser = parse(cut(b"".join(raw for raw, _, _ in sent), cuts))
-    assert parser.fault is None and not parser.reading
-    assert [m.body for m in parser.whole] == [body for _, body, _ in sent]
-    for message, (_, _, free) in zip(parser.whole, sent, strict=True):
+    assert parser.error is None and not parser.reading
+    assert [m.body for m in parser.complete] == [body for _, body, _ in sent]
+    for message, (_, _, free) in zip(parser.complete, sent, strict=True):
         assert [f for f in message.headers if f[0].lower() not in OWN] == free
 
 
@@ -59,8 +59,8 @@
 def test_a_request_written_out_again_is_the_same_request(
     sent: tuple[bytes, bytes, list[tuple[bytes, bytes]]], cuts: list[int]
 ) -> None:
-    first = parse([memoryview(sent[0])]).whole[0]
-    again = parse(cut(b"".join(request_pieces(first, ("127.0.0.1", 9), 77)), cuts)).whole[0]
+    first = parse([memoryview(sent[0])]).complete[0]
+    again = parse(cut(b"".join(request_pieces(first, ("127.0.0.1", 9), 77)), cuts)).complete[0]
     assert (again.method, again.target, again.body) == (first.method, first.target, first.body)
     kept = [f for f in sent[2] if f[0].lower() not in (b"host", b"keep-alive", b"trailer", b"x-time-left-ms")]
     assert [f for f in again.headers if f in kept] == kept
@@ -85,13 +85,13 @@
 @given(st.lists(TEXT | st.sampled_from([b"GET / HTTP/1.1\r\n", b"\r\n\r\n", b"HTTP/1.1 200 OK\r\n"])))
 def test_garbage_is_a_fault_or_unfinished_and_nothing_else(parts: list[bytes]) -> None:
     parser = parse([memoryview(part) for part in parts])
-    assert parser.fault is None or parser.fault.status in (400, 405, 413, 431)
+    assert parser.error is None or parser.error.status in (400, 405, 413, 431)
     answer = ResponseParser(16384)
     try:
         for part in parts:
             answer.feed(memoryview(part))
         answer.end()
-    except (Fault, ConnectionResetError):
+    except (HttpError, ConnectionResetError):
         return
     assert answer.whole and not answer.reusable
 
@@ -130,13 +130,13 @@
     for size in (1, 50, len(raw)):
         parser = parse([memoryview(raw)[n : n + size] for n in range(0, len(raw), size)], 500, 100)
         if size < 100 or status != 431 or raw.count(b"\r\n") > 2:  # an unfinished field counts by whole reads
-            assert parser.fault is not None and parser.fault.status == status
-        assert not parser.whole
+            assert parser.error is not None and parser.error.status == status
+        assert not parser.complete
 
 
 def test_a_body_of_the_largest_size_is_taken() -> None:
     raw = b"POST / HTTP/1.1\r\nContent-Length: 100\r\n\r\n" + b"x" * 100
-    assert parse([memoryview(raw)], 500, 100).whole[0].body == b"x" * 100
+    assert parse([memoryview(raw)], 500, 100).complete[0].body == b"x" * 100
 
 
 def test_an_answer_followed_by_more_is_whole_but_its_connection_is_not_used_again() -> None:
@@ -164,7 +164,7 @@
 
 def test_trailers_say_nothing() -> None:
     raw = b"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n1\r\na\r\n0\r\nX-Account: b\r\n\r\n"
-    assert parse([memoryview(raw)]).whole[0] == Message(
+    assert parse([memoryview(raw)]).complete[0] == Message(
         b"POST", b"/", [(b"Transfer-Encoding", b"chunked")], {b"transfer-encoding": b"chunked"}, b"a"
     )
 
@@ -176,7 +176,7 @@
 @given(st.lists(st.integers(0, 200), max_size=6))
 def test_blanks_round_a_value_are_no_part_of_it(cuts: list[int]) -> None:
     """In requests and in answers, wherever the bytes were cut."""
-    request = parse(cut(b"POST /v1/x HTTP/1.1\r\n" + PADDED, cuts)).whole[0]
+    request = parse(cut(b"POST /v1/x HTTP/1.1\r\n" + PADDED, cuts)).complete[0]
     answer = ResponseParser(16384)
     for part in cut(b"HTTP/1.1 200 OK\r\n" + PADDED, cuts):
         answer.feed(part)
@@ -194,4 +194,4 @@
     raw = b"POST /v1/x HTTP/1.1\r\nTransfer-Encoding: chunked" + pad + b"\r\n\r\n2\r\nhi\r\n0\r\n\r\n"
     for parts in ([raw], [raw[n : n + 1] for n in range(len(raw))]):
         parser = parse([memoryview(part) for part in parts])
-        assert parser.fault is None and parser.whole[0].body == b"hi"
+        assert parser.error is None and parser.complete[0].body == b"hi"
--- a/tests/test_lab_sockets.py
+++ b/tests/test_lab_sockets.py
@@ -16,8 +16,8 @@
 from spoolbarrow.lab.fleet import fleet, stream
 from spoolbarrow.lab.scenario import Scenario, convert
 from spoolbarrow.lab.wire import HOST, Clock, WireEngine
-from spoolbarrow.net.http1 import Fault, ResponseParser
-from tests.stage import ask, until
+from spoolbarrow.net.http1 import HttpError, ResponseParser
+from tests.router_harness import ask, wait_until
 
 BASE: dict[str, Any] = {
     "name": "small",
@@ -85,12 +85,12 @@
 def test_full_and_draining_are_unprocessed(engine: WireEngine) -> None:
     engine.engine.stall(engine.clock.now(), 1e9)
     held = [Talk(engine.ports[0]).ask() for _ in range(3)]
-    until(lambda: len(engine.engine.jobs) == 3)
+    wait_until(lambda: len(engine.engine.jobs) == 3)
     parser, _ = Talk(engine.ports[0]).ask().answer()
     assert parser.status == 503 and parser.fields[b"x-unprocessed"] == b"1"
     for talk in held:  # their callers leave: all work is dropped
         talk.sock.close()
-    until(lambda: not engine.talks or not engine.news)
+    wait_until(lambda: not engine.talks or not engine.news)
     engine._drain()
     parser, _ = Talk(engine.ports[0]).ask().answer()
     assert parser.status == 503 and engine.told[-1]["status"] == "terminating"  # type: ignore[attr-defined]
@@ -106,18 +106,18 @@
 def test_faults_on_the_wire_are_seen_as_faults(engine: WireEngine, kind: str) -> None:
     setattr(engine, kind, 1.0)
     for _ in range(4):
-        with pytest.raises((OSError, Fault)):
+        with pytest.raises((OSError, HttpError)):
             Talk(engine.ports[0]).ask(answer=40).answer()
 
 
 def test_a_crash_breaks_streams_and_a_restart_is_told(engine: WireEngine) -> None:
     engine.engine.stall(engine.clock.now(), 1e9)
     talk = Talk(engine.ports[0]).ask()
-    until(lambda: engine.engine.jobs)
+    wait_until(lambda: engine.engine.jobs)
     engine.crash(0.0)
     with pytest.raises(OSError):
         talk.answer()
-    until(lambda: engine.alive)
+    wait_until(lambda: engine.alive)
     parser, _ = Talk(engine.ports[0]).ask().answer()
     assert parser.status == 200 and engine.told[-1]["status"] == "in_service"  # type: ignore[attr-defined]
 
@@ -147,7 +147,7 @@
         whole = orjson.loads(talk.answer()[1])
         assert [e["address"] for e in whole["endpoints"]] == [f"{HOST}:12", f"{HOST}:22"]
         talk.sock.sendall(b"GET /discovery/hosts?stream=1&index=1 HTTP/1.1\r\nHost: d\r\n\r\n")
-        until(lambda: listing.watchers[1])
+        wait_until(lambda: listing.watchers[1])
         name = whole["endpoints"][0]["name"]
         listing.changed(
             {"id": name, "status": "terminating", "silent": False, "ports": [11, 12], "started_at": 5.0}
--- a/tests/test_list_clock.py
+++ b/tests/test_list_clock.py
@@ -27,20 +27,20 @@
 from spoolbarrow.lab.wire import PLAIN
 from spoolbarrow.net import discovery_client
 from spoolbarrow.net.destinations import DestinationSet
-from spoolbarrow.net.http1 import Fault, Message
-from spoolbarrow.net.messages import Messages
-from tests.stage import (
-    HEAD,
-    TURNED_AWAY,
-    Party,
-    Stage,
+from spoolbarrow.net.http1 import HttpError, Message
+from spoolbarrow.net.json_objects import JsonObjectSplitter
+from tests.router_harness import (
+    STREAM_HEAD,
+    UNPROCESSED_503,
+    ScriptedServer,
+    RouterHarness,
     ask,
     chunk,
-    entry,
+    endpoint_entry,
     make_config,
     now_unix_ms,
     serve_all,
-    until,
+    wait_until,
 )
 
 CLOCK_S = 6.0
@@ -49,13 +49,13 @@
 
 def lines(index: int, *gone: str, whole: bool = False, indent: int = 0) -> bytes:
     """News that these endpoints are to be left, on a line or indented over many."""
-    found = [entry(name, 1, status="terminating") for name in gone]
+    found = [endpoint_entry(name, 1, status="terminating") for name in gone]
     text = msgspec.json.encode({"index": index, "snapshot": whole, "endpoints": found})
     return (msgspec.json.format(text, indent=indent) if indent else text) + b"\n"
 
 
 def say(sock: Sock, text: bytes, head: bool = True) -> None:
-    sock.sendall((HEAD if head else b"") + (chunk(text) if text else b""))
+    sock.sendall((STREAM_HEAD if head else b"") + (chunk(text) if text else b""))
 
 
 # What is cut out of a stream
@@ -81,7 +81,7 @@
         text = b"" if one is None else msgspec.json.encode(one)
         stream += (msgspec.json.format(text, indent=indent) if indent and text else text) + b"\n"
     found: list[bytes] = []
-    messages = Messages(1 << 20)
+    messages = JsonObjectSplitter(1 << 20)
     while stream:
         size = sizes[len(stream) % len(sizes)]
         found += messages.feed(stream[:size])
@@ -91,8 +91,8 @@
 
 @pytest.mark.parametrize("text", [b"7\n", b"}", b"text", b"] {}", b"{} x\n", b'{"a":"%s' % (b"x" * 200)])
 def test_what_is_no_object_is_a_fault(text: bytes) -> None:
-    with pytest.raises(Fault):
-        list(Messages(100).feed(text))
+    with pytest.raises(HttpError):
+        list(JsonObjectSplitter(100).feed(text))
 
 
 # Silence
@@ -119,8 +119,8 @@
         self.silent: list[float] = []
         self.kinds: list[i.ListKind] = []
         self.heard = 0.0
-        self.party = Party(self.answer)
-        raw = make_config([entry("e0", 1), entry("e1", 2)], self.party.port, options=options)
+        self.party = ScriptedServer(self.answer)
+        raw = make_config([endpoint_entry("e0", 1), endpoint_entry("e1", 2)], self.party.port, options=options)
         raw["settings"]["Discovery"] = mode
         self.config = config.parse(msgspec.json.encode(raw))
         self.set = DestinationSet(self.config, self.tell, lambda name: None, now_unix_ms)
@@ -232,7 +232,7 @@
     try:
         for one in played.values():
             one.set.watch()
-        until(lambda: all(one.heard for one in played.values()))
+        wait_until(lambda: all(one.heard for one in played.values()))
         for name, one in played.items():
             fell = one.silent or [begun]
             mended = [*fell[1:], one.heard]  # the next watch, silent or not, began by then
@@ -258,19 +258,19 @@
         while not ended.is_set():
             sock, _ = listener.accept()
             opened.append(sock.recv(4096))
-            sock.sendall(HEAD + chunk(b"\n"))
+            sock.sendall(STREAM_HEAD + chunk(b"\n"))
             while not ended.wait(0.1):
                 sock.sendall(chunk(b"\n"))
             sock.close()
 
     thread = threading.Thread(target=serve, daemon=True)
     thread.start()
-    raw = make_config([entry("e0", 1)], listener.getsockname()[1], options={"watch_silence_ms": 700.0})
+    raw = make_config([endpoint_entry("e0", 1)], listener.getsockname()[1], options={"watch_silence_ms": 700.0})
     told: list[i.ReplicaList] = []
     made = DestinationSet(config.parse(msgspec.json.encode(raw)), told.append, lambda name: None, now_unix_ms)
     try:
         made.watch()
-        until(lambda: told)
+        wait_until(lambda: told)
         for _ in range(3):
             time.sleep(2.1)  # the loop stands still
             gevent.sleep(0.05)
@@ -288,12 +288,12 @@
     monkeypatch.setattr("spoolbarrow.net.discovery_watch.CLOCK_MS", 300.0)
 
     def turned_away(of: Scripted, sock: Sock) -> None:
-        sock.sendall(TURNED_AWAY)
+        sock.sendall(UNPROCESSED_503)
 
     one = Scripted(nothing_more, turned_away, turned_away, tells, watch_silence_ms=100.0)
     try:
         one.set.watch()
-        until(lambda: "list_confirmed" in logged)
+        wait_until(lambda: "list_confirmed" in logged)
         unconfirmed = [event for event in logged if event.startswith("list_")]
         assert unconfirmed == ["list_unconfirmed", "list_confirmed"] and one.heard
     finally:
@@ -313,7 +313,7 @@
     one, other = Scripted(tells), Scripted(half, all_of_it, nothing_more, call_timeout_ms=500.0)
     try:
         one.set.apply(other.config)
-        until(lambda: other.silent)
+        wait_until(lambda: other.silent)
         assert other.targets[:2] == [b"/discovery/hosts"] * 2
         assert other.targets[2] == b"/discovery/hosts?stream=1&index=3" and not one.targets
         assert one.kinds[:2] == [i.ListKind.RESTORED, i.ListKind.WHOLE] and one.heard
@@ -370,7 +370,7 @@
     one, begun = Scripted(bad, tells), time.monotonic()
     try:
         one.set.watch()
-        until(lambda: one.heard)
+        wait_until(lambda: one.heard)
         assert one.heard - begun < CLOCK_S
         assert one.targets == [b"/discovery/hosts?stream=1&index=7"] * 2
         assert one.kinds == [i.ListKind.RESTORED, i.ListKind.FAILED, i.ListKind.CHANGES]
@@ -397,7 +397,7 @@
     try:
         one.set.apply(other.config)  # the whole list is asked for
         one.set.watch()
-        until(lambda: one.heard)
+        wait_until(lambda: one.heard)
         assert one.heard - begun < CLOCK_S and i.ListKind.WHOLE in one.kinds
         assert fault in next(line["why"] for line in told if line["e"] == "bad_list")
     finally:
@@ -419,7 +419,7 @@
 
     lost: list[Exception] = []
     made = gevent.spawn(discovery_client.first_of, call, lambda: 20.0, now_unix_ms, lost.append)
-    until(lambda: len(begun) == 2)
+    wait_until(lambda: len(begun) == 2)
     gevent.sleep(0.2)
     assert begun == [0, 1]
     answer.set()
@@ -449,7 +449,7 @@
     def __init__(self) -> None:
         self.news, self.out = lines(8, whole=True), False
         self.asked = 0
-        self.party = Party(self.answer)
+        self.party = ScriptedServer(self.answer)
 
     def answer(self, sock: Sock, message: Message) -> object:
         self.asked += 1
@@ -470,12 +470,12 @@
 
 
 @contextmanager
-def pushed(agent: Agent, **changes: Any) -> Iterator[tuple[Stage, Party]]:
+def pushed(agent: Agent, **changes: Any) -> Iterator[tuple[RouterHarness, ScriptedServer]]:
     """A router with a pushed list; e0, which nobody listens at, and e1 are what it knows."""
-    engine = Party(serve_all)
-    raw = make_config([entry("e0", 1), entry("e1", engine.port)], agent.party.port, **changes)
+    engine = ScriptedServer(serve_all)
+    raw = make_config([endpoint_entry("e0", 1), endpoint_entry("e1", engine.port)], agent.party.port, **changes)
     raw["settings"]["Discovery"] = "automatic"
-    made = Stage(raw)
+    made = RouterHarness(raw)
     try:
         yield made, engine
     finally:
@@ -487,7 +487,7 @@
 
 def has(agent: Agent, index: int, port: int, *gone: str) -> None:
     """What the agent has from now on: e1 in service, and these to be left."""
-    found = [entry("e1", port)] + [entry(name, 1, status="terminating") for name in gone]
+    found = [endpoint_entry("e1", port)] + [endpoint_entry(name, 1, status="terminating") for name in gone]
     text = msgspec.json.encode({"index": index, "snapshot": True, "endpoints": found})
     agent.news = msgspec.json.format(text, indent=2)
 
@@ -497,10 +497,10 @@
     has(agent, 9, 1, "e0")
     with pushed(agent) as (scene, engine):
         assert not scene.host.destinations.serving("e0")  # from the first moment
-        until(lambda: scene.told)
-        assert [event.kind for event in scene.told] == [i.ListKind.RESTORED, i.ListKind.WHOLE]
+        wait_until(lambda: scene.events)
+        assert [event.kind for event in scene.events] == [i.ListKind.RESTORED, i.ListKind.WHOLE]
         has(agent, 10, engine.port, "e0")
-        until(lambda: scene.host.destinations.address("e1") == ("127.0.0.1", engine.port))
+        wait_until(lambda: scene.host.destinations.address("e1") == ("127.0.0.1", engine.port))
         assert scene.client().send(ask()).answer().status == 200
 
 
@@ -514,7 +514,7 @@
         assert time.monotonic() - begun < 5.0
         agent.out = False
         has(agent, 9, engine.port, "e0")
-        until(lambda: not scene.host.destinations.serving("e0"))
+        wait_until(lambda: not scene.host.destinations.serving("e0"))
 
 
 def test_after_an_outage_the_agent_is_heard_at_once() -> None:
@@ -522,17 +522,17 @@
     agent = Agent()
     with pushed(agent, options={"watch_silence_ms": 500.0}) as (scene, engine):
         has(agent, 9, engine.port)
-        until(lambda: scene.host.destinations.seen()[0] == 9)
+        wait_until(lambda: scene.host.destinations.seen()[0] == 9)
         agent.out = True
         asked = agent.asked
-        until(lambda: agent.asked > asked + 3)  # the silence is noticed, and the agent asked again and again
+        wait_until(lambda: agent.asked > asked + 3)  # the silence is noticed, and the agent asked again and again
         gevent.sleep(4.0)
         has(agent, 10, engine.port, "e0")
         agent.out, back = False, time.monotonic()
-        until(lambda: not scene.host.destinations.serving("e0"))
+        wait_until(lambda: not scene.host.destinations.serving("e0"))
         assert time.monotonic() - back < 1.0
         assert 12 < agent.asked - asked < 60  # none given up for the next, and no storm
-        assert i.ListKind.FAILED not in [event.kind for event in scene.heard(i.ReplicaList)]
+        assert i.ListKind.FAILED not in [event.kind for event in scene.events_of(i.ReplicaList)]
 
 
 @pytest.mark.parametrize("mode", ["automatic", "subscribe"])
@@ -548,7 +548,7 @@
         scene.host.apply(config.parse(msgspec.json.encode(raw)))
         gevent.sleep(1.0)
         other.out = False
-        until(lambda: scene.host.destinations.seen()[0] == 3)
+        wait_until(lambda: scene.host.destinations.seen()[0] == 3)
         assert time.monotonic() - begun < 4.0
         assert not scene.host.destinations.serving("e0")
         assert scene.client().send(ask()).answer().status == 200
--- a/tests/test_log.py
+++ b/tests/test_log.py
@@ -12,7 +12,7 @@
 import pytest
 
 from spoolbarrow.net.log import Log
-from tests.stage import until
+from tests.router_harness import wait_until
 
 
 @pytest.fixture
@@ -97,6 +97,6 @@
     log.write("started", {})
     log.start()
     log.write("started", {})
-    until(lambda: not log._lines)
+    wait_until(lambda: not log._lines)
     log.stop()
     os.close(writer)
--- a/tests/test_pipeline_terms.py
+++ b/tests/test_pipeline_terms.py
@@ -4,14 +4,14 @@
 
 import pytest
 
-from tests.stage import ask, serve_all, stage
+from tests.router_harness import ask, serve_all, running_router
 
 
 @pytest.mark.parametrize("behind", [b"\x00nonsense\r\n\r\n", b"POST / HTTP/1.1\r\nContent-Length: x\r\n\r\n"])
 def test_each_request_read_before_a_malformed_one_has_an_answer(behind: bytes) -> None:
     """On a new connection: each has its own, and the connection ends behind the last of them."""
     ids = ["one", "two", "three"]
-    with stage(serve_all) as (scene, _):
+    with running_router(serve_all) as (scene, _):
         client = scene.client().send(b"".join(ask(X_Correlation_Id=id) for id in ids) + behind)
         for _id in ids:
             assert client.answer().whole
