--- a/tests/test_read_requests.py
+++ b/tests/test_read_requests.py
@@ -17,11 +17,11 @@
 from spoolbarrow.net import client as client_module
 from spoolbarrow.net import http1, tcpinfo
 from spoolbarrow.net.client import FIRST_READ
-from spoolbarrow.net.client import Client as InboundClient
+from spoolbarrow.net.client import ClientConnection as InboundClient
 from spoolbarrow.net.http1 import Message, RequestParser
 from spoolbarrow.net.overflow import Overflow
-from tests.stage import EVENTS, HEAD, LISTEN, chunk, end_answers, serve_all, stage, until
-from tests.stage import ask as asked
+from tests.router_harness import EVENTS, STREAM_HEAD, LISTEN, chunk, end_answers, serve_all, running_router, wait_until
+from tests.router_harness import ask as asked
 from tests.test_client_races import all_of, the_client
 
 UP = b"GET /up HTTP/1.1\r\n\r\n"
@@ -61,7 +61,7 @@
 
 def read_or_unread(inside: InboundClient) -> bool:
     """Whether something has come, taken out of the kernel or not."""
-    return inside.unread() or bool(inside._parser.whole) or inside._parser.reading
+    return inside.has_unread() or bool(inside._parser.complete) or inside._parser.reading
 
 
 # What the kernel does
@@ -80,9 +80,9 @@
         if ended:
             far.shutdown(socket.SHUT_WR)
         near.sendall(b"crossing")
-        until(lambda: http1.polled(far, select.POLLIN) and not tcpinfo.awaits_peer(far))
+        wait_until(lambda: http1.polled(far, select.POLLIN) and not tcpinfo.has_unacknowledged(far))
         far.close()
-        until(lambda: http1.polled(near, select.POLLIN) & (select.POLLHUP | select.POLLERR))
+        wait_until(lambda: http1.polled(near, select.POLLIN) & (select.POLLHUP | select.POLLERR))
         assert near.recv(100) == b"answer"
         if ended:
             assert near.recv(100) == b""  # no error either: the end had come before the reset
@@ -96,11 +96,11 @@
 
 def test_a_request_that_crosses_the_last_answer_is_not_read() -> None:
     """It comes while the answer that says `Connection: close` is written; its client sends it again."""
-    with stage(serve_all, options={"linger_ms": NEVER}) as (scene, engine):
+    with running_router(serve_all, options={"linger_ms": NEVER}) as (scene, engine):
         client = scene.client().send(UP)
         client.answer()
         inside = the_client(scene)
-        until(inside.idle)
+        wait_until(inside.idle)
         end_answers(scene)
         write, gate, came = inside.write, Event(), Event()
 
@@ -113,57 +113,57 @@
         client.send(UP)
         came.wait()
         client.send(ask("crossing"))
-        until(lambda: read_or_unread(inside))
+        wait_until(lambda: read_or_unread(inside))
         polls()
         gate.set()
-        until(lambda: inside.ending)
+        wait_until(lambda: inside.ending)
         polls()
-        assert inside.unread() and not inside._parser.whole
+        assert inside.has_unread() and not inside._parser.complete
         answer = client.answer()
         assert answer.status == 200 and answer.fields[b"connection"] == b"close" and client.ended()
-        until(lambda: not scene.inbound._clients)  # although its client stays: not kept for long
+        wait_until(lambda: not scene.inbound._clients)  # although its client stays: not kept for long
         assert not engine.requests
 
 
 def test_a_request_that_comes_after_the_last_answer_is_not_read() -> None:
     """The reader waits for bytes as the answer ends; what wakes it is left to the kernel."""
-    with stage(serve_all, options={"linger_ms": NEVER}) as (scene, engine):
+    with running_router(serve_all, options={"linger_ms": NEVER}) as (scene, engine):
         client = scene.client().send(ask("last", Connection="close"))
         inside = the_client(scene)
-        until(lambda: inside.ending)
+        wait_until(lambda: inside.ending)
         client.send(ask("next"))
-        until(lambda: read_or_unread(inside))
+        wait_until(lambda: read_or_unread(inside))
         polls()
-        assert inside.unread()
+        assert inside.has_unread()
         assert client.answer().status == 200 and client.ended()
-        until(lambda: not scene.inbound._clients)
+        wait_until(lambda: not scene.inbound._clients)
         assert names(engine) == [b"last"]
 
 
 def test_a_request_that_crosses_the_word_that_none_came_is_not_read() -> None:
     """A fresh connection has its 408 as its first request comes in."""
-    with stage(serve_all, options={"linger_ms": NEVER}) as (scene, engine):
+    with running_router(serve_all, options={"linger_ms": NEVER}) as (scene, engine):
         client = scene.client()
         inside = the_client(scene)
         inside.overdue()
-        until(lambda: inside.ending)
+        wait_until(lambda: inside.ending)
         client.send(ask("late"))
-        until(lambda: read_or_unread(inside))
+        wait_until(lambda: read_or_unread(inside))
         polls()
-        assert inside.unread()
+        assert inside.has_unread()
         assert client.answer().status == 408 and client.ended()
         assert not engine.requests
 
 
 def test_only_the_rest_of_a_refused_body_is_thrown_away() -> None:
     """Unread, its sender might never come to its answer; what follows it is left to the kernel."""
-    with stage(serve_all, options={"linger_ms": NEVER}) as (scene, engine):
+    with running_router(serve_all, options={"linger_ms": NEVER}) as (scene, engine):
         raw = asked(b"x" * 300_000)
         client = scene.client().send(raw[:-1000])
         inside = the_client(scene)
-        until(lambda: inside.ending)
+        wait_until(lambda: inside.ending)
         client.send(raw[-1000:] + ask("next"))
-        until(lambda: unread(inside) == ask("next"))
+        wait_until(lambda: unread(inside) == ask("next"))
         polls()
         assert unread(inside) == ask("next")
         got = all_of(client)
@@ -172,7 +172,7 @@
 
 def unread(inside: InboundClient) -> bytes:
     """What stands in the kernel."""
-    return inside.sock.recv(65536, socket.MSG_PEEK) if inside.unread() else b""
+    return inside.sock.recv(65536, socket.MSG_PEEK) if inside.has_unread() else b""
 
 
 @pytest.mark.parametrize("behind", [ask("next"), ask("next")[:40]])
@@ -180,21 +180,21 @@
     go = Event()
 
     def half(sock: socket.socket, message: Message) -> bool:
-        sock.sendall(HEAD + chunk(EVENTS[0]))
+        sock.sendall(STREAM_HEAD + chunk(EVENTS[0]))
         return go.wait()
 
-    with stage(half, options={"linger_ms": NEVER}) as (scene, engine):
+    with running_router(half, options={"linger_ms": NEVER}) as (scene, engine):
         client = scene.client().send(ask("first"))
         inside = the_client(scene)
-        until(lambda: scene.heard(i.StreamStarted))
+        wait_until(lambda: scene.events_of(i.StreamStarted))
         client.send(behind)
-        until(lambda: read_or_unread(inside))
+        wait_until(lambda: read_or_unread(inside))
         polls()
         assert unread(inside) == behind
         go.set()
         got = all_of(client)
         assert EVENTS[0] in got and not got.endswith(b"0\r\n\r\n")
-        until(lambda: not scene.inbound._clients)
+        wait_until(lambda: not scene.inbound._clients)
         assert names(engine) == [b"first"]
 
 
@@ -207,12 +207,12 @@
         far, _ = listener.accept()
     with near, far:
         near.sendall(ask("one") + ask("two"))
-        until(lambda: http1.polled(far, select.POLLIN))
+        wait_until(lambda: http1.polled(far, select.POLLIN))
         overflow = Overflow()
         overflow.refuse(far, 0.0)
         far.settimeout(0.0)
         assert far.recv(65536, socket.MSG_PEEK) == ask("one") + ask("two")
-        until(lambda: not tcpinfo.awaits_peer(far))
+        wait_until(lambda: not tcpinfo.has_unacknowledged(far))
         overflow.close()
         got = b""
         while data := near.recv(65536):
@@ -224,7 +224,7 @@
 
 
 def test_requests_read_behind_one_that_is_turned_away_have_their_own_answers() -> None:
-    with stage(serve_all) as (scene, engine):
+    with running_router(serve_all) as (scene, engine):
         client = scene.client()
         client.send(b"GET /nowhere HTTP/1.1\r\n\r\n" + ask("a") + ask("b", X_Account="nobody") + ask("c"))
         assert statuses(client) == [404, 200, 400, 200]  # and then its end
@@ -238,20 +238,20 @@
         else:
             serve_all(sock, message)
 
-    with stage(script) as (scene, engine):
+    with running_router(script) as (scene, engine):
         client = scene.client().send(ask("bad") + ask("good"))
         assert statuses(client) == [400, 200] and names(engine) == [b"bad", b"good"]
 
 
 def test_requests_read_before_a_malformed_one_have_their_own_answers() -> None:
-    with stage(serve_all) as (scene, engine):
+    with running_router(serve_all) as (scene, engine):
         client = scene.client().send(ask("a") + ask("b") + MALFORMED)
         assert statuses(client) == [200, 200, 400] and names(engine) == [b"a", b"b"]
 
 
 def test_a_request_followed_by_what_begins_none_is_the_malformed_one() -> None:
     """Its length was told too short: it must never be sent on; the one before it is whole."""
-    with stage(serve_all) as (scene, engine):
+    with running_router(serve_all) as (scene, engine):
         client = scene.client().send(ask("a") + ask("b") + NO_REQUEST)
         assert statuses(client) == [200, 400] and names(engine) == [b"a"]
 
@@ -259,11 +259,11 @@
 @pytest.mark.parametrize("behind", [MALFORMED, NO_REQUEST])
 def test_a_request_that_is_out_has_its_own_answer_whatever_follows(behind: bytes) -> None:
     go = Event()
-    with stage(served_after(go)) as (scene, engine):
+    with running_router(served_after(go)) as (scene, engine):
         client = scene.client().send(ask("a"))
-        until(lambda: engine.requests)
+        wait_until(lambda: engine.requests)
         client.send(behind)
-        until(lambda: read_or_unread(the_client(scene)) or scene.heard(i.RequestGone))
+        wait_until(lambda: read_or_unread(the_client(scene)) or scene.events_of(i.RequestGone))
         polls()
         go.set()
         assert statuses(client) == [200, 400] and names(engine) == [b"a"]
@@ -283,15 +283,15 @@
         admit(inside, *given)
 
     monkeypatch.setattr(client_module, "admit", late)
-    with stage(serve_all) as (scene, engine):
+    with running_router(serve_all) as (scene, engine):
         client = scene.client().send(ask("a"))
-        assert statuses(client) == [400] and not engine.requests and not scene.heard(i.RequestArrived)
+        assert statuses(client) == [400] and not engine.requests and not scene.events_of(i.RequestArrived)
 
 
 @pytest.mark.parametrize("behind, answers", [(ask("b"), [200]), (MALFORMED, [200]), (NO_REQUEST, [400])])
 def test_what_follows_a_request_that_says_close_is_no_request(behind: bytes, answers: list[int]) -> None:
     """Unless it shows that the request itself was cut short."""
-    with stage(serve_all) as (scene, engine):
+    with running_router(serve_all) as (scene, engine):
         client = scene.client().send(ask("a", Connection="close") + behind)
         assert statuses(client) == answers and names(engine) == [b"a"] * (answers == [200])
 
@@ -307,13 +307,13 @@
             raise ZeroDivisionError
 
     go = Event()
-    with stage(served_after(go)) as (scene, engine):
+    with running_router(served_after(go)) as (scene, engine):
         client = scene.client().send(ask("a"))
-        until(lambda: engine.requests)
+        wait_until(lambda: engine.requests)
         inside = the_client(scene)
         monkeypatch.setattr(RequestParser, "feed", fails)
         client.send(ask("b") + b"POST ")
-        until(lambda: read_or_unread(inside))
+        wait_until(lambda: read_or_unread(inside))
         polls()
         go.set()
         assert statuses(client) == [200, 200, 500]
@@ -332,10 +332,10 @@
         met.set()
         raise ZeroDivisionError
 
-    monkeypatch.setattr(http1, "may_begin", fails)
-    with stage(wait) as (scene, engine):
+    monkeypatch.setattr(http1, "may_begin_request", fails)
+    with running_router(wait) as (scene, engine):
         client = scene.client().send(ask("a"))
-        until(lambda: engine.requests)
+        wait_until(lambda: engine.requests)
         client.send(ask("b"))
         met.wait()
         polls()
@@ -345,9 +345,9 @@
 
 @pytest.mark.parametrize("by_call", [True, False])
 def test_requests_read_together_are_answered_while_clients_are_sent_away(by_call: bool) -> None:
-    with stage(serve_all) as (scene, engine):
+    with running_router(serve_all) as (scene, engine):
         if by_call:
-            scene.inbound.drain_by_call()
+            scene.inbound.begin_operator_drain()
         else:
             end_answers(scene)
         client = scene.client().send(ask("a") + ask("b") + ask("c"))
@@ -356,7 +356,7 @@
 
 def test_of_a_flood_that_is_turned_away_little_is_read_and_that_is_answered() -> None:
     """Each that is read must be answered: a flood that ends with its first answer is left in the kernel."""
-    with stage(serve_all) as (scene, engine):
+    with running_router(serve_all) as (scene, engine):
         one = ask("flood", X_Service_Class="unknown")
         client = scene.client().send(one * 500)
         answered = statuses(client)
--- a/tests/test_ready.py
+++ b/tests/test_ready.py
@@ -12,7 +12,7 @@
 import pytest
 
 from spoolbarrow.lab.cluster import Process
-from tests.stage import Client, Party, ask, entry, make_config, serve_all, until
+from tests.router_harness import Client, ScriptedServer, ask, endpoint_entry, make_config, serve_all, wait_until
 from tests.test_descriptors import Discovery
 
 ROUTERS = 6
@@ -43,7 +43,7 @@
 
     def first(self) -> tuple[float, int]:
         """How long until it was ready, in s, and how a request that cannot wait long ends then."""
-        until(self.ready)
+        wait_until(self.ready)
         return time.monotonic() - self.begun, self.serves(500)
 
 
@@ -51,10 +51,10 @@
 def begin(tmp_path: Path) -> Iterator[Callable[..., list[Router]]]:
     """Processes that begin at once: `begin(known, asked, discovery)`."""
     made: list[Router] = []
-    engine = Party(serve_all)
+    engine = ScriptedServer(serve_all)
 
     def start(known: bool, asked: bool, discovery: Discovery) -> list[Router]:
-        lines = [entry("e0", engine.port)]
+        lines = [endpoint_entry("e0", engine.port)]
         discovery.endpoints = lines
         for n in range(ROUTERS):
             made.append(Router(tmp_path, n, discovery.port, lines if known else [], asked))
@@ -97,7 +97,7 @@
 ) -> None:
     routers = begin(False, asked, discovery)
     for one in routers:
-        until(lambda r=one: r.ready() or r.refused)  # type: ignore[misc]
+        wait_until(lambda r=one: r.ready() or r.refused)  # type: ignore[misc]
         assert one.refused
     discovery.answers = True
     discovery.listen()
--- a/tests/test_reload_races.py
+++ b/tests/test_reload_races.py
@@ -26,27 +26,27 @@
 from spoolbarrow.admin.control import Counting
 from spoolbarrow.admin.figures import Figures
 from spoolbarrow.config import ConfigError, HostList
-from spoolbarrow.handover import Torn
+from spoolbarrow.handover import HandoverDataError
 from spoolbarrow.net import connection_handover, pools
 from spoolbarrow.net.http1 import Message
-from spoolbarrow.net.log import standard
+from spoolbarrow.net.log import default_log
 from spoolbarrow.operator import FleetTable
 from spoolbarrow.reload import Descriptors, Reloader
 from spoolbarrow.router import Router
-from tests.stage import (
+from tests.router_harness import (
     EVENTS,
-    HEAD,
+    STREAM_HEAD,
     LISTEN,
     Client,
-    Party,
+    ScriptedServer,
     ask,
     chunk,
-    entry,
+    endpoint_entry,
     free_port,
     make_config,
     serve_all,
-    stage,
-    until,
+    running_router,
+    wait_until,
 )
 
 ROOT = Path(__file__).resolve().parent.parent
@@ -93,7 +93,7 @@
 
 
 def test_a_request_that_must_not_run_twice_does_not_where_classes_change_places_before_its_batch() -> None:
-    with stage(hang_up, hang_up, settings=settings(FIRST)) as (scene, *engines):
+    with running_router(hang_up, hang_up, settings=settings(FIRST)) as (scene, *engines):
         at_submit(scene, TURNED)
         assert scene.client().send(ask(X_Service_Class="once")).answer().status == 502
         assert scene.host.config.classes == {"once": 0, "chat": 1}  # they did
@@ -103,11 +103,11 @@
 
 
 def test_a_request_of_a_class_that_is_gone_before_its_batch_is_served_under_it() -> None:
-    with stage(serve_all, settings=settings(FIRST)) as (scene, _):
+    with running_router(serve_all, settings=settings(FIRST)) as (scene, _):
         at_submit(scene, {"Classes": [CHAT], "Tenants": [ACME]})
         asked = scene.client().send(ask(X_Service_Class="once", X_Account="other"))
         assert asked.answer().status == 200
-        until(lambda: scene.host.open_requests() == 0 and not scene.host.router().requests)
+        wait_until(lambda: scene.host.open_requests() == 0 and not scene.host.router().requests)
         assert list(scene.host.router().learnt) == ["chat"]
         assert scene.client().send(ask(X_Service_Class="once")).answer().status == 400
 
@@ -124,7 +124,7 @@
         return False
 
     few = settings(FIRST, Probing=True)
-    with stage(held, held, settings=few) as (scene, *engines):
+    with running_router(held, held, settings=few) as (scene, *engines):
         handle = scene.host.router().handle
 
         def then(now: float, events: list[i.Event]) -> list[i.Action]:
@@ -153,11 +153,11 @@
         seen.wait()
         serve_all(sock, message)
 
-    with stage(wait, settings=settings(FIRST)) as (scene, engine):
+    with running_router(wait, settings=settings(FIRST)) as (scene, engine):
         figures = Figures(scene.config.classes)
-        scene.host.taps.add(Counting(figures, lambda number: list(scene.host.config.classes)[number]))
+        scene.host.observers.add(Counting(figures, lambda number: list(scene.host.config.classes)[number]))
         asked = scene.client().send(ask(X_Service_Class="once", X_Account="other"))
-        until(lambda: engine.requests)
+        wait_until(lambda: engine.requests)
         apply(scene, TURNED)
         seen.set()
         assert asked.answer().status == 200
@@ -174,11 +174,11 @@
             seen.wait()
         serve_all(sock, message)
 
-    with stage(wait, settings=settings(FIRST)) as (scene, engine):
+    with running_router(wait, settings=settings(FIRST)) as (scene, engine):
         part = pools.Split("n0")
         part.watch(scene.host, FleetTable(["m"]))
         asked = scene.client().send(ask(b"waits", X_Service_Class="once"))
-        until(lambda: engine.requests)
+        wait_until(lambda: engine.requests)
         apply(scene, {"Classes": [CHAT], "Tenants": [ACME]})
         part.watch(scene.host, FleetTable(["m"]))  # as each look of the fleet's does
         seen.set()
@@ -196,19 +196,19 @@
     seen = Event()
 
     def wait(sock: socket.socket, message: Message) -> None:
-        sock.sendall(HEAD + chunk(EVENTS[0]))
+        sock.sendall(STREAM_HEAD + chunk(EVENTS[0]))
         seen.wait()
         sock.sendall(chunk(EVENTS[1]) + b"0\r\n\r\n")
 
-    with stage(wait, settings=settings(FIRST)) as (scene, _):
+    with running_router(wait, settings=settings(FIRST)) as (scene, _):
         router, guess = scene.host.router(), Router(scene.config.settings, 1).learnt["chat"].answer_ms
         asked = scene.client().send(ask(X_Service_Class="once"))
-        until(lambda: scene.heard(i.StreamStarted))
+        wait_until(lambda: scene.events_of(i.StreamStarted))
         router.learnt["chat"].home_read = 77.0
         apply(scene, {"Classes": [{**CHAT, "Name": "new"}, ONCE, CHAT], "Tenants": [ACME]})
         seen.set()
         assert asked.answer().status == 200
-        until(lambda: not router.requests)
+        wait_until(lambda: not router.requests)
         learnt = [of for _, _, of in router.terms]
         assert [of.home_read == 77.0 for of in learnt] == [False, False, True]
         assert [of.answer_ms == guess for of in learnt] == [True, False, True]
@@ -222,10 +222,10 @@
         seen.wait()
         serve_all(sock, message)
 
-    with stage(wait, settings=settings(FIRST)) as (scene, engine):
+    with running_router(wait, settings=settings(FIRST)) as (scene, engine):
         router = scene.host.router()
         asked = scene.client().send(ask(X_Account="other"))
-        until(lambda: engine.requests)
+        wait_until(lambda: engine.requests)
         router.entitlements["other"].debt = 0.4
         apply(scene, TURNED)
         assert list(router.entitlements) == ["other"]
@@ -233,7 +233,7 @@
         assert (account.in_flight, account.debt) == (1, 0.4)
         seen.set()
         assert asked.answer().status == 200
-        until(lambda: not router.requests)
+        wait_until(lambda: not router.requests)
         assert account.in_flight == 0 and router.entitlements == {"other": account}
         apply(scene, {"Classes": [CHAT], "Tenants": [ACME]})
         assert not router.entitlements  # a tenant that is gone owes nothing
@@ -242,12 +242,12 @@
 def test_zones_go_by_their_names_from_the_signal_on_and_not_from_the_next_list() -> None:
     """Discovery says nothing more: the list that is held must be read by the new numbers at once."""
     zones = {"Zones": ["a", "b"], "MyZone": 0}
-    with stage(serve_all, serve_all, settings=settings(FIRST | zones)) as (scene, *engines):
-        listed = [entry("near", engines[0].port), entry("far", engines[1].port, zone="b")]
+    with running_router(serve_all, serve_all, settings=settings(FIRST | zones)) as (scene, *engines):
+        listed = [endpoint_entry("near", engines[0].port), endpoint_entry("far", engines[1].port, zone="b")]
         known = config.parse(msgspec.json.encode(make_config(listed, settings=settings(zones)))).known
         scene.host.destinations.take(known, i.ListKind.WHOLE)
         pool = scene.host.router().pool
-        until(lambda: [replica.id for replica in pool.local] == ["near"])
+        wait_until(lambda: [replica.id for replica in pool.local] == ["near"])
         far = pool.replicas["far"]
         pool.zone_load[:], pool.zone_at[:] = [5.0, 9.0], [scene.host.now()] * 2
         apply(scene, FIRST | {"Zones": ["b", "a"], "MyZone": 1})
@@ -264,14 +264,14 @@
 
 def test_news_of_the_list_that_is_not_decided_on_yet_is_not_read_by_new_numbers() -> None:
     zones = {"Zones": ["a", "b"], "MyZone": 0}
-    with stage(serve_all, settings=settings(FIRST | zones)) as (scene, engine):
+    with running_router(serve_all, settings=settings(FIRST | zones)) as (scene, engine):
         pool, destinations = scene.host.router().pool, scene.host.destinations
-        listed = [entry("near", engine.port), entry("far", engine.port, zone="b")]
+        listed = [endpoint_entry("near", engine.port), endpoint_entry("far", engine.port, zone="b")]
         known = config.parse(msgspec.json.encode(make_config(listed, settings=settings(zones)))).known
         destinations.take(known, i.ListKind.WHOLE)
         assert "near" not in pool.replicas  # it is told, and no batch was since
         apply(scene, FIRST | {"Zones": ["b", "a"], "MyZone": 1})
-        until(lambda: "near" in pool.replicas)
+        wait_until(lambda: "near" in pool.replicas)
         assert [replica.id for replica in pool.local] == ["near"]
         assert [replica.id for replica in pool.remote] == ["far"]
 
@@ -285,16 +285,16 @@
         sock.sendall(b"HTTP/1.1 503 Service Unavailable\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n")
 
     zones = {"Zones": ["a", "b"], "MyZone": 1}
-    with stage(wait, settings=settings(FIRST | zones)) as (scene, engine):
+    with running_router(wait, settings=settings(FIRST | zones)) as (scene, engine):
         router = scene.host.router()
         asked = scene.client().send(ask())
-        until(lambda: engine.requests)
+        wait_until(lambda: engine.requests)
         scene.host.destinations.take(HostList(9, True, []), i.ListKind.WHOLE)
-        until(lambda: not router.pool.replicas)
+        wait_until(lambda: not router.pool.replicas)
         apply(scene, FIRST | {"Zones": ["b"], "MyZone": 0})
         seen.set()
         assert asked.answer().status == 503
-        until(lambda: not router.requests)
+        wait_until(lambda: not router.requests)
         assert router.pool.zones[0] == "b" and router.pool.zone_load[0] == 0.0
 
 
@@ -305,17 +305,17 @@
 def next_process(script: Any, changes: dict[str, Any]) -> Iterator[tuple[Any, Any, Any]]:
     """Two routers of which the first passes its streams to the second, which has other settings."""
     with (
-        stage(script, settings=settings(FIRST)) as (old, engine),
-        stage(settings=settings(changes)) as (new,),
+        running_router(script, settings=settings(FIRST)) as (old, engine),
+        running_router(settings=settings(changes)) as (new,),
     ):
 
         def send(text: bytes, descriptors: Any) -> bool:
-            connection_handover.take(
+            connection_handover.receive(
                 new.host, new.inbound, text, [os.dup(number) for number in descriptors]
             )()
             return True
 
-        old.host.give = lambda underway: connection_handover.give(old.host, underway, send)
+        old.host.give = lambda underway: connection_handover.send_stream(old.host, underway, send)
         yield old, new, engine
 
 
@@ -323,13 +323,13 @@
     step = Event()
 
     def in_steps(sock: socket.socket, message: Message) -> None:
-        sock.sendall(HEAD + chunk(EVENTS[0]))
+        sock.sendall(STREAM_HEAD + chunk(EVENTS[0]))
         step.wait()
         sock.sendall(chunk(EVENTS[1]) + b"0\r\n\r\n")
 
     with next_process(in_steps, TURNED) as (old, new, _):
         client = old.client().send(ask(X_Service_Class="once", X_Account="other"))
-        until(lambda: new.host.in_progress() == 1 and old.host.open_requests() == 0)
+        wait_until(lambda: new.host.in_progress() == 1 and old.host.open_requests() == 0)
         (request,) = new.host._requests.values()
         assert (request.class_name, request.tenant_name) == ("once", "other")
         assert (request.cls, request.tenant) == (0, 0)
@@ -350,16 +350,16 @@
     changes: dict[str, Any], key: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     written: list[tuple[str, dict[str, object]]] = []
-    monkeypatch.setattr(standard, "write", lambda event, fields: written.append((event, fields)))
+    monkeypatch.setattr(default_log, "write", lambda event, fields: written.append((event, fields)))
 
     def begin(sock: socket.socket, message: Message) -> None:
-        sock.sendall(HEAD + chunk(EVENTS[0]))
+        sock.sendall(STREAM_HEAD + chunk(EVENTS[0]))
 
     with next_process(begin, changes) as (old, new, engine):
         client = old.client().send(ask(X_Service_Class="once", X_Account="other"))
         with pytest.raises(ConnectionResetError):
             client.answer()
-        until(lambda: engine.ends == 1 and old.host.open_requests() == 0 and not old.inbound._clients)
+        wait_until(lambda: engine.closed == 1 and old.host.open_requests() == 0 and not old.inbound._clients)
         assert new.host.open_requests() == 0 and not new.inbound._clients
         (told,) = [fields for event, fields in written if event == "stream_lost"]
         assert str(told["error"]).startswith(f"{key}: ") and told["remedy"]
@@ -370,11 +370,11 @@
     with next_process(serve_all, TURNED) as (_, new, _):
         one, other = socket.socketpair()
         now = new.host.now()
-        stream = connection_handover.Stream(
+        stream = connection_handover.StreamState(
             1, "x", "once", "other", now, now, "e0", now, now, [], "", True, False
         )
-        with pytest.raises(Torn):
-            connection_handover.take(
+        with pytest.raises(HandoverDataError):
+            connection_handover.receive(
                 new.host, new.inbound, msgspec.json.encode(stream), [one.detach(), other.detach()]
             )
         assert not new.inbound._clients
@@ -426,8 +426,8 @@
             seen.wait()
         return True
 
-    engines = [Party(wait), Party(wait)]
-    listed = [entry(f"e{n}", engine.port) for n, engine in enumerate(engines)]
+    engines = [ScriptedServer(wait), ScriptedServer(wait)]
+    listed = [endpoint_entry(f"e{n}", engine.port) for n, engine in enumerate(engines)]
     raw = make_config(listed, settings=settings(FIRST))
     file.write_bytes(msgspec.json.encode(raw))
     port = int(raw["listen"].rpartition(":")[2])
@@ -450,9 +450,9 @@
                 assert word in line
                 return line
 
-            until(lambda: not socket.socket().connect_ex((LISTEN, port)))
+            wait_until(lambda: not socket.socket().connect_ex((LISTEN, port)))
             waiting = Client(port).send(ask(b"first", X_Service_Class="once"))
-            until(asked)
+            wait_until(asked)
             line = reload({"Classes": [ONCE, CHAT, CHAT]}, b"reload_failed")
             assert b"settings.Classes[2].Name" in line
             twice = Client(port).send(ask(X_Service_Class="chat", X_Correlation_Id="2"))
@@ -475,7 +475,7 @@
     """The first has a new address, and waits for its old listener's end; the second is sent at that place."""
     file = tmp_path / "config.json"
     monkeypatch.setenv("NODE_CONFIG", str(file))
-    with stage(serve_all, settings=settings(FIRST)) as (scene, _):
+    with running_router(serve_all, settings=settings(FIRST)) as (scene, _):
         reloader = Reloader(scene.host, scene.inbound, None, Descriptors())
         stop, second = scene.inbound._stop_listening, []
         listen = f"{LISTEN}:{free_port()}"
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -17,23 +17,23 @@
 
 from spoolbarrow import interface as i
 from spoolbarrow.config import parse
-from spoolbarrow.net.client import Client as InboundClient
+from spoolbarrow.net.client import ClientConnection as InboundClient
 from spoolbarrow.net.http1 import Message
 from spoolbarrow.net.load_report import parse_load
 from spoolbarrow.router import Router
-from tests.stage import (
+from tests.router_harness import (
     EVENTS,
-    HEAD,
+    STREAM_HEAD,
     LISTEN,
     Client,
-    Party,
+    ScriptedServer,
     ask,
     chunk,
-    entry,
+    endpoint_entry,
     make_config,
     serve_all,
-    stage,
-    until,
+    running_router,
+    wait_until,
 )
 
 ROOT = Path(__file__).resolve().parent.parent
@@ -57,34 +57,34 @@
 
 def test_what_an_endpoint_cannot_use_is_its_clients_fault_and_tried_once() -> None:
     """Guards against endpoints that look failing because of clients: usual requests were refused then."""
-    with stage(refuse_400, refuse_400) as (scene, *engines):
+    with running_router(refuse_400, refuse_400) as (scene, *engines):
         assert scene.client().send(ask()).answer().status == 400
         assert sum(len(engine.requests) for engine in engines) == 1
-        until(lambda: scene.host.open_requests() == 0)
+        wait_until(lambda: scene.host.open_requests() == 0)
         assert all(replica.failing == 0.0 for replica in scene.host._router.pool.replicas.values())
 
 
 def test_the_name_of_an_open_request_is_not_taken_again() -> None:
     seen = Event()
-    with stage(wait_for(seen)) as (scene, engine):
+    with running_router(wait_for(seen)) as (scene, engine):
         first = scene.client().send(ask())
-        until(lambda: engine.requests)
+        wait_until(lambda: engine.requests)
         assert scene.client().send(ask()).answer().status == 409
         seen.set()
         assert first.answer().status == 200 and len(engine.requests) == 1
-        until(lambda: scene.host.open_requests() == 0)
+        wait_until(lambda: scene.host.open_requests() == 0)
         assert not scene.host._ids
 
 
 @pytest.mark.parametrize("sent", [b"", b"\r\n", ask()[:30], ask()[:-3]])
 def test_a_connection_without_a_whole_request_is_told_so_in_time(sent: bytes) -> None:
-    with stage(serve_all, options=QUICK) as (scene, engine):
+    with running_router(serve_all, options=QUICK) as (scene, engine):
         client = scene.client().send(sent)
         assert client.answer().status == 408 and client.ended() and not engine.requests
 
 
 def test_a_head_that_trickles_gets_no_more_time() -> None:
-    with stage(serve_all, options=QUICK) as (scene, _):
+    with running_router(serve_all, options=QUICK) as (scene, _):
         client = scene.client()
 
         def trickle() -> None:
@@ -99,31 +99,31 @@
 
 def test_a_used_connection_that_idles_is_closed_without_a_word() -> None:
     """Guards against a 408 that crosses the next request and passes for its answer."""
-    with stage(serve_all, options=QUICK) as (scene, _):
+    with running_router(serve_all, options=QUICK) as (scene, _):
         client = scene.client().send(ask())
         assert client.answer().status == 200 and client.ended()
-        until(lambda: not scene.inbound._clients)
+        wait_until(lambda: not scene.inbound._clients)
 
 
 def test_an_idle_connection_whose_next_request_is_unread_is_not_closed() -> None:
-    with stage(serve_all) as (scene, _):
+    with running_router(serve_all) as (scene, _):
         client = scene.client().send(ask())
         client.answer()
-        until(lambda: scene.host.open_requests() == 0)
+        wait_until(lambda: scene.host.open_requests() == 0)
         (served,) = scene.inbound._clients
         served.since -= 60_000
         client.send(ask())
-        while not served.unread():
+        while not served.has_unread():
             pass  # no greenlet runs meanwhile: its reader can't take it
         assert not scene.inbound._make_room() and client.answer().status == 200
 
 
 def test_an_oversized_body_is_refused_by_its_declared_length_while_it_is_sent() -> None:
-    with stage(serve_all) as (scene, engine):
+    with running_router(serve_all) as (scene, engine):
         client = scene.client().send(ask(Content_Length="60000000"))
         sending = gevent.spawn(client.sock.sendall, b"x" * 8_000_000)
         assert client.answer().status == 413 and not engine.requests
-        assert scene.inbound.held == 0
+        assert scene.inbound.held_bytes == 0
         sending.join()  # the rest is read and dropped: a reset would take the answer with it
 
 
@@ -131,11 +131,11 @@
 def test_a_request_followed_by_what_is_none_is_not_served(pause: float) -> None:
     """Guards against passing on half of a body whose declared length was too small."""
     seen = Event()
-    with stage(wait_for(seen)) as (scene, engine):
+    with running_router(wait_for(seen)) as (scene, engine):
         client = scene.client()
         if pause:
             client.send(ask())
-            until(lambda: engine.requests)
+            wait_until(lambda: engine.requests)
             client.send(b'"more":1}')
             seen.set()  # what is out goes on, and has its own answer
             assert client.answer().status == 200
@@ -143,32 +143,32 @@
             client.send(ask() + b'"more":1}')
         answer = client.answer()
         assert answer.status == 400 and answer.fields[b"connection"] == b"close" and client.ended()
-        until(lambda: scene.host.open_requests() == 0)
+        wait_until(lambda: scene.host.open_requests() == 0)
         assert len(engine.requests) == (1 if pause else 0)
 
 
 @pytest.mark.parametrize("left", ["nan", "inf", "1e3", "-5", "", "99999999", "4 800"])
 def test_a_deadline_that_is_none_never_reaches_the_decisions(left: str) -> None:
-    with stage(serve_all) as (scene, _):
+    with running_router(serve_all) as (scene, _):
         assert scene.client().send(ask(X_Time_Left_Ms=left)).answer().status == 400
-        assert not scene.heard(i.RequestArrived)
+        assert not scene.events_of(i.RequestArrived)
 
 
 def test_bodies_that_never_become_whole_count_against_the_memory() -> None:
-    with stage(serve_all, limits={"memory_mb": 0.01}) as (scene, _):
+    with running_router(serve_all, limits={"memory_mb": 0.01}) as (scene, _):
         answer = scene.client().send(ask(b"x" * 4000)[:-9]).answer()
         assert answer.status == 503 and answer.fields[b"retry-after"]
 
 
 def test_silent_connections_make_room_for_those_that_ask() -> None:
-    with stage(serve_all, limits={"sockets": 64}) as (scene, _):
+    with running_router(serve_all, limits={"sockets": 64}) as (scene, _):
         silent = [scene.client() for _ in range(3 * scene.config.max_inbound)]
         assert scene.client().send(ask()).answer().status == 200
         assert len(scene.inbound._clients) <= scene.config.max_inbound < len(silent)
 
 
 def test_an_exception_over_what_a_client_sent_is_told_to_it(monkeypatch: pytest.MonkeyPatch) -> None:
-    with stage(serve_all) as (scene, _):
+    with running_router(serve_all) as (scene, _):
         monkeypatch.setattr(InboundClient, "_fed", lambda *given: 1 / 0)
         client = scene.client().send(ask())
         assert client.answer().status == 500 and client.ended()
@@ -178,7 +178,7 @@
 
 
 def outcomes(scene: Any) -> list[i.Outcome]:
-    return [event.outcome for event in scene.heard(i.AttemptEnded)]
+    return [event.outcome for event in scene.events_of(i.AttemptEnded)]
 
 
 OK = b"HTTP/1.1 200 OK\r\nA: "
@@ -186,17 +186,17 @@
 
 @pytest.mark.parametrize(
     "spoilt",
-    [OK, OK + b"b\r\n\r\n3\r\nabc\r\n", OK + b"x" * 20000, HEAD[:-2] + b"3\r\n", b"HTTP/1.1 2x0", b"\x16"],
+    [OK, OK + b"b\r\n\r\n3\r\nabc\r\n", OK + b"x" * 20000, STREAM_HEAD[:-2] + b"3\r\n", b"HTTP/1.1 2x0", b"\x16"],
 )
 def test_an_answer_spoilt_before_its_first_event_is_left_to_the_decisions(spoilt: bytes) -> None:
     def script(sock: socket.socket, message: Message) -> None:
         sock.sendall(spoilt)
 
-    with stage(script, serve_all, options={"piece_ms": 50.0}) as (scene, bad, _):
+    with running_router(script, serve_all, options={"piece_ms": 50.0}) as (scene, bad, _):
         while not bad.requests:
             assert scene.client().send(ask()).answer().status == 200
-            until(lambda: scene.host.open_requests() == 0)
-        assert i.Outcome.UNREADABLE in outcomes(scene) and bad.ends == len(bad.requests)
+            wait_until(lambda: scene.host.open_requests() == 0)
+        assert i.Outcome.UNREADABLE in outcomes(scene) and bad.closed == len(bad.requests)
         assert all(now < 0 for now in (r.suspect_until for r in scene.host._router.pool.replicas.values()))
 
 
@@ -205,17 +205,17 @@
 )
 def test_a_stream_spoilt_later_ends_its_client_without_the_last_chunk(spoilt: bytes) -> None:
     def script(sock: socket.socket, message: Message) -> None:
-        sock.sendall(HEAD + chunk(b"data: 1\n\n"))
+        sock.sendall(STREAM_HEAD + chunk(b"data: 1\n\n"))
         gevent.sleep(0.02)
         sock.sendall(spoilt)
         while spoilt[:2] == b"c0":  # 3 GB that keep coming
             sock.sendall(b"data: 1\n\n")
             gevent.sleep(0.005)
 
-    with stage(script, options={"piece_ms": 50.0, "stream_silence_ms": 900.0}) as (scene, engine):
+    with running_router(script, options={"piece_ms": 50.0, "stream_silence_ms": 900.0}) as (scene, engine):
         with pytest.raises(ConnectionResetError):
             scene.client().send(ask()).answer()
-        until(lambda: len(outcomes(scene)) == 1 and engine.ends == 1)
+        wait_until(lambda: len(outcomes(scene)) == 1 and engine.closed == 1)
 
 
 SECOND = b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nodd"
@@ -223,16 +223,16 @@
 
 def all_at_once(sock: socket.socket, message: Message) -> None:
     early = b"HTTP/1.1 103 Early Hints\r\nContent-Length: 9\r\n\r\n"
-    answer = HEAD + b"".join(map(chunk, EVENTS)) + b"0\r\n\r\n"
+    answer = STREAM_HEAD + b"".join(map(chunk, EVENTS)) + b"0\r\n\r\n"
     sock.sendall(b"HTTP/1.1 100 Continue\r\n\r\n" + early + answer + SECOND)
 
 
 def test_more_than_an_answer_is_skipped_and_its_connection_not_used_again() -> None:
-    with stage(all_at_once) as (scene, engine):
+    with running_router(all_at_once) as (scene, engine):
         for number in range(1, 4):
             answer = scene.client().send(ask()).answer()
             assert (answer.status, b"".join(answer.take_body())) == (200, b"".join(EVENTS))
-            until(lambda: scene.host.open_requests() == 0)
+            wait_until(lambda: scene.host.open_requests() == 0)
             assert engine.connections == number
 
 
@@ -244,16 +244,16 @@
         socks.append(sock)
         serve_all(sock, message)
 
-    with stage(keep) as (scene, engine):
+    with running_router(keep) as (scene, engine):
         pool = scene.host._endpoints._pool
         assert scene.client().send(ask()).answer().status == 200
-        until(lambda: pool._idle)
+        wait_until(lambda: pool._idle)
         (connection,) = pool._idle["e0"]
         connection.idle_since -= 100.0  # so late do the bytes come
         socks[0].sendall(SECOND)
-        until(connection.stale)
+        wait_until(connection.stale)
         assert scene.client().send(ask()).answer().status == 200
-        until(lambda: engine.ends == 1 and pool._idle.get("e0"))
+        wait_until(lambda: engine.closed == 1 and pool._idle.get("e0"))
         assert engine.connections == 2
         assert 300.0 <= pool._settle["e0"] <= 1000.0
         (rested,) = pool._idle["e0"]
@@ -273,11 +273,11 @@
         else:
             sock.sendall(SECOND)  # and nothing else: what it says comes before it reads
 
-    with stage(late) as (scene, engine):
+    with running_router(late) as (scene, engine):
         assert scene.client().send(ask(b"first")).answer().status == 200
-        until(lambda: scene.host.open_requests() == 0)
+        wait_until(lambda: scene.host.open_requests() == 0)
         assert scene.client().send(ask(b"next")).answer().status == 503
-        until(lambda: scene.host.open_requests() == 0)
+        wait_until(lambda: scene.host.open_requests() == 0)
         assert outcomes(scene)[1] is i.Outcome.UNREADABLE and len(engine.requests) >= 2
 
 
@@ -296,35 +296,35 @@
 
 
 def test_a_new_endpoint_at_an_old_address_inherits_nothing() -> None:
-    with stage(serve_all) as (scene, engine):
+    with running_router(serve_all) as (scene, engine):
         scene.client().send(ask()).answer()
-        until(lambda: scene.host._endpoints._pool._idle)
-        listed = parse(msgspec.json.encode(make_config([entry("new", engine.port)]))).known
+        wait_until(lambda: scene.host._endpoints._pool._idle)
+        listed = parse(msgspec.json.encode(make_config([endpoint_entry("new", engine.port)]))).known
         scene.host.destinations.take(listed, i.ListKind.WHOLE)
-        until(lambda: engine.ends == 1)
+        wait_until(lambda: engine.closed == 1)
         assert scene.client().send(ask()).answer().status == 200
         assert engine.connections == 2
-        until(lambda: scene.host.open_requests() == 0)
+        wait_until(lambda: scene.host.open_requests() == 0)
         host, router = scene.host, scene.host._router
         tables = (host.destinations._listed, host.destinations._serving)
         assert all(set(table) == {"new"} for table in (*tables, router.pool.replicas))
-        until(lambda: not router.requests)
+        wait_until(lambda: not router.requests)
         assert not host._requests and not host._ids
         assert not [t for t in host._timers if t[0] > host.now() + 5000]
 
 
 def test_streams_that_outlast_a_drain_go_on_elsewhere_and_nothing_is_left_unanswered() -> None:
     def begin(sock: socket.socket, message: Message) -> None:
-        sock.sendall(HEAD + chunk(b"data: 1\n\n") if message.body == b"stream" else b"")
+        sock.sendall(STREAM_HEAD + chunk(b"data: 1\n\n") if message.body == b"stream" else b"")
 
     times = {"accept": 50.0, "keep": 150.0, "move": 200.0, "answer": 300.0}
     options = {f"drain_{name}_ms": time for name, time in times.items()}
     raw = make_config([])["settings"] | {"Specifics": {"Resume": True}}
     raw["Limits"]["SecondCopies"] = True
-    with stage(begin, options=options, settings=raw) as (scene, _):
+    with running_router(begin, options=options, settings=raw) as (scene, _):
         streaming = scene.client().send(ask(b"stream", X_Correlation_Id="1"))
         waiting = scene.client().send(ask(X_Correlation_Id="2"))
-        until(lambda: scene.heard(i.StreamStarted) and scene.host.open_requests() == 2)
+        wait_until(lambda: scene.events_of(i.StreamStarted) and scene.host.open_requests() == 2)
         draining = gevent.spawn(scene.inbound.drain)
         assert waiting.answer().status == 502
         with pytest.raises(ConnectionResetError):
@@ -359,18 +359,18 @@
     def discovery(*names: str) -> Any:
         def script(sock: socket.socket, message: Message) -> None:
             asked.append(message.target)
-            listed = [entry(name, engine.port) for name in names]
+            listed = [endpoint_entry(name, engine.port) for name in names]
             body = msgspec.json.encode({"index": 3, "snapshot": True, "endpoints": listed})
             if message.path() == message.target:
                 sock.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body))
             else:
-                sock.sendall(HEAD + chunk(b"\n"))
+                sock.sendall(STREAM_HEAD + chunk(b"\n"))
 
         return script
 
-    engine = Party(wait_for(seen))
-    old, new = Party(discovery("e0")), Party(discovery("e1"))
-    raw = make_config([entry("e0", engine.port)], old.port)
+    engine = ScriptedServer(wait_for(seen))
+    old, new = ScriptedServer(discovery("e0")), ScriptedServer(discovery("e1"))
+    raw = make_config([endpoint_entry("e0", engine.port)], old.port)
     file.write_bytes(msgspec.json.encode(raw))
     port = int(raw["listen"].rpartition(":")[2])
     environment = {**os.environ, "NODE_CONFIG": str(file)}
@@ -378,9 +378,9 @@
     with subprocess.Popen(run, cwd=ROOT, env=environment, stderr=subprocess.PIPE) as router:
         try:
             assert router.stderr is not None
-            until(lambda: not socket.socket().connect_ex((LISTEN, port)))
+            wait_until(lambda: not socket.socket().connect_ex((LISTEN, port)))
             waiting = Client(port).send(ask())
-            until(lambda: engine.requests and asked)
+            wait_until(lambda: engine.requests and asked)
             file.write_bytes(b"{")
             router.send_signal(signal.SIGHUP)
             while b"reload_failed" not in router.stderr.readline():
@@ -389,13 +389,13 @@
             asked.clear()
             router.send_signal(signal.SIGHUP)
             router.send_signal(signal.SIGHUP)  # twice is as good as once
-            until(lambda: old.ends == 1 and asked[-1:] == [b"/discovery/hosts?stream=1&index=3"])
+            wait_until(lambda: old.closed == 1 and asked[-1:] == [b"/discovery/hosts?stream=1&index=3"])
             assert asked[0] == b"/discovery/hosts"
             seen.set()
             assert waiting.answer().status == 200
             router.send_signal(signal.SIGTERM)
             router.send_signal(signal.SIGHUP)
-            until(lambda: router.poll() is not None)
+            wait_until(lambda: router.poll() is not None)
             assert router.returncode == 0
         finally:
             router.kill()
@@ -409,14 +409,14 @@
     seen = Event()
 
     def in_two(sock: socket.socket, message: Message) -> None:
-        sock.sendall(HEAD + chunk(EVENTS[0]))
+        sock.sendall(STREAM_HEAD + chunk(EVENTS[0]))
         seen.wait()
         sock.sendall(chunk(EVENTS[1]) + b"0\r\n\r\n")
 
-    with stage(in_two, options=options) as (scene, engine):
+    with running_router(in_two, options=options) as (scene, engine):
         idle, busy = scene.client().send(b"GET /up HTTP/1.1\r\n\r\n"), scene.client().send(ask())
         idle.answer()
-        until(lambda: scene.heard(i.StreamStarted))
+        wait_until(lambda: scene.events_of(i.StreamStarted))
         draining = gevent.spawn(scene.inbound.drain)
         assert idle.ended()
         busy.send(ask(X_Correlation_Id="late"))
--- a/tests/test_serving.py
+++ b/tests/test_serving.py
@@ -23,20 +23,20 @@
 from spoolbarrow.net.endpoint import probe_outcome
 from spoolbarrow.net.http1 import Message, ResponseParser
 from spoolbarrow.net.load_report import parse_load
-from tests import stage as st
-from tests.stage import (
+from tests import router_harness as st
+from tests.router_harness import (
     EVENTS,
-    HEAD,
+    STREAM_HEAD,
     LISTEN,
     Client,
-    Party,
+    ScriptedServer,
     ask,
     chunk,
-    entry,
+    endpoint_entry,
     make_config,
     serve_all,
-    stage,
-    until,
+    running_router,
+    wait_until,
 )
 
 END = b"0\r\n\r\n"
@@ -52,18 +52,18 @@
 
 
 def told_outcomes(scene: Any) -> list[i.Outcome]:
-    return [event.outcome for event in scene.heard(i.AttemptEnded)]
+    return [event.outcome for event in scene.events_of(i.AttemptEnded)]
 
 
 def test_events_go_on_unchanged_and_as_they_come() -> None:
     seen = Event()
 
     def in_two_steps(sock: socket.socket, message: Message) -> None:
-        sock.sendall(HEAD + chunk(EVENTS[0]))
+        sock.sendall(STREAM_HEAD + chunk(EVENTS[0]))
         seen.wait()  # the rest only once the client has the first event
         sock.sendall(chunk(EVENTS[1]) + b"0\r\n\r\n")
 
-    with stage(in_two_steps) as (scene, engine):
+    with running_router(in_two_steps) as (scene, engine):
         client = scene.client().send(ask(X_Trace="t1"))
         got = b""
         while EVENTS[0] not in got:
@@ -80,21 +80,21 @@
 
 
 def test_kept_alive_pipelined_and_cut_requests_are_answered_in_turn() -> None:
-    with stage(serve_all) as (scene, engine):
+    with running_router(serve_all) as (scene, engine):
         client = scene.client().send(ask(b"one") + ask(b"two") + ask(b"three")[:40])
         assert [client.answer().status for _ in range(2)] == [200, 200]
         client.send(ask(b"three")[40:])
         assert client.answer().take_body() and [m.body for m in engine.requests] == [b"one", b"two", b"three"]
-        until(lambda: scene.host.open_requests() == 0)
+        wait_until(lambda: scene.host.open_requests() == 0)
         assert client.send(ask(Connection="close")).answer().fields[b"connection"] == b"close"
         assert client.ended()
 
 
 def test_facts_reach_the_decisions() -> None:
     facts = "prefix=5c0f6e1a2b3d4c59,prompt_len=5120,prefix_len=2048,max_out=800,new=1"
-    with stage(serve_all) as (scene, _):
+    with running_router(serve_all) as (scene, _):
         scene.client().send(ask(X_Facts=facts, X_Account="other", X_Repeat="again", left=4000)).answer()
-        (event,) = scene.heard(i.RequestArrived)
+        (event,) = scene.events_of(i.RequestArrived)
         assert (event.prompt_tokens, event.shared_tokens, event.max_answer_tokens) == (5120, 2048, 800)
         assert (event.prefix, event.session) == (0x5C0F6E1A2B3D4C59, 0x7F3A)
         assert event.tenant == 1 and event.resumed
@@ -123,34 +123,34 @@
     ],
 )
 def test_what_is_not_taken_is_answered_and_never_reaches_the_decisions(raw: bytes, status: int) -> None:
-    with stage(serve_all) as (scene, engine):
+    with running_router(serve_all) as (scene, engine):
         answer = scene.client().send(raw).answer()
         assert answer.status == status
         assert status != 405 or answer.fields[b"allow"] == {b"G": b"POST", b"P": b"GET"}[raw[:1]]
-        assert not scene.heard(i.RequestArrived) and not engine.requests
+        assert not scene.events_of(i.RequestArrived) and not engine.requests
         assert scene.client().send(ask()).answer().status == 200  # and the router goes on
 
 
 def test_up_needs_a_usable_list() -> None:
     up = b"GET /up HTTP/1.1\r\n\r\n"
-    with stage(serve_all) as (scene, _):
+    with running_router(serve_all) as (scene, _):
         assert scene.client().send(up).answer().status == 200
         scene.inbound.drainer.begin(DrainCause.SIGTERM, DrainSchedule({}))
         assert scene.client().send(up).answer().status == 503
-    with stage() as (scene,):
+    with running_router() as (scene,):
         assert scene.client().send(up).answer().status == 503
 
 
 def test_a_broken_stream_ends_the_clients_connection_without_the_last_chunk() -> None:
     def half(sock: socket.socket, message: Message) -> bool:
-        sock.sendall(HEAD + chunk(EVENTS[0]))
+        sock.sendall(STREAM_HEAD + chunk(EVENTS[0]))
         return True
 
-    with stage(half) as (scene, engine):
+    with running_router(half) as (scene, engine):
         with pytest.raises(ConnectionResetError):
             scene.client().send(ask()).answer()
-        until(lambda: told_outcomes(scene) == [i.Outcome.RESET])
-        assert scene.heard(i.AttemptEnded)[0].closed and len(engine.requests) == 1
+        wait_until(lambda: told_outcomes(scene) == [i.Outcome.RESET])
+        assert scene.events_of(i.AttemptEnded)[0].closed and len(engine.requests) == 1
 
 
 def test_a_stream_that_breaks_keeps_its_events_where_its_client_sent_more() -> None:
@@ -158,22 +158,22 @@
     go = Event()
 
     def half(sock: socket.socket, message: Message) -> bool:
-        sock.sendall(HEAD + chunk(EVENTS[0]))
+        sock.sendall(STREAM_HEAD + chunk(EVENTS[0]))
         return go.wait()
 
-    with stage(half) as (scene, _):
+    with running_router(half) as (scene, _):
         client = scene.client().send(ask())
         got = client.sock.recv(65536)
-        inside = until(lambda: next(iter(scene.inbound._clients), None))
+        inside = wait_until(lambda: next(iter(scene.inbound._clients), None))
         assert inside is not None
         client.send(b"".join(ask(X_Correlation_Id=str(n)) for n in range(5)) + b"POST")
-        until(inside.unread)
+        wait_until(inside.has_unread)
         go.set()
         while data := client.sock.recv(65536):
             got += data
         assert EVENTS[0] in got and END not in got
         client.sock.close()
-        until(lambda: not scene.inbound._clients)
+        wait_until(lambda: not scene.inbound._clients)
 
 
 @pytest.mark.parametrize("endless", [b"0", b";x"])
@@ -181,24 +181,24 @@
     """Each byte is in time, and no chunk has begun: only the line's own time can end it."""
 
     def script(sock: socket.socket, message: Message) -> None:
-        sock.sendall(HEAD + chunk(EVENTS[0]) + b"0")
+        sock.sendall(STREAM_HEAD + chunk(EVENTS[0]) + b"0")
         while True:
             sock.sendall(endless)
             gevent.sleep(0.005)
 
-    with stage(script, options={"piece_ms": 50.0}) as (scene, engine):
+    with running_router(script, options={"piece_ms": 50.0}) as (scene, engine):
         with pytest.raises(ConnectionResetError):
             scene.client().send(ask()).answer()
-        until(lambda: engine.ends == 1 and told_outcomes(scene) == [i.Outcome.UNREADABLE])
+        wait_until(lambda: engine.closed == 1 and told_outcomes(scene) == [i.Outcome.UNREADABLE])
 
 
 def test_a_request_whose_rest_has_come_when_its_time_is_over_is_served() -> None:
     """A process that stood still finds the time over and the rest unread: the time was its own."""
-    with stage(serve_all) as (scene, _):
+    with running_router(serve_all) as (scene, _):
         client = scene.client().send(ask()[:40])
-        inside = until(lambda: next(iter(scene.inbound._clients), None))
+        inside = wait_until(lambda: next(iter(scene.inbound._clients), None))
         assert inside is not None
-        until(lambda: inside._parser.reading)
+        wait_until(lambda: inside._parser.reading)
         client.sock.sendall(ask()[40:])
         watched = select.poll()
         watched.register(inside.sock.fileno(), select.POLLIN)
@@ -223,27 +223,27 @@
             serve_all(sock, message)
         return message.body == b"again"
 
-    with stage(second_time_never) as (scene, engine):
+    with running_router(second_time_never) as (scene, engine):
         client = scene.client()
         client.send(ask(b"first")).answer()
         status = client.send(ask(b"again")).answer().status
-        until(lambda: len(told_outcomes(scene)) > 1)
+        wait_until(lambda: len(told_outcomes(scene)) > 1)
         assert told_outcomes(scene)[1] is i.Outcome.RESET and status == 503
         assert [m.body for m in engine.requests] == [b"first", b"again"]  # and there is no other endpoint
 
 
 def test_a_refusal_says_at_once_when_to_come_back() -> None:
     def turn_away(sock: socket.socket, message: Message) -> None:
-        sock.sendall(st.TURNED_AWAY)
+        sock.sendall(st.UNPROCESSED_503)
 
-    with stage(turn_away) as (scene, _):
+    with running_router(turn_away) as (scene, _):
         answer = scene.client().send(ask(left=9_000)).answer()  # would outlast this test if it were held
         assert answer.status == 503 and 0 < float(answer.fields[b"retry-after"]) <= 2.0
         assert told_outcomes(scene) == [i.Outcome.FULL]
 
 
 def test_an_endpoint_that_refuses_connections_never_ran_it() -> None:
-    with stage(silent) as (scene, engine):
+    with running_router(silent) as (scene, engine):
         engine.listener.close()
         engine.close()
         assert scene.client().send(ask()).answer().status == 503
@@ -251,16 +251,16 @@
 
 
 def test_the_deadline_ends_a_silent_attempt_and_closes_its_connection() -> None:
-    with stage(silent) as (scene, engine):
+    with running_router(silent) as (scene, engine):
         assert scene.client().send(ask(left=150)).answer().status == 504
-        until(lambda: engine.ends == 1)
+        wait_until(lambda: engine.closed == 1)
         assert told_outcomes(scene) == [i.Outcome.TIMEOUT]
-        until(lambda: scene.host.open_requests() == 0)
+        wait_until(lambda: scene.host.open_requests() == 0)
 
 
 def test_time_in_the_kernels_hands_counts_against_the_budget() -> None:
     """Guards against promising a client that waited to be accepted more time than it has."""
-    with stage(serve_all) as (scene, engine):
+    with running_router(serve_all) as (scene, engine):
         scene.inbound._accepting.kill()
         client = scene.client().send(ask(left=60))
         gevent.sleep(0.15)
@@ -271,14 +271,14 @@
 @pytest.mark.parametrize("streaming", [False, True])
 def test_a_client_that_leaves_frees_its_endpoint(streaming: bool) -> None:
     def begin(sock: socket.socket, message: Message) -> None:
-        sock.sendall(HEAD + chunk(EVENTS[0]) if streaming else b"")
+        sock.sendall(STREAM_HEAD + chunk(EVENTS[0]) if streaming else b"")
 
-    with stage(begin) as (scene, engine):
+    with running_router(begin) as (scene, engine):
         client = scene.client().send(ask())
-        until(lambda: scene.heard(i.StreamStarted) if streaming else engine.requests)
+        wait_until(lambda: scene.events_of(i.StreamStarted) if streaming else engine.requests)
         client.sock.close()
-        until(lambda: engine.ends == 1 and scene.heard(i.RequestGone))
-        until(lambda: told_outcomes(scene) == [i.Outcome.CANCELLED] and scene.host.open_requests() == 0)
+        wait_until(lambda: engine.closed == 1 and scene.events_of(i.RequestGone))
+        wait_until(lambda: told_outcomes(scene) == [i.Outcome.CANCELLED] and scene.host.open_requests() == 0)
 
 
 def test_a_slow_client_holds_its_endpoint_back() -> None:
@@ -286,14 +286,14 @@
 
     def flood(sock: socket.socket, message: Message) -> None:
         nonlocal sent
-        sock.sendall(HEAD)
+        sock.sendall(STREAM_HEAD)
         for _ in range(1000):
             sock.sendall(chunk(b"x" * 65536))
             sent += 65536
 
-    with stage(flood) as (scene, _):
+    with running_router(flood) as (scene, _):
         scene.client().send(ask())
-        until(lambda: sent)
+        wait_until(lambda: sent)
         before = -1
         while sent != before:  # until it stands still: only kernels' buffers are full, 64 MB are not passed
             before = sent
@@ -303,26 +303,26 @@
 
 def test_a_client_that_takes_nothing_for_long_has_gone() -> None:
     def flood(sock: socket.socket, message: Message) -> None:
-        sock.sendall(HEAD)
+        sock.sendall(STREAM_HEAD)
         while True:
             sock.sendall(chunk(b"x" * 65536))
 
-    with stage(flood, options={"stall_ms": 500.0}) as (scene, engine):
+    with running_router(flood, options={"stall_ms": 500.0}) as (scene, engine):
         scene.client().send(ask())
-        until(lambda: scene.heard(i.RequestGone) and engine.ends == 1)
+        wait_until(lambda: scene.events_of(i.RequestGone) and engine.closed == 1)
         assert not scene.inbound._clients
 
 
 def test_bodies_beyond_the_memory_for_them_are_turned_away() -> None:
-    with stage(serve_all, limits={"memory_mb": 0.01}) as (scene, engine):
+    with running_router(serve_all, limits={"memory_mb": 0.01}) as (scene, engine):
         answer = scene.client().send(ask(b"x" * 4000)).answer()
         assert answer.status == 503 and answer.fields[b"retry-after"] and not engine.requests
         assert scene.client().send(ask()).answer().status == 200
-        until(lambda: scene.inbound.held == 0)
+        wait_until(lambda: scene.inbound.held_bytes == 0)
 
 
 def test_older_clients_get_no_chunks_and_careful_ones_their_go_ahead() -> None:
-    with stage(serve_all) as (scene, _):
+    with running_router(serve_all) as (scene, _):
         client = scene.client().send(ask().replace(b"HTTP/1.1", b"HTTP/1.0"))
         answer = client.answer()
         assert answer.take_body() == [bytes([byte]) for byte in b"".join(EVENTS)] and not answer.reusable
@@ -332,23 +332,23 @@
 
 
 def test_two_first_events_in_one_tick_have_one_winner() -> None:
-    with stage(silent, silent) as (scene, *engines):
+    with running_router(silent, silent) as (scene, *engines):
         scene.client().send(ask())
-        until(lambda: engines[0].requests or engines[1].requests)
+        wait_until(lambda: engines[0].requests or engines[1].requests)
         (request,) = scene.host._requests.values()
         other = {"e0": "e1", "e1": "e0"}[request.attempts[0].endpoint]
         scene.host._send(i.Send(request.key, other))
         first, second = request.attempts
         assert scene.host.claim(second) and not scene.host.claim(first)
         scene.host._fail_fast(i.Refuse(request.key))  # decided before the event was heard: the stream stands
-        assert not request.over
+        assert not request.finished
         scene.host._cancel(i.Cancel(request.key, 1))  # a stream is not called off
         assert not second.ended
 
 
 def test_an_endpoint_withdrawn_while_its_connection_came_up_is_not_written_to() -> None:
     """Guards the drain rule: its clock runs to the first byte sent, not to the decision."""
-    with stage(serve_all) as (scene, engine):
+    with running_router(serve_all) as (scene, engine):
         take = scene.host._endpoints._pool.take
 
         def slow_take(address: Any) -> Any:
@@ -377,7 +377,7 @@
 
     settings = make_config([])["settings"]
     settings["Classes"][0] |= {"Effect": "dedup", "Group": "all", "RepeatWindowMs": 20e3, "DeadlineMs": 60e3}
-    with stage(hang_up, hang_up, settings=settings) as (scene, *engines):
+    with running_router(hang_up, hang_up, settings=settings) as (scene, *engines):
         monkeypatch.setattr(http1, "connect", second_is_late)
         # Its client may repeat it: the group is all.
         assert scene.client().send(ask(left=60_000)).answer().status == 503
@@ -390,21 +390,21 @@
         serve_all(sock, message)
         sock.sendall(b"HTTP/1.1 200 OK\r\n")
 
-    with stage(answer_and_more) as (scene, engine):
+    with running_router(answer_and_more) as (scene, engine):
         for _ in range(2):
             scene.client().send(ask()).answer()
-            until(lambda: scene.host.open_requests() == 0)
+            wait_until(lambda: scene.host.open_requests() == 0)
         assert engine.connections == 2  # what was said unasked spoils the connection
-    with stage(serve_all) as (scene, engine):
+    with running_router(serve_all) as (scene, engine):
         for _ in range(2):
             scene.client().send(ask()).answer()
-            until(lambda: scene.host.open_requests() == 0)
+            wait_until(lambda: scene.host.open_requests() == 0)
             gevent.sleep(0.02)
         assert engine.connections == 1
         (connection,) = next(iter(scene.host._endpoints._pool._idle.values()))
         connection.idle_since -= 0.9 * scene.config.idle_ms  # before the settings' time, not at it
         scene.host._endpoints._pool.sweep()
-        until(lambda: engine.ends == 1)
+        wait_until(lambda: engine.closed == 1)
 
 
 def test_connections_beyond_the_limit_wait_till_one_is_idle() -> None:
@@ -414,16 +414,16 @@
         seen.wait()
         serve_all(sock, message)
 
-    with stage(wait, limits={"sockets": 64}) as (scene, _):
+    with running_router(wait, limits={"sockets": 64}) as (scene, _):
         clients = [scene.client().send(ask()) for _ in range(scene.config.max_inbound + 1)]
-        until(lambda: len(scene.inbound._clients) == scene.config.max_inbound)
+        wait_until(lambda: len(scene.inbound._clients) == scene.config.max_inbound)
         assert len(scene.inbound._clients) == scene.config.max_inbound
         seen.set()
         assert clients[-1].answer().status == 200
 
 
 def test_accepting_goes_on_after_running_out_of_descriptors(monkeypatch: pytest.MonkeyPatch) -> None:
-    with stage(serve_all) as (scene, _):
+    with running_router(serve_all) as (scene, _):
         accept = type(scene.inbound._listener).accept
         failures = iter([OSError(24, "Too many open files")])
 
@@ -438,7 +438,7 @@
 
 
 def test_an_exception_in_the_decisions_still_leaves_an_answer() -> None:
-    with stage(serve_all) as (scene, _):
+    with running_router(serve_all) as (scene, _):
         scene.host._router.on[i.RequestArrived] = lambda event: 1 / 0
         assert scene.client().send(ask()).answer().status == 502
         scene.host._router.on[i.RequestArrived] = scene.host._router._arrived
@@ -446,13 +446,13 @@
 
 
 def test_an_exception_in_inbound_still_leaves_an_answer(monkeypatch: pytest.MonkeyPatch) -> None:
-    with stage(serve_all) as (scene, _):
+    with running_router(serve_all) as (scene, _):
         monkeypatch.setattr(client_module, "admit", lambda *given: 1 / 0)
         assert scene.client().send(ask()).answer().status == 500
 
 
 def test_a_request_the_decisions_forget_is_answered_by_its_deadline() -> None:
-    with stage(serve_all) as (scene, _):
+    with running_router(serve_all) as (scene, _):
         scene.host._router.handle = lambda now, events: []
         assert scene.client().send(ask(left=100)).answer().status == 504
 
@@ -465,15 +465,15 @@
     since = st.now_unix_ms()
 
     def follow(sock: socket.socket, message: Message) -> bool:
-        changed = [entry("e0", 1, status="terminating"), entry("new", 2, since_ms=since)]
+        changed = [endpoint_entry("e0", 1, status="terminating"), endpoint_entry("new", 2, since_ms=since)]
         change = {"index": 9, "endpoints": changed}
-        sock.sendall(HEAD + lines(change)[:9])
+        sock.sendall(STREAM_HEAD + lines(change)[:9])
         sock.sendall(lines(change)[9:] + chunk(b"\n"))
         return message.target == b"/discovery/hosts?stream=1&index=9"
 
-    with stage(serve_all, watch=follow, options={"watch_silence_ms": 900.0}) as (scene, _):
-        until(lambda: len(scene.heard(i.ReplicaList)) >= 3)
-        restored, changes, again = scene.heard(i.ReplicaList)[:3]
+    with running_router(serve_all, watch=follow, options={"watch_silence_ms": 900.0}) as (scene, _):
+        wait_until(lambda: len(scene.events_of(i.ReplicaList)) >= 3)
+        restored, changes, again = scene.events_of(i.ReplicaList)[:3]
         assert (restored.kind, changes.kind) == (i.ListKind.RESTORED, i.ListKind.CHANGES)
         assert [e.state.name for e in changes.entries] == ["DRAINING", "SERVING"]
         assert changes.entries[1].started_at_ms == since  # on the clock that handle is given
@@ -481,15 +481,15 @@
         # Silent, though its connection stayed open: the next one, at once, asks from where this one ended.
         assert again.kind is i.ListKind.CHANGES
         assert not scene.host.destinations.serving("e0") and scene.host.destinations.serving("new")
-        until(lambda: scene.heard(i.ReplicaList)[-1].kind is i.ListKind.FAILED)  # that one is cut off
+        wait_until(lambda: scene.events_of(i.ReplicaList)[-1].kind is i.ListKind.FAILED)  # that one is cut off
 
 
-@pytest.mark.parametrize("said", [st.TURNED_AWAY, HEAD + chunk(b"{]\n"), HEAD + b"0\r\n\r\n", b"\x00"])
+@pytest.mark.parametrize("said", [st.UNPROCESSED_503, STREAM_HEAD + chunk(b"{]\n"), STREAM_HEAD + b"0\r\n\r\n", b"\x00"])
 def test_a_watch_that_fails_is_told_once(said: bytes) -> None:
-    with stage(watch=lambda sock, message: sock.sendall(said)) as (scene,):
-        until(lambda: len(scene.heard(i.ReplicaList)) > 1)
+    with running_router(watch=lambda sock, message: sock.sendall(said)) as (scene,):
+        wait_until(lambda: len(scene.events_of(i.ReplicaList)) > 1)
         gevent.sleep(0.05)
-        kinds = [event.kind for event in scene.heard(i.ReplicaList)]
+        kinds = [event.kind for event in scene.events_of(i.ReplicaList)]
         assert kinds == [i.ListKind.RESTORED, i.ListKind.FAILED]
 
 
@@ -520,24 +520,24 @@
         seen.wait()
         serve_all(sock, message)
 
-    engine = Party(wait)
-    raw = make_config([entry("e0", engine.port)])
+    engine = ScriptedServer(wait)
+    raw = make_config([endpoint_entry("e0", engine.port)])
     (tmp_path / "config.json").write_bytes(msgspec.json.encode(raw))
     environment = {**os.environ, "NODE_CONFIG": str(tmp_path / "config.json")}
     run = [sys.executable, "-m", "spoolbarrow"]
     port = int(raw["listen"].rpartition(":")[2])
     with subprocess.Popen(run, cwd=ROOT, env=environment, stderr=subprocess.DEVNULL) as router:
         try:
-            until(lambda: not socket.socket().connect_ex((LISTEN, port)))
+            wait_until(lambda: not socket.socket().connect_ex((LISTEN, port)))
             waiting, idle = Client(port).send(ask()), Client(port)
-            until(lambda: engine.requests)
+            wait_until(lambda: engine.requests)
             router.send_signal(signal.SIGTERM)
-            until(lambda: Client(port).send(b"GET /up HTTP/1.1\r\n\r\n").answer().status == 503)
+            wait_until(lambda: Client(port).send(b"GET /up HTTP/1.1\r\n\r\n").answer().status == 503)
             late = idle.send(ask(X_Correlation_Id="late"))  # on a connection that a client kept: still taken
             seen.set()
             answers = [waiting.answer(), late.answer()]
             assert [a.status for a in answers] == [200, 200]
-            until(lambda: router.poll() is not None)
+            wait_until(lambda: router.poll() is not None)
             assert router.returncode == 0
         finally:
             router.kill()
--- a/tests/test_settings_bounds.py
+++ b/tests/test_settings_bounds.py
@@ -11,9 +11,9 @@
 
 from spoolbarrow import config
 from spoolbarrow import interface as i
-from spoolbarrow.net.drain_schedule import LONGEST_MS, Step, end_schedule
+from spoolbarrow.net.drain_schedule import LONGEST_MS, DrainStep, shutdown_schedule
 from spoolbarrow.router import Router
-from tests.stage import entry, make_config
+from tests.router_harness import endpoint_entry, make_config
 from tests.test_config import put
 
 ROOM_MS = 200.0  # between the last answers of a drain and SIGKILL, to write them
@@ -60,7 +60,7 @@
 )
 def test_an_absurd_value_names_its_key(path: str, literals: list[str]) -> None:
     for literal in literals:
-        raw = put(make_config([entry("e", 1)]), path, "@value")
+        raw = put(make_config([endpoint_entry("e", 1)]), path, "@value")
         with pytest.raises(config.ConfigError) as fault:
             read(raw, value=literal)
         key = path.replace(".0.", "[0].")
@@ -170,7 +170,7 @@
 @given(SETTINGS)
 def test_drawn_settings_are_decided_by_or_name_their_key(drawn: dict[str, Any]) -> None:
     """Each request has its attempt, its answer, or a timer that brings one."""
-    raw = make_config([entry("e", 1)], settings=drawn)
+    raw = make_config([endpoint_entry("e", 1)], settings=drawn)
     try:
         made = config.parse(msgspec.json.encode(raw))
     except config.ConfigError as error:
@@ -202,11 +202,11 @@
         cls | {"Name": f"c{n}", "DeadlineMs": deadline} for n, deadline in enumerate(deadlines)
     ]
     raw["settings"]["Specifics"] = {"Resume": resume}
-    times = end_schedule(config.parse(msgspec.json.encode(raw)), succeeded)
-    answer, killed = times.at(Step.ANSWER_ALL), min(max(deadlines), LONGEST_MS) + BEYOND_MS
-    assert 0 <= times.accept <= times.at(Step.END_ANSWERS) <= answer
-    assert times.accept <= times.at(Step.REFUSE) <= answer
-    assert times.accept <= times.pass_on <= answer
-    assert times.at(Step.MOVE_STREAMS) <= answer if resume else Step.MOVE_STREAMS not in times.steps
-    assert times.retry_after >= 0
-    assert answer + ROOM_MS <= killed <= times.at(Step.CLOSE_ALL)
+    times = shutdown_schedule(config.parse(msgspec.json.encode(raw)), succeeded)
+    answer, killed = times.at(DrainStep.ANSWER_ALL), min(max(deadlines), LONGEST_MS) + BEYOND_MS
+    assert 0 <= times.accept_ms <= times.at(DrainStep.END_ANSWERS) <= answer
+    assert times.accept_ms <= times.at(DrainStep.REFUSE) <= answer
+    assert times.accept_ms <= times.handover_ms <= answer
+    assert times.at(DrainStep.MOVE_STREAMS) <= answer if resume else DrainStep.MOVE_STREAMS not in times.steps
+    assert times.retry_after_ms >= 0
+    assert answer + ROOM_MS <= killed <= times.at(DrainStep.CLOSE_ALL)
--- a/tests/test_shadow.py
+++ b/tests/test_shadow.py
@@ -26,20 +26,20 @@
 from spoolbarrow.shadow.copier import ENDING, Copier, Prepared, Writer
 from spoolbarrow.shadow.reading import Reading, chain
 from spoolbarrow.spool import contents
-from tests.stage import (
+from tests.router_harness import (
     EVENTS,
-    HEAD,
+    STREAM_HEAD,
     LISTEN,
-    TURNED_AWAY,
+    UNPROCESSED_503,
     Client,
-    Party,
+    ScriptedServer,
     ask,
     chunk,
-    entry,
+    endpoint_entry,
     make_config,
     serve_all,
-    stage,
-    until,
+    running_router,
+    wait_until,
 )
 
 copier_module.CLOSE_S = 20.0  # a busy disk must not pass for one that fails
@@ -82,8 +82,8 @@
 
 
 @contextmanager
-def candidate(script: Any) -> Iterator[Party]:
-    party = Party(script)
+def candidate(script: Any) -> Iterator[ScriptedServer]:
+    party = ScriptedServer(script)
     try:
         yield party
     finally:
@@ -104,18 +104,18 @@
 def other_words(sock: socket.socket, message: Message) -> None:
     said = b'data: {"choices":[{"delta":{"content":"ab cd"},"finish_reason":"stop"}]}\n\n'
     usage = b'data: {"choices":[],"usage":{"prompt_tokens":9,"completion_tokens":2}}\n\n'
-    sock.sendall(HEAD + chunk(said) + chunk(usage + EVENTS[1]) + b"0\r\n\r\n")
+    sock.sendall(STREAM_HEAD + chunk(said) + chunk(usage + EVENTS[1]) + b"0\r\n\r\n")
 
 
 @pytest.mark.parametrize("with_text", [False, True])
 def test_a_copy_is_marked_and_its_pair_kept_without_the_text_unless_allowed(
     with_text: bool, tmp_path: Path
 ) -> None:
-    with stage(serve_all) as (scene, engine), candidate(other_words) as party:
+    with running_router(serve_all) as (scene, engine), candidate(other_words) as party:
         table = settings(party, directory=str(tmp_path), text_for=["acme"] if with_text else [])
         with shadowing(scene, table) as copier:
             live(scene)
-            until(lambda: copier.pairs == 1 and not copier._pairs)
+            wait_until(lambda: copier.pairs == 1 and not copier._pairs)
         (copied,) = party.requests
         (original,) = engine.requests
         assert copied.fields[b"x-shadow"] == b"spoolbarrow-shadow" and b"x-shadow" not in original.fields
@@ -172,7 +172,7 @@
 
 
 def turn_away(sock: socket.socket, message: Message) -> None:
-    sock.sendall(TURNED_AWAY)
+    sock.sendall(UNPROCESSED_503)
 
 
 def spoilt(sock: socket.socket, message: Message) -> None:
@@ -180,7 +180,7 @@
 
 
 def broken(sock: socket.socket, message: Message) -> bool:
-    sock.sendall(HEAD + chunk(EVENTS[0]))
+    sock.sendall(STREAM_HEAD + chunk(EVENTS[0]))
     return True
 
 
@@ -189,24 +189,24 @@
 
 
 def pour(sock: socket.socket, message: Message) -> None:
-    sock.sendall(HEAD)
+    sock.sendall(STREAM_HEAD)
     for _ in range(60 * 16):
         sock.sendall(chunk(EVENTS[0] * 800))  # 60 MB in all
 
 
 def trickle(sock: socket.socket, message: Message) -> None:
-    for byte in HEAD * 50:
+    for byte in STREAM_HEAD * 50:
         sock.sendall(bytes([byte]))
         gevent.sleep(0.01)
 
 
 @pytest.mark.parametrize("script", [hang_up, turn_away, spoilt, broken, plain, pour])
 def test_a_bad_candidate_changes_no_live_answer_and_its_fault_is_kept(script: Any, tmp_path: Path) -> None:
-    with stage(serve_all) as (scene, _), candidate(script) as party:
+    with running_router(serve_all) as (scene, _), candidate(script) as party:
         with shadowing(scene, settings(party, directory=str(tmp_path))) as copier:
             for n in range(5):
                 live(scene, X_Correlation_Id=str(n))
-            until(lambda: copier.pairs == 5)
+            wait_until(lambda: copier.pairs == 5)
             assert not copier._greenlets and not copier._pairs and not copier._decider.out()
     told = pairs(tmp_path)
     assert [pair["live"]["outcome"] for pair in told] == ["served"] * 5
@@ -216,14 +216,14 @@
 
 @pytest.mark.parametrize("script", [silent, trickle])
 def test_a_stalled_candidate_gets_no_more_copies_and_live_answers_go_on(script: Any) -> None:
-    with stage(serve_all) as (scene, _), candidate(script) as party:
+    with running_router(serve_all) as (scene, _), candidate(script) as party:
         table = settings(party, deadline_ms=150.0, bad_copies=2, open_ms=60_000.0)
         with shadowing(scene, table) as copier:
             live(scene)
             live(scene)
-            until(lambda: copier._greenlets == {})
+            wait_until(lambda: copier._greenlets == {})
             copier._decider.handle(scene.host.now(), [])
-            until(lambda: copier._decider.breaker.state.name == "OPEN")
+            wait_until(lambda: copier._decider.breaker.state.name == "OPEN")
             sent = len(party.requests) + copier._decider.copied
             for _ in range(10):
                 live(scene)
@@ -232,7 +232,7 @@
 
 
 def test_a_candidate_that_is_gone_and_one_that_flaps(tmp_path: Path) -> None:
-    with stage(serve_all) as (scene, _), candidate(serve_all) as party, candidate(serve_all) as gone:
+    with running_router(serve_all) as (scene, _), candidate(serve_all) as party, candidate(serve_all) as gone:
         gone.listener.close()
         gone.close()
         with shadowing(scene, settings(party, gone, directory=str(tmp_path))) as copier:
@@ -241,7 +241,7 @@
                     only = decide_pool(copier, serving=n % 20 == 5)
                     assert only
                 live(scene)
-            until(lambda: not copier._greenlets and not copier._pairs)
+            wait_until(lambda: not copier._greenlets and not copier._pairs)
             outcomes = {pair["copy"]["outcome"] for pair in until_pairs(copier, tmp_path)}
             assert outcomes == {"served", "failed"}
             assert set(copier._decider._in_flight) == set()
@@ -264,49 +264,49 @@
     go = Event()
 
     def slowly(sock: socket.socket, message: Message) -> None:
-        sock.sendall(HEAD + chunk(EVENTS[0]))
+        sock.sendall(STREAM_HEAD + chunk(EVENTS[0]))
         go.wait()
         sock.sendall(chunk(EVENTS[1]) + b"0\r\n\r\n")
 
-    with stage(slowly) as (scene, _), candidate(silent) as party:
+    with running_router(slowly) as (scene, _), candidate(silent) as party:
         with shadowing(scene, settings(party)) as copier:
             client = scene.client().send(ask())
-            until(lambda: party.requests and scene.heard(i.StreamStarted))
+            wait_until(lambda: party.requests and scene.events_of(i.StreamStarted))
             client.sock.close()
-            until(lambda: not copier._greenlets and not copier._pairs and party.ends == 1)
+            wait_until(lambda: not copier._greenlets and not copier._pairs and party.closed == 1)
             assert copier._decider.breaker._bad == 0  # that says nothing of the candidate
     go.clear()
-    with stage(slowly) as (scene, _), candidate(serve_all) as party:
+    with running_router(slowly) as (scene, _), candidate(serve_all) as party:
         with shadowing(scene, settings(party, directory=str(tmp_path))) as copier:
             client = scene.client().send(ask())
-            until(lambda: copier._pairs and not copier._greenlets)
+            wait_until(lambda: copier._pairs and not copier._greenlets)
             assert copier.pairs == 0
             go.set()
             assert client.answer().status == 200
-            until(lambda: copier.pairs == 1)
+            wait_until(lambda: copier.pairs == 1)
 
 
 def test_a_request_that_is_tried_elsewhere_is_copied_once_and_clients_retries_never() -> None:
-    with stage(turn_away, serve_all) as (scene, *_), candidate(serve_all) as party:
+    with running_router(turn_away, serve_all) as (scene, *_), candidate(serve_all) as party:
         with shadowing(scene, settings(party)) as copier:
             for n in range(6):
                 live(scene, X_Correlation_Id=str(n))
-            until(lambda: not copier._pairs)
+            wait_until(lambda: not copier._pairs)
             assert len(party.requests) == 6
-            assert any(event.attempt > 0 for event in scene.heard(i.AttemptEnded))
+            assert any(event.attempt > 0 for event in scene.events_of(i.AttemptEnded))
             live(scene, X_Repeat="1")
             live(scene, X_Repeat="again")
             assert len(party.requests) == 6 and copier._decider.copied == 6
 
 
 def test_a_thousand_sessions_of_one_tenant_keep_the_share_and_each_whole() -> None:
-    with stage(serve_all) as (scene, _), candidate(serve_all) as party:
+    with running_router(serve_all) as (scene, _), candidate(serve_all) as party:
         shares = [ShareTable(share=0.0, tenant="other")]
         with shadowing(scene, settings(party, share=0.25, shares=shares, salt="s")) as copier:
             client = scene.client()
             for n in range(1000):
                 client.send(ask(X_Session_Key=f"{n + 1:x}")).answer()
-                until(lambda: scene.host.open_requests() == 0 and not copier._pairs)
+                wait_until(lambda: scene.host.open_requests() == 0 and not copier._pairs)
             before = copier._decider.copied
             assert 210 <= before <= 290 and not copier._decider.dropped
             keys = {m.fields[b"x-session-key"] for m in party.requests}
@@ -316,38 +316,38 @@
 
 
 def test_a_share_of_nothing_ends_every_copy_at_once_and_a_new_pool_takes_over() -> None:
-    with stage(serve_all) as (scene, _), candidate(silent) as party, candidate(serve_all) as other:
+    with running_router(serve_all) as (scene, _), candidate(silent) as party, candidate(serve_all) as other:
         with shadowing(scene, settings(party)) as copier:
             for _ in range(3):
                 live(scene)
-            until(lambda: len(party.requests) == 3)
+            wait_until(lambda: len(party.requests) == 3)
             copier.apply(Prepared(settings(party, share=0.0), scene.config))
             assert not copier._greenlets and not copier._decider.out()
-            until(lambda: party.ends == 3)
+            wait_until(lambda: party.closed == 3)
             live(scene)
             copier.apply(Prepared(settings(other), scene.config))
             live(scene)
-            until(lambda: len(other.requests) == 1)
+            wait_until(lambda: len(other.requests) == 1)
             assert len(party.requests) == 3
 
 
 @pytest.mark.parametrize("chosen", [{"candidate_type": "candidate"}, {"candidate_group": 7}])
 def test_engines_of_the_candidate_type_or_group_serve_nothing_live(chosen: dict[str, Any]) -> None:
     scripts = (serve_all, other_words)
-    parties = [Party(script) for script in scripts]
-    listed = [entry("e0", parties[0].port), entry("new", parties[1].port, type="candidate", group=7)]
+    parties = [ScriptedServer(script) for script in scripts]
+    listed = [endpoint_entry("e0", parties[0].port), endpoint_entry("new", parties[1].port, type="candidate", group=7)]
     known = {"index": 7, "snapshot": True, "endpoints": listed}
-    with stage(serve_all, known=known) as (scene, _):
+    with running_router(serve_all, known=known) as (scene, _):
         table = ShadowTable(share=1.0, **chosen, **PLENTY)
         with shadowing(scene, table) as copier:
-            until(lambda: len(scene.heard(i.ReplicaList)) == 2)
-            assert [e.replica for e in scene.heard(i.ReplicaList)[-1].entries] == ["new"]
-            assert scene.heard(i.ReplicaList)[-1].entries[0].state is i.ReplicaState.GONE
+            wait_until(lambda: len(scene.events_of(i.ReplicaList)) == 2)
+            assert [e.replica for e in scene.events_of(i.ReplicaList)[-1].entries] == ["new"]
+            assert scene.events_of(i.ReplicaList)[-1].entries[0].state is i.ReplicaState.GONE
             for _ in range(8):
                 live(scene)
-            until(lambda: not copier._pairs)
+            wait_until(lambda: not copier._pairs)
             assert len(parties[0].requests) == 8 == len(parties[1].requests)
-            draining = [entry("new", parties[1].port, type="candidate", group=7, status="terminating")]
+            draining = [endpoint_entry("new", parties[1].port, type="candidate", group=7, status="terminating")]
             news = config.HostList(8, False, msgspec.convert(draining, list[config.ListEntry]))
             scene.host.destinations.take(news, i.ListKind.CHANGES)
             live(scene)
@@ -360,7 +360,7 @@
 
 
 def test_pressure_is_what_live_traffic_shows() -> None:
-    with stage(turn_away) as (scene, _), candidate(serve_all) as party:
+    with running_router(turn_away) as (scene, _), candidate(serve_all) as party:
         with shadowing(scene, settings(party)) as copier:
             assert scene.client().send(ask()).answer().status == 503
             scene.host.probed("e0", i.Outcome.SERVED, 1.0, i.Report(0.1, 9000.0))
@@ -375,24 +375,24 @@
 
 
 def test_a_burst_of_live_traffic_is_answered_whole_and_copies_stay_within_their_limits() -> None:
-    with stage(serve_all, limits={"sockets": 1024}) as (scene, _), candidate(serve_all) as party:
+    with running_router(serve_all, limits={"sockets": 1024}) as (scene, _), candidate(serve_all) as party:
         with shadowing(scene, settings(party, in_flight=3)) as copier:
             most = 0
             for burst in (10, 24, 10):  # 2.4 times the usual, and back
                 clients = [scene.client() for _ in range(burst)]
                 for n, client in enumerate(clients):
                     client.send(ask(X_Correlation_Id=f"{burst}-{n}", X_Session_Key=f"{n + 1:x}"))
-                until(lambda: scene.heard(i.RequestArrived))
+                wait_until(lambda: scene.events_of(i.RequestArrived))
                 for client in clients:
                     answer = client.answer()
                     assert (answer.status, b"".join(answer.take_body())) == (200, b"".join(EVENTS))
                     most = max(most, len(copier._decider.out()))
-                until(lambda: not copier._pairs)
+                wait_until(lambda: not copier._pairs)
             assert most <= 3 and copier._decider.copied == len(party.requests) > 0
 
 
 def test_nothing_is_copied_where_memory_is_near_its_limit() -> None:
-    with stage(serve_all, limits={"memory_mb": 16.0}) as (scene, _), candidate(serve_all) as party:
+    with running_router(serve_all, limits={"memory_mb": 16.0}) as (scene, _), candidate(serve_all) as party:
         with shadowing(scene, settings(party)) as copier:
             copier._slow = copier._look(0.0)  # this process holds far more than 16 MB
             copier._decider.handle(scene.host.now(), [copier._pressure(0.0)])
@@ -428,8 +428,8 @@
         go.wait()
         serve_all(sock, message)
 
-    engine, party = Party(wait), Party(silent)
-    raw = make_config([entry("e0", engine.port)])
+    engine, party = ScriptedServer(wait), ScriptedServer(silent)
+    raw = make_config([endpoint_entry("e0", engine.port)])
     (tmp_path / "config.json").write_bytes(msgspec.json.encode(raw))
     file = tmp_path / "o.toml"
     table = f'[shadow]\nshare = %s\ncandidates = ["127.0.0.1:{party.port}"]\nrequests_per_s = 100000.0\n'
@@ -440,7 +440,7 @@
     run = [sys.executable, "-m", "spoolbarrow"]
     with subprocess.Popen(run, cwd=ROOT, env=environment, stderr=subprocess.DEVNULL) as router:
         try:
-            until(lambda: not socket.socket().connect_ex((LISTEN, port)))
+            wait_until(lambda: not socket.socket().connect_ex((LISTEN, port)))
             clients: list[Client] = []
 
             def copied(number: int) -> bool:
@@ -449,20 +449,20 @@
                 gevent.sleep(0.02)
                 return len(party.requests) >= number
 
-            until(lambda: copied(1))
+            wait_until(lambda: copied(1))
             file.write_text(table % "0")
             router.send_signal(signal.SIGHUP)
-            until(lambda: party.ends == len(party.requests))
+            wait_until(lambda: party.closed == len(party.requests))
             file.write_text(table % "1.0")
             router.send_signal(signal.SIGHUP)
             before = len(party.requests)
-            until(lambda: copied(before + 1))
+            wait_until(lambda: copied(before + 1))
             router.send_signal(signal.SIGTERM)
-            until(lambda: party.ends == len(party.requests))
+            wait_until(lambda: party.closed == len(party.requests))
             assert router.poll() is None  # live requests have the grace
             go.set()
             assert [client.answer().status for client in clients] == [200] * len(clients)
-            until(lambda: router.poll() is not None)
+            wait_until(lambda: router.poll() is not None)
             assert router.returncode == 0
         finally:
             router.kill()
--- a/tests/test_shutdown_races.py
+++ b/tests/test_shutdown_races.py
@@ -27,19 +27,19 @@
 from spoolbarrow.net.host import Host
 from spoolbarrow.net.inbound import Inbound
 from spoolbarrow.reload import Descriptors, Reloader
-from tests.stage import (
+from tests.router_harness import (
     LISTEN,
     Client,
-    Party,
+    ScriptedServer,
     ask,
     end_answers,
-    entry,
+    endpoint_entry,
     free_port,
     make_config,
     serve_all,
-    stage,
-    turns,
-    until,
+    running_router,
+    run_ready,
+    wait_until,
 )
 from tests.test_drain import NEVER, PATIENT, ROOT, Engine, asked, closed, refused, rest
 
@@ -51,7 +51,7 @@
 def full(**options: float) -> Iterator[tuple[Any, Engine, list[Client]]]:
     """A router whose clients' places are all taken by streams that wait for the engine's `go`."""
     engine = Engine()
-    with stage(
+    with running_router(
         lambda sock, message: engine.script(sock, message), limits=SMALL, options=PATIENT | options
     ) as (scene, _):
         busy = [scene.client().send(asked(f"busy{n}", b"begin")) for n in range(scene.config.max_inbound)]
@@ -83,9 +83,9 @@
     reached, gate = Event(), Event()
     with full() as (scene, engine, busy):
         first = scene.client().send(asked("first"))
-        until(waits_for_room(scene, 1))
+        wait_until(waits_for_room(scene, 1))
         second = Client(move(scene)).send(asked("second"))
-        until(waits_for_room(scene, 2))
+        wait_until(waits_for_room(scene, 2))
         held = scene.inbound._accepting
 
         def no_room() -> bool:
@@ -105,7 +105,7 @@
             assert rest(client).status == 200
             client.sock.close()
         assert second.answer().status == 200
-        until(lambda: not scene.inbound._leaving and not scene.inbound._waiting)
+        wait_until(lambda: not scene.inbound._leaving and not scene.inbound._waiting)
 
 
 def test_a_drain_waits_for_the_last_connections_of_every_address() -> None:
@@ -130,15 +130,15 @@
         scene.inbound.drainer._tell_steps, scene.inbound._make_room = look, no_room
         scene.inbound._admit = seat
         waiting = scene.client().send(asked("waits"))
-        until(waits_for_room(scene, 1))
+        wait_until(waits_for_room(scene, 1))
         move(scene), move(scene)
-        until(lambda: len(scene.inbound._leaving) == 1)  # the second address has nothing left
+        wait_until(lambda: len(scene.inbound._leaving) == 1)  # the second address has nothing left
         draining = gevent.spawn(scene.inbound.drain)
         engine.go.set()
         for client in busy:
             rest(client)
             client.sock.close()
-        until(lambda: looks > 2 or draining.ready())
+        wait_until(lambda: looks > 2 or draining.ready())
         assert not draining.ready()
         gate.set()
         assert refused(waiting) and waiting.ended()
@@ -150,10 +150,10 @@
 def test_close_ends_what_waits_at_every_address() -> None:
     with full() as (scene, _, _busy):
         waiting = [scene.client()]
-        until(waits_for_room(scene, 1))
+        wait_until(waits_for_room(scene, 1))
         for number in (1, 2):
             waiting.append(Client(move(scene)))
-            until(waits_for_room(scene, number + 1))
+            wait_until(waits_for_room(scene, number + 1))
         scene.inbound.close()
         assert all(closed(client) for client in waiting)
 
@@ -162,14 +162,14 @@
     capfd: pytest.CaptureFixture[str],
 ) -> None:
     """No other greenlet runs in the middle of a change: each ends the listener before it, once."""
-    with stage(serve_all) as (scene, _):
-        turns()
+    with running_router(serve_all) as (scene, _):
+        run_ready()
         ports = [free_port(), free_port()]
         moves = [
             gevent.spawn(scene.inbound.apply, replace(scene.config, listen=(LISTEN, port))) for port in ports
         ]
         gevent.joinall(moves, raise_error=True)
-        until(lambda: not scene.inbound._leaving)
+        wait_until(lambda: not scene.inbound._leaving)
         with socket.socket() as sock:
             assert sock.connect_ex((LISTEN, ports[0])) != 0
         assert Client(ports[1]).send(ask()).answer().status == 200
@@ -202,10 +202,10 @@
 @pytest.mark.parametrize("close", ["close_idle", "_make_room"])
 def test_a_request_that_comes_while_others_are_closed_keeps_its_connection(close: str) -> None:
     """Each connection is looked at just before it is closed, not all of them before the first one is."""
-    with stage(serve_all) as (scene, _):
+    with running_router(serve_all) as (scene, _):
         clients = [scene.client().send(UP) for _ in range(2)]
         assert [client.answer().status for client in clients] == [200, 200]
-        until(lambda: len(held := scene.inbound._clients) == 2 and all(one.idle() for one in held))
+        wait_until(lambda: len(held := scene.inbound._clients) == 2 and all(one.idle() for one in held))
         of = {client.sock.getsockname(): client for client in clients}
         ours = {one: of[one.sock.getpeername()] for one in scene.inbound._clients}
         met: list[Any] = []
@@ -220,7 +220,7 @@
         for one in ours:
             one.since -= NEVER
             one.close = lambda *why, one=one: closing(one, *why)
-        until(lambda: all(one.answered() for one in ours))
+        wait_until(lambda: all(one.answered() for one in ours))
         if close == "close_idle":
             scene.inbound.drainer.close_idle(scene.host.now())
         else:
@@ -233,18 +233,18 @@
 def test_a_request_in_single_bytes_over_the_begin_of_a_drain_is_answered() -> None:
     """Ruled out: a connection whose request has begun to come is not idle, whatever the drain closes."""
     times = {"drain_accept_ms": 1.0, "drain_keep_ms": 1.0, "drain_move_ms": NEVER, "drain_answer_ms": NEVER}
-    with stage(serve_all, options=PATIENT | times, settings=resumed()) as (scene, _):
+    with running_router(serve_all, options=PATIENT | times, settings=resumed()) as (scene, _):
         client, idle, raw = scene.client(), scene.client().send(UP), ask()
         idle.answer()
         for byte in raw[:20]:
             client.send(bytes([byte]))
-            turns()  # each is read alone
-        until(lambda: [one for one in scene.inbound._clients if one._parser.reading])
+            run_ready()  # each is read alone
+        wait_until(lambda: [one for one in scene.inbound._clients if one._parser.reading])
         draining = gevent.spawn(scene.inbound.drain)
         assert idle.ended()  # the drain closes what is idle
         for byte in raw[20:]:
             client.send(bytes([byte]))
-            turns()
+            run_ready()
         assert client.answer().status == 200 and client.ended()
         draining.join()
 
@@ -260,7 +260,7 @@
 
     Its client was told so and asks again elsewhere; here it must reach no engine.
     """
-    with stage(serve_all) as (scene, engine):
+    with running_router(serve_all) as (scene, engine):
         client = scene.client().send(UP)
         client.answer()
         (held,) = scene.inbound._clients
@@ -276,14 +276,14 @@
         client.send(UP)
         came.wait()
         client.send(asked("crossing"))
-        until(held.unread)
-        turns()
+        wait_until(held.has_unread)
+        run_ready()
         gate.set()
         answer = client.answer()
         assert answer.status == 200 and answer.fields[b"connection"] == b"close" and client.ended()
         client.sock.close()
-        until(lambda: not scene.inbound._clients)
-        assert not engine.requests and not scene.host.open_requests() and not held._parser.whole
+        wait_until(lambda: not scene.inbound._clients)
+        assert not engine.requests and not scene.host.open_requests() and not held._parser.complete
 
 
 # Reloads
@@ -343,7 +343,7 @@
     def met() -> None:
         program.write(name="second", listen=f"{LISTEN}:{free_port()}")
         second.append(gevent.spawn(program.reloader.reload))
-        turns()
+        run_ready()
         assert program.inbound.config.name == program.host.config.name == "first"
 
     at_the_move(program, met)
@@ -358,13 +358,13 @@
 
     def met() -> None:
         caller.kill(block=False)
-        turns()
+        run_ready()
 
     at_the_move(program, met)
     program.write(name="other", control=f"{LISTEN}:{free_port()}")
     caller = gevent.spawn(program.reloader.reload)
     caller.join()
-    until(lambda: program.inbound.config.name == program.host.config.name == "other")
+    wait_until(lambda: program.inbound.config.name == program.host.config.name == "other")
     assert (
         Client(int(program.raw["control"].rpartition(":")[2]))
         .send(b"GET /v1/readyz HTTP/1.1\r\n\r\n")
@@ -381,8 +381,8 @@
 
     def met() -> None:
         ending.append(gevent.spawn(end))
-        turns()
-        assert not program.inbound.drainer.state.ends()
+        run_ready()
+        assert not program.inbound.drainer.state.process_ending()
 
     at_the_move(program, met)
     program.write(name="other", control=f"{LISTEN}:{free_port()}")
@@ -410,8 +410,8 @@
 def test_sighup_while_the_program_starts_is_carried_out_once_it_is_up(tmp_path: Path) -> None:
     """An older process that says nothing has the newer one wait for its state, before it decides anything."""
     older = Handover(str(tmp_path))
-    party = Party(serve_all)
-    raw = make_config([entry("e0", party.port)], control=f"{LISTEN}:{free_port()}")
+    party = ScriptedServer(serve_all)
+    raw = make_config([endpoint_entry("e0", party.port)], control=f"{LISTEN}:{free_port()}")
     (tmp_path / "config.json").write_bytes(msgspec.json.encode(raw))
     environment = {"NODE_CONFIG": str(tmp_path / "config.json"), "TMPDIR": str(tmp_path)}
     port = int(raw["listen"].rpartition(":")[2])
@@ -423,15 +423,15 @@
         ) as process,
     ):
         try:
-            until(lambda: not socket.socket().connect_ex((LISTEN, port)))
+            wait_until(lambda: not socket.socket().connect_ex((LISTEN, port)))
             process.send_signal(signal.SIGHUP)
-            until(lambda: process.poll() is not None or '"reloaded"' in log.read_text())
+            wait_until(lambda: process.poll() is not None or '"reloaded"' in log.read_text())
             told = log.read_text()
             assert process.poll() is None, told
             assert told.index('"handover_failed"') < told.index('"reloaded"')
             assert Client(port).send(ask()).answer().status == 200
             process.send_signal(signal.SIGTERM)
-            until(lambda: process.poll() is not None)
+            wait_until(lambda: process.poll() is not None)
             assert process.returncode == 0
         finally:
             process.kill()
--- a/tests/test_started_meanwhile.py
+++ b/tests/test_started_meanwhile.py
@@ -16,14 +16,14 @@
 from spoolbarrow import interface as i
 from spoolbarrow.config import HostList, ListEntry
 from spoolbarrow.net import http1
-from tests.stage import ask, entry, make_config, serve_all, stage, until
+from tests.router_harness import ask, endpoint_entry, make_config, serve_all, running_router, wait_until
 
 COLD = {"ColdFrom": 0.1, "ColdMs": 60_000.0, "TipAfterMs": 2000.0, "OverloadFactor": 2.0}
 
 
 def starts_anew(scene: Any, port: int) -> None:
     """Discovery tells that the engine has just started."""
-    line = entry("e0", port, since_ms=scene.host.now())
+    line = endpoint_entry("e0", port, since_ms=scene.host.now())
     scene.host.destinations._discovery._news(HostList(9, False, [msgspec.convert(line, ListEntry)]))
 
 
@@ -34,7 +34,7 @@
     told: list[int] = []
     settings = make_config([])["settings"]
     settings["Invariants"] = settings.get("Invariants", {}) | COLD
-    with stage(serve_all, settings=settings) as (scene, engine):
+    with running_router(serve_all, settings=settings) as (scene, engine):
 
         def starts_meanwhile(where: tuple[str, int], timeout_s: float) -> Sock:
             sock = connect(where, timeout_s)
@@ -45,7 +45,7 @@
 
         monkeypatch.setattr(http1, "connect", starts_meanwhile)
         assert scene.client().send(ask()).answer().status == 503
-        (ended,) = scene.heard(i.AttemptEnded)
+        (ended,) = scene.events_of(i.AttemptEnded)
         assert ended.outcome is i.Outcome.MOOT and told and not engine.requests
 
 
@@ -53,7 +53,7 @@
     """Both wait while a batch is decided on: a request must not go by a list that is not the last."""
     held, through = Event(), Event()
     batches: list[list[type]] = []
-    with stage(serve_all) as (scene, engine):
+    with running_router(serve_all) as (scene, engine):
         handle = scene.host._router.handle
 
         def deciding(now: float, events: list[i.Event]) -> list[i.Action]:
@@ -68,9 +68,9 @@
         held.wait()
         waiting = len(batches)
         scene.client().send(ask(X_Correlation_Id="second"))
-        until(lambda: any(isinstance(event, i.RequestArrived) for event in scene.host._inbox))
+        wait_until(lambda: any(isinstance(event, i.RequestArrived) for event in scene.host._inbox))
         starts_anew(scene, engine.port)
         through.set()
-        until(lambda: any(i.RequestArrived in batch for batch in batches[waiting:]))
+        wait_until(lambda: any(i.RequestArrived in batch for batch in batches[waiting:]))
         (batch,) = [batch for batch in batches[waiting:] if i.RequestArrived in batch]
         assert batch.index(i.ReplicaList) < batch.index(i.RequestArrived)
--- a/tests/test_store_callers.py
+++ b/tests/test_store_callers.py
@@ -13,7 +13,7 @@
 from spoolbarrow.lab.cluster import free_ports
 from spoolbarrow.store import callers, faults
 from spoolbarrow.store.state import MOST_VALUE
-from tests.stage import LISTEN, Client
+from tests.router_harness import LISTEN, Client
 
 CHUNKED = b"PUT /k HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n"
 LONG = b"x" * (MOST_VALUE + 1)
--- a/tests/test_taps.py
+++ b/tests/test_taps.py
@@ -11,8 +11,8 @@
 from spoolbarrow.net import tcpinfo
 from spoolbarrow.net.http1 import Message
 from spoolbarrow.net.request import Attempt, Request
-from spoolbarrow.net.taps import Observer, Opened, Side, Taps, Why
-from tests.stage import EVENTS, HEAD, ask, chunk, serve_all, stage, until
+from spoolbarrow.net.observers import Observer, OpenConnection, Side, Observers, CloseReason
+from tests.router_harness import EVENTS, STREAM_HEAD, ask, chunk, serve_all, running_router, wait_until
 
 
 class Listener(Observer):
@@ -23,11 +23,11 @@
         self.socks: dict[int, Any] = {}
         self.counters: dict[int, tcpinfo.Counters] = {}
 
-    def connection_opened(self, opened: Opened) -> None:
+    def connection_opened(self, opened: OpenConnection) -> None:
         self.heard.append(("opened", opened.side, opened.number, opened.endpoint))
         self.socks[opened.number] = opened.sock
 
-    def connection_closing(self, number: int, why: Why) -> None:
+    def connection_closing(self, number: int, why: CloseReason) -> None:
         self.counters[number] = tcpinfo.counters(self.socks.pop(number))
         self.heard.append(("closing", why, number))
 
@@ -40,24 +40,24 @@
     def attempt_started(self, attempt: Attempt) -> None:
         self.heard.append(("started", attempt.connection))
 
-    def passed_on(self, request: Request, parts: list[bytes]) -> None:
+    def parts_forwarded(self, request: Request, parts: list[bytes]) -> None:
         self.heard.append(("passed", sum(map(len, parts))))
 
     def attempt_ended(self, attempt: Attempt) -> None:
         self.heard.append(("ended", attempt.outcome))
 
     def request_over(self, request: Request, now: float) -> None:
-        self.heard.append(("over", request.answered))
+        self.heard.append(("over", request.answer_kind))
 
 
 def test_an_observer_hears_a_request_and_its_connections_from_first_to_last() -> None:
-    with stage(serve_all) as (scene, _):
+    with running_router(serve_all) as (scene, _):
         listener = Listener()
-        scene.host.taps.add(listener)
+        scene.host.observers.add(listener)
         client = scene.client().send(ask())
         assert client.answer().status == 200
         client.sock.close()
-        until(lambda: any(told[0] == "closing" for told in listener.heard))
+        wait_until(lambda: any(told[0] == "closing" for told in listener.heard))
         (_, _, ours, _), (_, _, theirs, name) = [told for told in listener.heard if told[0] == "opened"]
         passed = sum(size for what, size in [t[:2] for t in listener.heard] if what == "passed")
         assert passed == sum(map(len, EVENTS)) and name == "e0" and theirs > ours
@@ -70,27 +70,27 @@
             ("started", theirs),
             ("ended", i.Outcome.SERVED),
             ("over", "served"),
-            ("closing", Why.DONE, ours),
+            ("closing", CloseReason.DONE, ours),
         ]
         counted = listener.counters[ours]
-        assert counted.received == len(ask()) and counted.sent > passed and counted.data_received == 1
+        assert counted.bytes_received == len(ask()) and counted.bytes_sent > passed and counted.data_segments_received == 1
         scene.host._endpoints._pool.forget("e0")
-        assert listener.heard[-1] == ("closing", Why.DONE, theirs)
-        assert listener.counters[theirs].sent > len(b'{"model":"chat"}')
+        assert listener.heard[-1] == ("closing", CloseReason.DONE, theirs)
+        assert listener.counters[theirs].bytes_sent > len(b'{"model":"chat"}')
 
 
 def test_a_broken_connection_is_told_as_broken() -> None:
     def half(sock: socket.socket, message: Message) -> bool:
-        sock.sendall(HEAD + chunk(EVENTS[0]))
+        sock.sendall(STREAM_HEAD + chunk(EVENTS[0]))
         return True
 
-    with stage(half) as (scene, _):
+    with running_router(half) as (scene, _):
         listener = Listener()
-        scene.host.taps.add(listener)
+        scene.host.observers.add(listener)
         with pytest.raises(ConnectionResetError):
             scene.client().send(ask()).answer()
-        until(lambda: sum(told[0] == "closing" for told in listener.heard) == 2)
-        assert {told[1] for told in listener.heard if told[0] == "closing"} == {Why.BROKEN}
+        wait_until(lambda: sum(told[0] == "closing" for told in listener.heard) == 2)
+        assert {told[1] for told in listener.heard if told[0] == "closing"} == {CloseReason.BROKEN}
 
 
 HOOKS = [name for name in vars(Observer) if not name.startswith(("_", "probe_"))]  # this stage sends no probe
@@ -100,17 +100,17 @@
 def test_an_observer_that_raises_is_heard_no_more_and_serving_goes_on(
     hook: str, capfd: pytest.CaptureFixture[str]
 ) -> None:
-    with stage(serve_all) as (scene, _):
+    with running_router(serve_all) as (scene, _):
         faulty, sound = Listener(), Listener()
         setattr(faulty, hook, lambda *told: 1 / 0)
-        scene.host.taps.add(faulty)
-        scene.host.taps.add(sound)
+        scene.host.observers.add(faulty)
+        scene.host.observers.add(sound)
         client = scene.client().send(ask())
         assert client.answer().status == 200
         client.sock.close()
         assert scene.client().send(ask(X_Facts="odd")).answer().status == 400  # turned away, not taken
-        until(lambda: any(told[0] == "closing" for told in sound.heard))
-        assert scene.host.taps._observers == (sound,)
+        wait_until(lambda: any(told[0] == "closing" for told in sound.heard))
+        assert scene.host.observers._observers == (sound,)
         assert scene.client().send(ask()).answer().status == 200
     assert capfd.readouterr().err.count("observer Listener") == 1
 
@@ -118,6 +118,6 @@
 def test_numbers_of_connections_are_not_used_again_after_a_restart(monkeypatch: pytest.MonkeyPatch) -> None:
     with socket.create_server(("127.0.0.1", 0)) as listener:
         monkeypatch.setattr("time.time", lambda: 1000.0)
-        first = [Taps().opened(Side.CLIENT, listener, 0.0) for _ in range(2)][-1]
+        first = [Observers().connection_opened(Side.CLIENT, listener, 0.0) for _ in range(2)][-1]
         monkeypatch.setattr("time.time", lambda: 1001.0)
-        assert Taps().opened(Side.CLIENT, listener, 0.0) >= first + (1 << 24) - 1
+        assert Observers().connection_opened(Side.CLIENT, listener, 0.0) >= first + (1 << 24) - 1
--- a/tests/test_time_left_terms.py
+++ b/tests/test_time_left_terms.py
@@ -12,7 +12,7 @@
 from gevent import socket
 
 from spoolbarrow.net.http1 import Message
-from tests.stage import ask, serve_all, stage, until
+from tests.router_harness import ask, serve_all, running_router, wait_until
 from tests.terms import ANSWER_SLACK_S, TOLD_SLACK_S
 
 STILL_S = 0.4  # over twice what may be told too much
@@ -29,7 +29,7 @@
         arrived.append((time.monotonic(), float(message.fields[b"x-time-left-ms"]) / 1000.0))
         serve_all(sock, message)
 
-    with stage(serve) as (scene, engine):
+    with running_router(serve) as (scene, engine):
         client = scene.client()
         first, second = ask(left=LEFT_MS, X_Correlation_Id="a"), ask(left=LEFT_MS, X_Correlation_Id="b")
         client.send(ask(X_Correlation_Id="before")).answer()
@@ -43,7 +43,7 @@
         if not together:
             client.send(second)
             sent.append(time.monotonic())
-        until(lambda: len(arrived) == 2)
+        wait_until(lambda: len(arrived) == 2)
         left = [LEFT_MS / 1000.0 - (at - begun) for (at, _), begun in zip(arrived, sent, strict=True)]
         too_much = [told - own for (_, told), own in zip(arrived, left, strict=True)]
         assert max(too_much) <= TOLD_SLACK_S, too_much
@@ -59,7 +59,7 @@
         told.append((time.monotonic(), float(message.fields[b"x-time-left-ms"]) / 1000.0))
         serve_all(sock, message)
 
-    with stage(serve) as (scene, _):
+    with running_router(serve) as (scene, _):
         client = scene.client()
         client.sock.setsockopt(plain.SOL_SOCKET, plain.SO_SNDBUF, 2 * LARGE)
         if not fresh:
@@ -69,7 +69,7 @@
         assert client.sock.send(raw) == len(raw)  # handed over at once: no greenlet has run
         sent = time.monotonic()
         time.sleep(STILL_S)
-        until(lambda: told)
+        wait_until(lambda: told)
         ((at, seconds),) = told
         too_much = seconds - (LEFT_MS / 1000.0 - (at - sent))
         assert too_much <= TOLD_SLACK_S, too_much
@@ -77,7 +77,7 @@
 
 def test_a_request_that_the_kernel_had_half_of_has_its_answer_before_its_deadline() -> None:
     """Its engine says nothing: what its client gets is the 504, and in time."""
-    with stage(lambda sock, message: None) as (scene, _):
+    with running_router(lambda sock, message: None) as (scene, _):
         client = scene.client()
         client.sock.setsockopt(plain.SOL_SOCKET, plain.SO_SNDBUF, 2 * LARGE)
         raw = ask(b"x" * LARGE, left=SHORT_MS)
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -14,7 +14,7 @@
 from spoolbarrow.handover import Handover
 from spoolbarrow.net.clock import Clock
 from spoolbarrow.net.destinations import DestinationSet
-from tests.stage import entry, make_config
+from tests.router_harness import endpoint_entry, make_config
 
 HOUR_S = 3600.0
 STEPS = pytest.mark.parametrize("step_s", [-HOUR_S, -5.0, 5.0, HOUR_S])
@@ -47,10 +47,10 @@
     step(-2 * step_s)
     third = Handover(str(tmp_path))
     for one in (first, second, third):
-        one.look()
-    assert (first.older, first.newer) == ([], [second.me, third.me])
-    assert (second.older, second.newer) == ([first.me], [third.me])
-    assert (third.older, third.newer) == ([first.me, second.me], [])
+        one.refresh_peers()
+    assert (first.older, first.newer) == ([], [second.process_name, third.process_name])
+    assert (second.older, second.newer) == ([first.process_name], [third.process_name])
+    assert (third.older, third.newer) == ([first.process_name, second.process_name], [])
     for one in (first, second, third):
         one.close()
 
@@ -111,7 +111,7 @@
 
     def hear(self, kind: i.ListKind, since_ms: float, name: str = "e0") -> float:
         """How long ago, ms, an engine has started by the last list."""
-        line = msgspec.convert(entry(name, 1, since_ms=since_ms), ListEntry)
+        line = msgspec.convert(endpoint_entry(name, 1, since_ms=since_ms), ListEntry)
         self.made.take(HostList(8, kind is not i.ListKind.CHANGES, [line]), kind)
         (told,) = self.told[-1].entries
         return self.clock() - told.started_at_ms
--- a/tests/test_watch_races.py
+++ b/tests/test_watch_races.py
@@ -26,7 +26,7 @@
 from spoolbarrow.net.destinations import DestinationSet
 from spoolbarrow.net.host import Host
 from spoolbarrow.net.http1 import Message
-from tests.stage import HEAD, Party, ask, chunk, entry, make_config, now_unix_ms, serve_all, stage, until
+from tests.router_harness import STREAM_HEAD, ScriptedServer, ask, chunk, endpoint_entry, make_config, now_unix_ms, serve_all, running_router, wait_until
 
 KNOWN = 7  # the version in the configuration
 LONG_WARM_MS = 30_000.0  # since an engine started: its slow start is over, and the news of it is not old
@@ -44,10 +44,10 @@
 
     def __init__(self, index: int, *entries: dict[str, Any]) -> None:
         self.news = listing(index, *entries, whole=True)
-        self.watch_begins = HEAD + chunk(b"\n")
+        self.watch_begins = STREAM_HEAD + chunk(b"\n")
         self.targets: list[bytes] = []
         self.watches: list[Sock] = []
-        self.party = Party(self._answer)
+        self.party = ScriptedServer(self._answer)
 
     def _answer(self, sock: Sock, message: Message) -> object:
         self.targets.append(message.target)
@@ -63,7 +63,7 @@
         return [target.rpartition(b"=")[2] for target in self.targets if b"stream=1" in target]
 
     def config(self, mode: str = "subscribe", **options: Any) -> Config:
-        raw = make_config([entry("e0", 1), entry("e1", 2)], self.party.port, options=options)
+        raw = make_config([endpoint_entry("e0", 1), endpoint_entry("e1", 2)], self.party.port, options=options)
         raw["settings"]["Discovery"] = mode
         return config.parse(msgspec.json.encode(raw))
 
@@ -108,7 +108,7 @@
     due = time.monotonic() + 0.002
     while time.monotonic() < due:
         pass  # nothing else may run before both are due
-    until(lambda: done)
+    wait_until(lambda: done)
 
 
 def before_it_is_taken(monkeypatch: pytest.MonkeyPatch, index: int, order: Callable[[], object]) -> None:
@@ -132,8 +132,8 @@
     mode: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The old service's answer is in the watch's queue when SIGHUP names another service."""
-    old, new = Service(50, entry("e0", 1, status="terminating")), Service(3, entry("e1", 2))
-    old.watch_begins = HEAD + chunk(old.news)
+    old, new = Service(50, endpoint_entry("e0", 1, status="terminating")), Service(3, endpoint_entry("e1", 2))
+    old.watch_begins = STREAM_HEAD + chunk(old.news)
     with following(old, new, mode=mode) as one:
         moved: list[int] = []
 
@@ -143,7 +143,7 @@
 
         before_it_is_taken(monkeypatch, 50, move)
         one.set.watch()
-        until(lambda: new.watches)
+        wait_until(lambda: new.watches)
         assert len(moved) == 1 and i.ReplicaState.DRAINING not in one.states("e0")
         assert new.targets[0] == WHOLE_TARGET and new.watched_from() == [b"3"]
         assert one.kinds()[:2] == [i.ListKind.RESTORED, i.ListKind.WHOLE] and one.set.seen()[0] == 3
@@ -151,40 +151,40 @@
 
 def test_an_old_services_line_that_is_there_with_a_move_is_not_taken() -> None:
     """The old watch is about to read a line when SIGHUP names another service."""
-    old, new = Service(50), Service(3, entry("e1", 2))
+    old, new = Service(50), Service(3, endpoint_entry("e1", 2))
     with following(old, new) as one:
         one.set.watch()
-        until(lambda: len(one.told) == 2)  # the watch has said its first word
-        line = chunk(listing(50, entry("e0", 1, status="terminating")))
+        wait_until(lambda: len(one.told) == 2)  # the watch has said its first word
+        line = chunk(listing(50, endpoint_entry("e0", 1, status="terminating")))
         in_one_turn(lambda: one.set.apply(new.config()), lambda: old.watches[0].sendall(line))
-        until(lambda: new.watches)
+        wait_until(lambda: new.watches)
         assert i.ReplicaState.DRAINING not in one.states("e0")
         assert new.targets[0] == WHOLE_TARGET and new.watched_from() == [b"3"]
 
 
 def test_the_whole_list_is_asked_for_though_a_line_comes_as_endpoints_are_set_aside() -> None:
     """Otherwise endpoints that were set aside before would stay out of service."""
-    service = Service(9, entry("e0", 1), entry("e1", 2))
+    service = Service(9, endpoint_entry("e0", 1), endpoint_entry("e1", 2))
     with following(service) as one:
         one.set.watch()
-        until(lambda: len(one.told) == 2)
-        line = chunk(listing(8, entry("e0", 1, status="terminating")))
+        wait_until(lambda: len(one.told) == 2)
+        line = chunk(listing(8, endpoint_entry("e0", 1, status="terminating")))
         in_one_turn(
             lambda: one.set.set_aside("shadow", -1, lambda entries: None),
             lambda: service.watches[0].sendall(line),
         )
-        until(lambda: len(service.watches) == 2)
+        wait_until(lambda: len(service.watches) == 2)
         assert service.targets[1] == WHOLE_TARGET and service.watched_from() == [b"7", b"9"]
 
 
 def test_the_end_of_an_old_watch_is_not_told_for_the_new_one() -> None:
     """Both come in one turn: the decisions would back off though a new watch is on its way."""
-    old, new = Service(50), Service(3, entry("e1", 2))
+    old, new = Service(50), Service(3, endpoint_entry("e1", 2))
     with following(old, new) as one:
         one.set.watch()
-        until(lambda: len(one.told) == 2)
+        wait_until(lambda: len(one.told) == 2)
         in_one_turn(lambda: one.set.apply(new.config()), lambda: old.watches[0].shutdown(socket.SHUT_RDWR))
-        until(lambda: new.watches and len(one.told) >= 4)
+        wait_until(lambda: new.watches and len(one.told) >= 4)
         assert i.ListKind.FAILED not in one.kinds()
 
 
@@ -192,12 +192,12 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """The old agent's list is read as SIGHUP names another agent: nothing is decided on the old one's."""
-    old, new = Service(50, entry("e0", 1, status="terminating")), Service(3, entry("e1", 2))
+    old, new = Service(50, endpoint_entry("e0", 1, status="terminating")), Service(3, endpoint_entry("e1", 2))
     host = Host(old.config("automatic"))
     try:
         before_it_is_taken(monkeypatch, 50, lambda: host.apply(new.config("automatic")))
         gevent.spawn(host.start)
-        until(host.decides)
+        wait_until(host.decides)
         assert host.destinations.seen()[0] == 3 and host.destinations.names() == ["e1"]
     finally:
         host.stop()
@@ -210,21 +210,21 @@
     service = Service(9)
     with following(service) as one:
         one.set.watch()
-        until(lambda: service.watches)
+        wait_until(lambda: service.watches)
         one.set.close()
         one.set.ask()
         one.set.apply(service.config("automatic"))
         asked = len(service.targets)
         barrier = socket.create_connection(("127.0.0.1", service.party.port))
         barrier.sendall(b"GET /barrier HTTP/1.1\r\n\r\n")  # whatever was begun by then is there before it
-        until(lambda: b"/barrier" in service.targets)
+        wait_until(lambda: b"/barrier" in service.targets)
         barrier.close()
         assert service.targets[asked:] == [b"/barrier"]
 
 
 def test_a_second_reload_does_not_put_the_new_service_off(monkeypatch: pytest.MonkeyPatch) -> None:
     """What the new service has counts from the first SIGHUP: the pause drawn then is not drawn anew."""
-    old, new = Service(50), Service(3, entry("e1", 2))
+    old, new = Service(50), Service(3, endpoint_entry("e1", 2))
     one = Listed(old.config(), lambda: 1_000_000.0)  # the clock stands: no time passes between the two
     pauses: list[float] = []
     spawn_later = gevent.spawn_later
@@ -255,40 +255,40 @@
 
 def test_a_service_that_began_its_versions_anew_is_heard() -> None:
     """Each watch from the known version is answered with the whole list, of a lower version."""
-    service = Service(3, entry("e0", 1, status="terminating"), entry("e1", 2))
-    service.watch_begins = HEAD + chunk(service.news)
+    service = Service(3, endpoint_entry("e0", 1, status="terminating"), endpoint_entry("e1", 2))
+    service.watch_begins = STREAM_HEAD + chunk(service.news)
     with following(service) as one:
         one.set.watch()
-        until(lambda: i.ReplicaState.DRAINING in one.states("e0"))
+        wait_until(lambda: i.ReplicaState.DRAINING in one.states("e0"))
         assert service.targets[0] != WHOLE_TARGET and WHOLE_TARGET in service.targets
-        until(lambda: service.watched_from()[-1] == b"3")
+        wait_until(lambda: service.watched_from()[-1] == b"3")
 
 
 def test_a_change_that_was_refused_is_asked_for_though_empty_lines_follow() -> None:
     """A service that counts anew has nothing to tell from a version that it has not reached yet."""
-    service = Service(4, entry("e0", 1, status="terminating"), entry("e1", 2))
+    service = Service(4, endpoint_entry("e0", 1, status="terminating"), endpoint_entry("e1", 2))
     with following(service) as one:
         one.set.watch()
-        until(lambda: len(one.told) == 2)
-        service.watches[0].sendall(chunk(listing(4, entry("e0", 1, status="terminating"))))
-        until(lambda: i.ListKind.FAILED in one.kinds())
+        wait_until(lambda: len(one.told) == 2)
+        service.watches[0].sendall(chunk(listing(4, endpoint_entry("e0", 1, status="terminating"))))
+        wait_until(lambda: i.ListKind.FAILED in one.kinds())
         assert i.ReplicaState.DRAINING not in one.states("e0")
         one.set.watch()  # as the decisions order
-        until(lambda: i.ReplicaState.DRAINING in one.states("e0"))
+        wait_until(lambda: i.ReplicaState.DRAINING in one.states("e0"))
         assert service.watched_from()[:2] == [b"7", b"7"] and WHOLE_TARGET in service.targets
 
 
 def test_an_agent_that_began_its_versions_anew_is_heard_at_the_next_call() -> None:
-    agent = Service(3, entry("e0", 1, status="terminating"), entry("e1", 2))
+    agent = Service(3, endpoint_entry("e0", 1, status="terminating"), endpoint_entry("e1", 2))
     with following(agent, mode="automatic") as one:
         one.set.watch()
-        until(lambda: one.set.seen()[0] == 3)
+        wait_until(lambda: one.set.seen()[0] == 3)
         assert agent.targets[:2] == [WHOLE_TARGET] * 2 and one.states("e0")[-1] is i.ReplicaState.DRAINING
 
 
 def test_a_late_old_list_does_not_undo_a_newer_one(monkeypatch: pytest.MonkeyPatch) -> None:
     """The next watch brings newer news: the list in which e0 still served is not asked for, nor taken."""
-    service = Service(9, entry("e0", 1), entry("e1", 2))
+    service = Service(9, endpoint_entry("e0", 1), endpoint_entry("e1", 2))
     held: list[Any] = []
     spawn_later = gevent.spawn_later
     with following(service) as one:
@@ -301,16 +301,16 @@
 
         monkeypatch.setattr(gevent, "spawn_later", hold)
         one.set.watch()
-        until(lambda: len(one.told) == 2)
-        service.watches[0].sendall(chunk(listing(9, entry("e0", 1, status="terminating"))))
-        until(lambda: one.set.seen()[0] == 9)
-        service.watches[0].sendall(chunk(listing(8, entry("e0", 1), whole=True)))
-        until(lambda: i.ListKind.FAILED in one.kinds())
+        wait_until(lambda: len(one.told) == 2)
+        service.watches[0].sendall(chunk(listing(9, endpoint_entry("e0", 1, status="terminating"))))
+        wait_until(lambda: one.set.seen()[0] == 9)
+        service.watches[0].sendall(chunk(listing(8, endpoint_entry("e0", 1), whole=True)))
+        wait_until(lambda: i.ListKind.FAILED in one.kinds())
         assert len(held) == 1 and not held[0].dead
-        service.watch_begins = HEAD + chunk(listing(10, entry("e1", 2, weight=2.0)))
+        service.watch_begins = STREAM_HEAD + chunk(listing(10, endpoint_entry("e1", 2, weight=2.0)))
         one.set.watch()
-        until(lambda: one.set.seen()[0] == 10)
-        until(lambda: held[0].dead)
+        wait_until(lambda: one.set.seen()[0] == 10)
+        wait_until(lambda: held[0].dead)
         assert WHOLE_TARGET not in service.targets and one.states("e0")[-1] is i.ReplicaState.DRAINING
 
 
@@ -324,16 +324,16 @@
     monkeypatch.setattr("spoolbarrow.net.discovery_watch.hangs_ms", lambda *more: 20.0)
     with following(service) as one:
         one.set.watch()
-        until(lambda: len(service.watches) == 2)
+        wait_until(lambda: len(service.watches) == 2)
         old, new = service.watches
-        drains, serves = entry("e0", 1, status="terminating"), entry("e0", 1)
-        answers = {new: HEAD + chunk(listing(9, drains)), old: HEAD + chunk(listing(8, serves, whole=True))}
+        drains, serves = endpoint_entry("e0", 1, status="terminating"), endpoint_entry("e0", 1)
+        answers = {new: STREAM_HEAD + chunk(listing(9, drains)), old: STREAM_HEAD + chunk(listing(8, serves, whole=True))}
         for sock in (old, new) if first == "old" else (new, old):
             sock.sendall(answers[sock])
-        until(lambda: one.set.seen()[0] == 9)
-        until(lambda: service.party.ends == 1)  # the other call's connection
-        new.sendall(chunk(listing(10, entry("e1", 2))))
-        until(lambda: one.set.seen()[0] == 10)
+        wait_until(lambda: one.set.seen()[0] == 9)
+        wait_until(lambda: service.party.closed == 1)  # the other call's connection
+        new.sendall(chunk(listing(10, endpoint_entry("e1", 2))))
+        wait_until(lambda: one.set.seen()[0] == 10)
         assert one.states("e0") == [i.ReplicaState.SERVING, i.ReplicaState.DRAINING]
 
 
@@ -356,12 +356,12 @@
         one.set.apply(msgspec.structs.replace(service.config(), kinds={"another": 1}))
         before = one.states("e0")  # a reload tells again what is known
         assert set(before) == {i.ReplicaState.SERVING}
-        until(lambda: len(asked) == 2)
+        wait_until(lambda: len(asked) == 2)
         for index in (8, 9) if first == 8 else (9, 8):
             status = "in_service" if index == 8 else "terminating"
-            text = listing(index, entry("e0", 1, status=status), whole=True)
+            text = listing(index, endpoint_entry("e0", 1, status=status), whole=True)
             asked[index - 8].sendall(PLAIN % (b"200 OK", b"", len(text), text))
-        until(lambda: service.watches)
+        wait_until(lambda: service.watches)
         assert service.watched_from() == [b"9"]
         assert one.states("e0") == [*before, i.ReplicaState.DRAINING]
 
@@ -380,19 +380,19 @@
 
         agent.party.script = keep
         one.set.watch()
-        until(lambda: len(asked) == 4)
+        wait_until(lambda: len(asked) == 4)
         texts = [listing(8, whole=True), listing(9, whole=True), listing(8, whole=True), b"[]"]
         for sock, text in zip(asked, texts, strict=True):
             sock.sendall(PLAIN % (b"200 OK", b"", len(text), text))
-        until(lambda: len(one.told) > 1)
+        wait_until(lambda: len(one.told) > 1)
         assert one.kinds()[:2] == [i.ListKind.RESTORED, i.ListKind.WHOLE] and one.set.seen()[0] == 9
 
 
 # What is whole before a fault or an end
 
 
-DRAINS = listing(8, entry("e0", 1, status="terminating"))
-MORE = listing(9, entry("e1", 2, weight=2.0))
+DRAINS = listing(8, endpoint_entry("e0", 1, status="terminating"))
+MORE = listing(9, endpoint_entry("e1", 2, weight=2.0))
 ENDS = {
     "the end": chunk(DRAINS + MORE) + b"0\r\n\r\n",
     "a torn list and the end": chunk(DRAINS + MORE) + chunk(MORE[:-9]) + b"0\r\n\r\n",
@@ -413,13 +413,13 @@
     """Discovery has written it, so it is told; the fault ends the watch all the same."""
     monkeypatch.setattr(discovery_client, "MAX_LINE", 4000)
     service = Service(9)
-    service.watch_begins = HEAD + ENDS[name] if known == "first" else HEAD + chunk(b"\n")
+    service.watch_begins = STREAM_HEAD + ENDS[name] if known == "first" else STREAM_HEAD + chunk(b"\n")
     with following(service) as one:
         one.set.watch()
-        until(lambda: len(one.told) >= 2)
+        wait_until(lambda: len(one.told) >= 2)
         if known == "later":
             service.watches[0].sendall(ENDS[name])
-        until(lambda: i.ListKind.FAILED in one.kinds())
+        wait_until(lambda: i.ListKind.FAILED in one.kinds())
         assert one.states("e0")[-1] is i.ReplicaState.DRAINING and one.set.seen()[0] == 9
 
 
@@ -428,34 +428,34 @@
     service = Service(9)
     with following(service) as one:
         one.set.watch()
-        until(lambda: len(one.told) == 2)
+        wait_until(lambda: len(one.told) == 2)
         watch = service.watches[0]
         watch.sendall(chunk(DRAINS + MORE[:20]))
         if end == "reset":
             watch.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
-            until(lambda: one.set.seen()[0] == 8)
+            wait_until(lambda: one.set.seen()[0] == 8)
             watch.close()
         else:
             watch.shutdown(socket.SHUT_WR)
-        until(lambda: i.ListKind.FAILED in one.kinds())
+        wait_until(lambda: i.ListKind.FAILED in one.kinds())
         assert one.set.seen()[0] == 8 and one.states("e1") == [i.ReplicaState.SERVING]
         assert one.states("e0")[-1] is i.ReplicaState.DRAINING
 
 
 def test_a_watch_in_one_byte_pieces_is_taken_as_in_one(monkeypatch: pytest.MonkeyPatch) -> None:
     """The whole list that a watch begins with, an empty line and a change; then the end between two lists."""
-    whole = listing(8, entry("e0", 1), entry("e1", 2), entry("e2", 3), whole=True)
+    whole = listing(8, endpoint_entry("e0", 1), endpoint_entry("e1", 2), endpoint_entry("e2", 3), whole=True)
     service = Service(9)
     service.watch_begins = b""
     monkeypatch.setattr(discovery_client, "RECV", 1)  # bytes a read takes
     with following(service) as one:
         one.set.watch()
-        until(lambda: service.watches)
+        wait_until(lambda: service.watches)
         text = chunk(msgspec.json.format(whole, indent=2) + b"\n\n") + chunk(MORE)
-        service.watches[0].sendall(HEAD + text)
-        until(lambda: one.set.seen()[0] == 9)
+        service.watches[0].sendall(STREAM_HEAD + text)
+        wait_until(lambda: one.set.seen()[0] == 9)
         service.watches[0].shutdown(socket.SHUT_RDWR)
-        until(lambda: i.ListKind.FAILED in one.kinds())
+        wait_until(lambda: i.ListKind.FAILED in one.kinds())
         assert one.kinds()[1:] == [i.ListKind.WHOLE, i.ListKind.CHANGES, i.ListKind.FAILED]
         assert one.set.names() == ["e0", "e1", "e2"]
 
@@ -484,32 +484,32 @@
 def test_a_connection_from_before_a_restart_is_not_kept(name: str) -> None:
     """It comes back from a request that was under way; what it leads to is a new engine by then."""
     gate = Event()
-    with stage(slow_then_served(gate)) as (scene, engine):
+    with running_router(slow_then_served(gate)) as (scene, engine):
         asked = scene.client().send(ask())
-        until(lambda: engine.requests)
+        wait_until(lambda: engine.requests)
         for index, changes in enumerate(CHANGES[name], 8):
-            lines = [entry("e0", engine.port, **change) for change in changes]
+            lines = [endpoint_entry("e0", engine.port, **change) for change in changes]
             news = HostList(index, False, msgspec.convert(lines, list[ListEntry]))
             scene.host.destinations._discovery._news(news)
         gate.set()
         assert asked.answer().status == 200
-        until(lambda: not scene.host.open_requests())
+        wait_until(lambda: not scene.host.open_requests())
         assert not scene.host._endpoints._pool._idle
-        until(lambda: engine.ends == 1)
+        wait_until(lambda: engine.closed == 1)
 
 
 def test_a_connection_through_a_drain_that_was_withdrawn_is_kept() -> None:
     """The engine is the same: what was under way when the drain was told and taken back goes on."""
     gate = Event()
-    with stage(slow_then_served(gate)) as (scene, engine):
+    with running_router(slow_then_served(gate)) as (scene, engine):
         asked = scene.client().send(ask())
-        until(lambda: engine.requests)
+        wait_until(lambda: engine.requests)
         for index, status in ((8, "terminating"), (9, "in_service")):
-            line = msgspec.convert(entry("e0", engine.port, status=status), ListEntry)
+            line = msgspec.convert(endpoint_entry("e0", engine.port, status=status), ListEntry)
             scene.host.destinations._discovery._news(HostList(index, False, [line]))
         gate.set()
         assert asked.answer().status == 200
-        until(lambda: not scene.host.open_requests())
+        wait_until(lambda: not scene.host.open_requests())
         assert len(scene.host._endpoints._pool._idle["e0"]) == 1
 
 
@@ -520,12 +520,12 @@
     """The list tells of the change while the connection comes up: at the old address another may listen."""
     connect = http1.connect
     changed: list[Sock] = []
-    with stage(serve_all, serve_all) as (scene, old, other):
+    with running_router(serve_all, serve_all) as (scene, old, other):
         port = other.port if change == "moved" else old.port
-        gone = [entry("e0", old.port, status="terminated")] if change == "gone and back" else []
-        back = entry("e0", port, since_ms=0.0 if gone else now_unix_ms() - LONG_WARM_MS)
+        gone = [endpoint_entry("e0", old.port, status="terminated")] if change == "gone and back" else []
+        back = endpoint_entry("e0", port, since_ms=0.0 if gone else now_unix_ms() - LONG_WARM_MS)
         news = HostList(9, False, msgspec.convert([*gone, back], list[ListEntry]))
-        alone = msgspec.convert([entry("e1", other.port, status="terminated")], list[ListEntry])
+        alone = msgspec.convert([endpoint_entry("e1", other.port, status="terminated")], list[ListEntry])
         scene.host.destinations._discovery._news(HostList(8, False, alone))
 
         def change_meanwhile(where: tuple[str, int], timeout_s: float) -> Sock:
@@ -537,7 +537,7 @@
 
         monkeypatch.setattr(http1, "connect", change_meanwhile)
         assert scene.client().send(ask()).answer().status == 200
-        until(lambda: old.ends >= 1)  # the connection that was opened before the change
+        wait_until(lambda: old.closed >= 1)  # the connection that was opened before the change
         assert len(changed) == 1 and changed[0].fileno() == -1
         assert [len(party.requests) for party in (old, other)] == ([0, 1] if change == "moved" else [1, 0])
         assert old.connections + other.connections == 2
