--- a/tests/test_agree.py
+++ b/tests/test_agree.py
@@ -13,7 +13,7 @@
 from spoolbarrow import config, operator
 from spoolbarrow.agree import COMPARED_ITEMS, VersionedItem, VersionTracker, Version, find_differences, digest, files_digest
 from spoolbarrow.net.version_monitor import file_digests
-from tests.stage import make_config
+from tests.router_harness import make_config
 
 CONTENTS = {VersionedItem.SETTINGS: "s", VersionedItem.SHARES: "t", VersionedItem.OPERATOR: "o"}
 
