--- a/benchmarks/flows.py
+++ b/benchmarks/flows.py
@@ -95,7 +95,12 @@
     octets = packets = 0.0
     for port, counted in load.counted.items():
         ours = sums.get(port, [0] * 4)
-        theirs = (counted.bytes_sent, counted.bytes_received, counted.segments_sent, counted.segments_received)
+        theirs = (
+            counted.bytes_sent,
+            counted.bytes_received,
+            counted.segments_sent,
+            counted.segments_received,
+        )
         off = [abs(a - b) / b for a, b in zip(ours, theirs, strict=True)]
         octets, packets = max(octets, *off[:2]), max(packets, *off[2:])
     return {"octets": round(octets, 5), "packets": round(packets, 5)}
--- a/benchmarks/sessions.py
+++ b/benchmarks/sessions.py
@@ -269,7 +269,9 @@
 class Engines(r.ReplicaPool):
     """The pool of the decisions, told of homes and of what engines keep."""
 
-    def __init__(self, settings: i.Settings, rng: Random, part: Sessions, facts: dict[str, CacheHint]) -> None:
+    def __init__(
+        self, settings: i.Settings, rng: Random, part: Sessions, facts: dict[str, CacheHint]
+    ) -> None:
         super().__init__(settings, rng)
         self.part, self.facts = part, facts
         self.read = 0.0
@@ -341,7 +343,9 @@
             elif isinstance(event, i.AttemptEnded) and event.outcome is i.Outcome.SERVED:
                 one = self.asked.get(event.request)
                 if one is not None:
-                    self.part.answer_ended(now, one.session, event.replica, one.max_answer_tokens, event.kept_tokens)
+                    self.part.answer_ended(
+                        now, one.session, event.replica, one.max_answer_tokens, event.kept_tokens
+                    )
             elif isinstance(event, i.ReplicaList):
                 for line in event.entries:
                     serving = line.state is i.ReplicaState.SERVING
@@ -532,7 +536,9 @@
 class Idle(Sessions):
     """Does nothing: what the measuring itself costs."""
 
-    def request_arrived(self, now: float, key: int, cls: int, tenant: int, prompt: int, shared: int) -> CacheHint:
+    def request_arrived(
+        self, now: float, key: int, cls: int, tenant: int, prompt: int, shared: int
+    ) -> CacheHint:
         """Nothing."""
         return UNKNOWN_HINT
 
--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -25,8 +25,8 @@
 
 from rig import anonymous_kb  # noqa: E402
 
-from spoolbarrow.cli.http_client import request_json  # noqa: E402
 from spoolbarrow.cli.errors import NoAnswer  # noqa: E402
+from spoolbarrow.cli.http_client import request_json  # noqa: E402
 from spoolbarrow.lab.cluster import LISTEN, Process, free_ports  # noqa: E402
 from spoolbarrow.lab.quorum import MUTANTS, Play, survives  # noqa: E402
 
--- a/spoolbarrow/admin/control.py
+++ b/spoolbarrow/admin/control.py
@@ -16,8 +16,8 @@
 
 from spoolbarrow.admin import calls
 from spoolbarrow.admin.calls import AgreementOff, BadCall, Call, CallFault, NoSuchEngine, NotReady, Verb
-from spoolbarrow.admin.metrics import Metrics
 from spoolbarrow.admin.commands import OperatorCommands
+from spoolbarrow.admin.metrics import Metrics
 from spoolbarrow.config import Address, CannotListen
 from spoolbarrow.errors import InternalError, Problem
 from spoolbarrow.net import http1
@@ -27,8 +27,8 @@
 from spoolbarrow.net.http1 import HttpError
 from spoolbarrow.net.inbound import Inbound
 from spoolbarrow.net.log import log, log_exception
-from spoolbarrow.net.request import Request
 from spoolbarrow.net.observers import Observer
+from spoolbarrow.net.request import Request
 
 CALLERS = 16  # connections at once: their descriptors are set aside from the clients'
 CALL_S = 3.0  # a caller that has not said what it wants by then is told so
--- a/spoolbarrow/admin/coordinator.py
+++ b/spoolbarrow/admin/coordinator.py
@@ -16,9 +16,9 @@
 from gevent import socket
 
 from spoolbarrow import handover
-from spoolbarrow.admin import state, overrides
-from spoolbarrow.admin.control import Control, Versions, listen
+from spoolbarrow.admin import overrides, state
 from spoolbarrow.admin.commands import OperatorCommands
+from spoolbarrow.admin.control import Control, Versions, listen
 from spoolbarrow.config import Config
 from spoolbarrow.handover import Handover, HandoverDataError
 from spoolbarrow.net import connection_handover
@@ -103,7 +103,9 @@
                 self._handover.refresh_peers()  # the newer one may have ended since the last look
         if not self.has_successor():
             return None
-        gevent.spawn_later(shutdown_schedule(self._inbound.config, True).handover_ms / 1000, self._pass_streams)
+        gevent.spawn_later(
+            shutdown_schedule(self._inbound.config, True).handover_ms / 1000, self._pass_streams
+        )
         return self._give_idle
 
     def _give_idle(self, client: ClientConnection) -> bool:
--- a/spoolbarrow/admin/overrides.py
+++ b/spoolbarrow/admin/overrides.py
@@ -12,7 +12,9 @@
 
 VERSION = 1
 MOST_BYTES = 1 << 20  # of a file of words: longer than any that MAX_SUSPENDED short names make
-CLEARED_RETENTION_MS = 60_000.0  # a word that takes one back is kept so long: by then every process has heard it
+CLEARED_RETENTION_MS = (
+    60_000.0  # a word that takes one back is kept so long: by then every process has heard it
+)
 ROUTER_DRAIN = ""  # the matter that is no engine: whether clients are sent away
 
 
@@ -57,7 +59,9 @@
 
     def prune(self, now: float) -> None:
         """Forget what was taken back long ago."""
-        for matter in [m for m, word in self._by_target.items() if not word.on and now - word.at > CLEARED_RETENTION_MS]:
+        for matter in [
+            m for m, word in self._by_target.items() if not word.on and now - word.at > CLEARED_RETENTION_MS
+        ]:
             del self._by_target[matter]
 
     def encode(self, name: str) -> bytes:
--- a/spoolbarrow/agree/versions.py
+++ b/spoolbarrow/agree/versions.py
@@ -33,7 +33,11 @@
 
 
 COMPARED_ITEMS = tuple(item for item in VersionedItem if item is not VersionedItem.DRAIN)
-OF_FILES = (VersionedItem.SETTINGS, VersionedItem.SHARES, VersionedItem.OPERATOR)  # the items that a reload changes
+OF_FILES = (
+    VersionedItem.SETTINGS,
+    VersionedItem.SHARES,
+    VersionedItem.OPERATOR,
+)  # the items that a reload changes
 _canonical = msgspec.json.Encoder(order="sorted")
 
 
--- a/spoolbarrow/cli/__init__.py
+++ b/spoolbarrow/cli/__init__.py
@@ -10,7 +10,7 @@
 
 import click
 
-from spoolbarrow.cli.errors import FileUnusable, BadArgument
+from spoolbarrow.cli.errors import BadArgument, FileUnusable
 from spoolbarrow.errors import Problem
 
 COMMANDS = {
--- a/spoolbarrow/cli/agree.py
+++ b/spoolbarrow/cli/agree.py
@@ -7,10 +7,10 @@
 import click
 from msgspec import Struct
 
-from spoolbarrow.agree import COMPARED_ITEMS, VersionedItem, Version, find_differences, digest
+from spoolbarrow.agree import COMPARED_ITEMS, Version, VersionedItem, digest, find_differences
 from spoolbarrow.cli import tell
-from spoolbarrow.cli.http_client import request_json, understood
 from spoolbarrow.cli.errors import NoAnswer, Refused
+from spoolbarrow.cli.http_client import request_json, understood
 
 T = TypeVar("T")
 DRAINED = digest(True)
--- a/spoolbarrow/cli/lab.py
+++ b/spoolbarrow/cli/lab.py
@@ -9,7 +9,7 @@
 import click
 import orjson
 
-from spoolbarrow.cli.errors import LabRunFailed, BadArgument, NoResults
+from spoolbarrow.cli.errors import BadArgument, LabRunFailed, NoResults
 from spoolbarrow.errors import MissingPackage
 from spoolbarrow.lab.scenario import Scenario, change, convert, load_raw
 
--- a/spoolbarrow/cli/store.py
+++ b/spoolbarrow/cli/store.py
@@ -12,8 +12,8 @@
 
 from spoolbarrow import config
 from spoolbarrow.cli import tell
-from spoolbarrow.cli.http_client import request_json, understood
 from spoolbarrow.cli.errors import BadArgument, NoAnswer, Refused
+from spoolbarrow.cli.http_client import request_json, understood
 
 T = TypeVar("T")
 members = click.option(
@@ -68,7 +68,7 @@
     import gevent
     from gevent.event import Event
 
-    from spoolbarrow.net.log import log, default_log
+    from spoolbarrow.net.log import default_log, log
     from spoolbarrow.store.member import Member
     from spoolbarrow.store.raft import Settings
 
--- a/spoolbarrow/config.py
+++ b/spoolbarrow/config.py
@@ -25,7 +25,9 @@
 Address = tuple[str, int]
 MISSING = "Object missing required field "  # msgspec's words
 CONTROL = "NODE_CONTROL"  # the same as the key `control`, which goes before it
-INHERITED_FD_VARIABLE = "NODE_INHERITED_FD"  # the number of a listening socket that was passed on at the start
+INHERITED_FD_VARIABLE = (
+    "NODE_INHERITED_FD"  # the number of a listening socket that was passed on at the start
+)
 NAME_A_FILE = "Have NODE_CONFIG (or `--config`) name a file that this user can read."
 MOST = 1e10  # of any figure that is told: a hundred days in ms, what no machine has in bytes or descriptors
 MIN_SOCKETS = 64  # below this the fixed needs leave nothing for clients
--- a/spoolbarrow/failover/__init__.py
+++ b/spoolbarrow/failover/__init__.py
@@ -5,6 +5,22 @@
 (`docs/failover.md`).
 """
 
-from spoolbarrow.failover.zone_health import Evidence, EndpointOutcome, Settings, ZoneState, Verdict, ZoneHealthTracker, zones_to_mask
+from spoolbarrow.failover.zone_health import (
+    EndpointOutcome,
+    Evidence,
+    Settings,
+    Verdict,
+    ZoneHealthTracker,
+    ZoneState,
+    zones_to_mask,
+)
 
-__all__ = ["Evidence", "EndpointOutcome", "Settings", "ZoneState", "Verdict", "ZoneHealthTracker", "zones_to_mask"]
+__all__ = [
+    "Evidence",
+    "EndpointOutcome",
+    "Settings",
+    "ZoneState",
+    "Verdict",
+    "ZoneHealthTracker",
+    "zones_to_mask",
+]
--- a/spoolbarrow/failover/zone_health.py
+++ b/spoolbarrow/failover/zone_health.py
@@ -107,7 +107,9 @@
         self.settings = settings
         self._listed: Mapping[str, tuple[str, bool]] = {}
         self._serving: dict[str, list[str]] = {}  # listed endpoints in service, by zone
-        self._last: dict[str, EndpointOutcome] = {}  # each listed endpoint's last outcome; the latest heard is last
+        self._last: dict[
+            str, EndpointOutcome
+        ] = {}  # each listed endpoint's last outcome; the latest heard is last
         self._doubted: set[str] = set()  # those that have let something wait in vain since they last answered
         self._checked: dict[str, float] = {}  # when each was last named to be asked
         self._zones: dict[str, _Zone] = {}
@@ -235,12 +237,16 @@
         elif confirmed and state is ZoneState.SUSPECT and elsewhere:
             self._fail(now, zone, f"{failing} of {failing + well} endpoints heard from fail")
         elif sick and state is ZoneState.HEALTHY:
-            self._set(now, zone, ZoneState.SUSPECT, f"{failing} of {failing + well} endpoints heard from fail")
+            self._set(
+                now, zone, ZoneState.SUSPECT, f"{failing} of {failing + well} endpoints heard from fail"
+            )
         elif not sick and state is ZoneState.SUSPECT and not slow:
             self._set(now, zone, ZoneState.HEALTHY, "no fault seen")
         elif slow and state is ZoneState.HEALTHY:
             self._set(now, zone, ZoneState.SUSPECT, "slow: its waits several times the others'")
-        elif state is ZoneState.FAILED and not empty and not sick and answers and now - zone.since >= zone.hold:
+        elif (
+            state is ZoneState.FAILED and not empty and not sick and answers and now - zone.since >= zone.hold
+        ):
             self._set(now, zone, ZoneState.RETURNING, f"back after {zone.hold / 1000:g} s")
         elif state is ZoneState.RETURNING and now - zone.since >= s.ramp_ms:
             self._set(now, zone, ZoneState.HEALTHY, "returned")
--- a/spoolbarrow/fleet/lease.py
+++ b/spoolbarrow/fleet/lease.py
@@ -15,7 +15,9 @@
 from spoolbarrow.fleet.documents import Decision, InvalidDocument, Lease, LeaseRecord, decode_document
 
 RENEWALS = 4  # within a lease's time to live
-DECISION_TTL_LEASES = 2.0  # of them a decision stands: where a holder dies, another has renewed its word before it ends
+DECISION_TTL_LEASES = (
+    2.0  # of them a decision stands: where a holder dies, another has renewed its word before it ends
+)
 LONGEST = 4.0  # times to live of one's own: an absurd one in a document is waited out no longer
 
 
--- a/spoolbarrow/fleet/pacing.py
+++ b/spoolbarrow/fleet/pacing.py
@@ -13,16 +13,31 @@
 
 LIST_DEADLINE_MS = 6000.0  # a change counts as told so long after the service had it and could be reached
 SILENT_SPREAD_MS = 250.0  # before a silent watch is opened anew: all may have fallen silent at once
-MUTE_RETRY_MAX_MS = 1000.0  # the longest pause after answers that began and never brought a word, one after the other
-SPREAD_PER_ROUTER_MS, SPREAD_MAX_MS = 40.0, 3000.0  # of calls that may begin together, for each router; at most
+MUTE_RETRY_MAX_MS = (
+    1000.0  # the longest pause after answers that began and never brought a word, one after the other
+)
+SPREAD_PER_ROUTER_MS, SPREAD_MAX_MS = (
+    40.0,
+    3000.0,
+)  # of calls that may begin together, for each router; at most
 GOLDEN_RATIO = 0.6180339887498949  # its multiples fill an interval evenly, whichever run of them is taken
 RETRY_MS, RETRY_MAX_MS = 1000.0, 2000.0  # after a call that failed: doubled up to where each failed at once
-HUNG_RETRY_MS = 2000.0  # between calls while none has an answer: in a queue that fits the clock most have by then
+HUNG_RETRY_MS = (
+    2000.0  # between calls while none has an answer: in a queue that fits the clock most have by then
+)
 FULL_RETRY_MS = 3400.0  # the same where a call has been refused after a wait: it has ended by then
 QUEUED_CALL_MS = 800.0  # a call that failed after so long stood in a queue, or hung
-STALE_LIST_RETRY_MS, STALE_LIST_SPREAD_MS = 1500.0, 2000.0  # from an older list to the call for the whole one; and chance
-RATE_USED_SHARE, MEAN_PAUSE_SHARE = 0.8, 0.75  # of a rate that was told; of a span, the mean pause drawn from it
-FIRST_CALL_SHARE = 0.7  # of the time for asking that the settings name, up to the first call: it may wait as well
+STALE_LIST_RETRY_MS, STALE_LIST_SPREAD_MS = (
+    1500.0,
+    2000.0,
+)  # from an older list to the call for the whole one; and chance
+RATE_USED_SHARE, MEAN_PAUSE_SHARE = (
+    0.8,
+    0.75,
+)  # of a rate that was told; of a span, the mean pause drawn from it
+FIRST_CALL_SHARE = (
+    0.7  # of the time for asking that the settings name, up to the first call: it may wait as well
+)
 
 
 def call_spread_ms(settings: Settings) -> float:
@@ -35,7 +50,9 @@
 
 def _turns(settings: Settings) -> float:
     """So long all routers take for a call each, at the rate told; 0 where none is."""
-    return 1000.0 * settings.nodes / (RATE_USED_SHARE * settings.list_rate) if settings.list_rate > 0.0 else 0.0
+    return (
+        1000.0 * settings.nodes / (RATE_USED_SHARE * settings.list_rate) if settings.list_rate > 0.0 else 0.0
+    )
 
 
 def _spared(settings: Settings) -> bool:
@@ -104,6 +121,8 @@
         so the pause stays short. A service that is down spends nothing on calls, and one whose queue is full
         little on those that it refuses.
         """
-        self._down = RETRY_MS if waited >= QUEUED_CALL_MS else min(RETRY_MAX_MS, max(RETRY_MS, 2.0 * self._down))
+        self._down = (
+            RETRY_MS if waited >= QUEUED_CALL_MS else min(RETRY_MAX_MS, max(RETRY_MS, 2.0 * self._down))
+        )
         slots = _turns(self.settings) / MEAN_PAUSE_SHARE if _spared(self.settings) else 0.0
         return max(self._down, slots) * (0.5 + 0.5 * self._rng.random())
--- a/spoolbarrow/fleet/summary_table.py
+++ b/spoolbarrow/fleet/summary_table.py
@@ -13,7 +13,13 @@
 
 from msgspec import Struct
 
-from spoolbarrow.fleet.documents import EVIDENCE_PREFIX, MAX_NAME_CHARS, InvalidDocument, Summary, decode_document
+from spoolbarrow.fleet.documents import (
+    EVIDENCE_PREFIX,
+    MAX_NAME_CHARS,
+    InvalidDocument,
+    Summary,
+    decode_document,
+)
 
 MOST_ROUTERS = 256  # with MAX_BODY_BYTES each: 16 MiB at the worst, at the lease's holder alone
 
--- a/spoolbarrow/flows/exporter.py
+++ b/spoolbarrow/flows/exporter.py
@@ -32,8 +32,8 @@
 from spoolbarrow.net import tcpinfo
 from spoolbarrow.net.host import Host
 from spoolbarrow.net.log import log, log_exception
+from spoolbarrow.net.observers import CloseReason, Observer, OpenConnection, Side
 from spoolbarrow.net.request import Request
-from spoolbarrow.net.observers import Observer, OpenConnection, Side, CloseReason
 from spoolbarrow.operator import FlowsTable, parse_collectors
 
 LOOK_S = 0.1  # between looks at which connections' time-outs have passed
--- a/spoolbarrow/handover.py
+++ b/spoolbarrow/handover.py
@@ -20,7 +20,13 @@
 from gevent import socket
 from msgspec.structs import replace
 
-from spoolbarrow.config import INHERITED_FD_VARIABLE, Config, ConfigError, reserved_descriptors, split_connections
+from spoolbarrow.config import (
+    INHERITED_FD_VARIABLE,
+    Config,
+    ConfigError,
+    reserved_descriptors,
+    split_connections,
+)
 from spoolbarrow.errors import Problem
 from spoolbarrow.net.accepting import next_connection
 from spoolbarrow.net.clock import unix_offset_s
--- a/spoolbarrow/hash_ring.py
+++ b/spoolbarrow/hash_ring.py
@@ -24,7 +24,9 @@
 
 def ring_points(name: str) -> tuple[int, ...]:
     """A member's places on any ring, the same in every process."""
-    digests = [blake2b(name.encode(), salt=b"%d" % n).digest() for n in range(POINTS_PER_MEMBER // DIGEST_POINTS)]
+    digests = [
+        blake2b(name.encode(), salt=b"%d" % n).digest() for n in range(POINTS_PER_MEMBER // DIGEST_POINTS)
+    ]
     return unpack(f">{POINTS_PER_MEMBER}Q", b"".join(digests))
 
 
--- a/spoolbarrow/lab/callers.py
+++ b/spoolbarrow/lab/callers.py
@@ -168,7 +168,11 @@
     for way in ways:
         last = 0.0 if beginning == "silent at once" else -ALIVE_MS * rng.random()
         silent = last + options.watch_silence_ms + silent_retry_ms(0, rng)
-        first.append({"starts": way.first_call_ms, "reset": way.watch_ended_ms}.get(beginning, lambda silent=silent: silent)())
+        first.append(
+            {"starts": way.first_call_ms, "reset": way.watch_ended_ms}.get(
+                beginning, lambda silent=silent: silent
+            )()
+        )
     found = Callers(ways, 1000.0 / rate, rng)
     found.run(first)
     return found
--- a/spoolbarrow/lab/leases.py
+++ b/spoolbarrow/lab/leases.py
@@ -16,7 +16,14 @@
 from msgspec import Struct
 
 from spoolbarrow.fleet.documents import LeaseRecord, decode_document, encode_document
-from spoolbarrow.fleet.lease import DECISION_TTL_LEASES, ActiveDecision, LeaseClaim, ConditionalWrite, ObservedRecord, decode_record
+from spoolbarrow.fleet.lease import (
+    DECISION_TTL_LEASES,
+    ActiveDecision,
+    ConditionalWrite,
+    LeaseClaim,
+    ObservedRecord,
+    decode_record,
+)
 
 KEY = "fleet/standing/history"
 TTL_MS, PERIOD_MS = 4000.0, 500.0
--- a/spoolbarrow/lab/members.py
+++ b/spoolbarrow/lab/members.py
@@ -15,8 +15,8 @@
 from pathlib import Path
 from typing import Any
 
-from spoolbarrow.cli.http_client import Answer, request_json
 from spoolbarrow.cli.errors import NoAnswer
+from spoolbarrow.cli.http_client import Answer, request_json
 from spoolbarrow.lab.process import LISTEN, Process, free_ports
 
 COUNT = 3
--- a/spoolbarrow/lab/zoned.py
+++ b/spoolbarrow/lab/zoned.py
@@ -9,7 +9,15 @@
 from msgspec.structs import replace
 
 from spoolbarrow import interface as i
-from spoolbarrow.failover import Evidence, EndpointOutcome, Settings, ZoneState, Verdict, ZoneHealthTracker, zones_to_mask
+from spoolbarrow.failover import (
+    EndpointOutcome,
+    Evidence,
+    Settings,
+    Verdict,
+    ZoneHealthTracker,
+    ZoneState,
+    zones_to_mask,
+)
 from spoolbarrow.router import Router
 
 PERIOD_MS = 100.0
--- a/spoolbarrow/net/client.py
+++ b/spoolbarrow/net/client.py
@@ -13,14 +13,14 @@
 from spoolbarrow.net.drain_schedule import DrainStep
 from spoolbarrow.net.exchange import Exchange as Exchange
 from spoolbarrow.net.exchange import retry_after
-from spoolbarrow.net.http1 import HttpError, Message
 from spoolbarrow.net.graceful_close import ENDED, await_peer_close
+from spoolbarrow.net.http1 import HttpError, Message
 from spoolbarrow.net.log import log_exception
 from spoolbarrow.net.loop_iterations import ArrivalTimes
+from spoolbarrow.net.observers import CloseReason, Side
 from spoolbarrow.net.request import Request
 from spoolbarrow.net.request_admission import LOOKED_AT, Listener, notify_declined
 from spoolbarrow.net.request_admission import admit as admit
-from spoolbarrow.net.observers import Side, CloseReason
 
 FIRST_READ = 4096  # bytes of what may be many requests: each that is read must be answered
 GONE_S = 0.05  # between looks for the end of a client that has sent more: half of what it may go unseen
@@ -148,7 +148,12 @@
             while self._read_next(view):
                 gevent.sleep(0)  # guards the others: a client that sends at full speed is always readable
             if self.ending and not self._closed:
-                await_peer_close(self.sock, view, self._parser.remaining_bytes(), self.inbound.config.options.linger_ms / 1000)
+                await_peer_close(
+                    self.sock,
+                    view,
+                    self._parser.remaining_bytes(),
+                    self.inbound.config.options.linger_ms / 1000,
+                )
         except OSError:
             pass  # reset by the client, or closed by this side
         except Exception as error:
@@ -172,7 +177,9 @@
             raise
         except Exception as error:
             log_exception("client", error)
-            self._parser.refuse(HttpError(500, "internal error"))  # its client is told all the same, in its turn
+            self._parser.refuse(
+                HttpError(500, "internal error")
+            )  # its client is told all the same, in its turn
             self._advance()
             return True
 
@@ -308,7 +315,11 @@
             state = self.state()
             self._closed = self.ending = True
             if why is None:
-                why = CloseReason.DONE if self.exchange is None and not self._parser.reading else CloseReason.BROKEN
+                why = (
+                    CloseReason.DONE
+                    if self.exchange is None and not self._parser.reading
+                    else CloseReason.BROKEN
+                )
             drainer = self.inbound.drainer
             if drainer.state.active():
                 drainer.log.closed(self.inbound.host.now(), self.number, why.name.lower(), state)
@@ -336,7 +347,11 @@
         self._arrivals.read(was_reading, len(parser.complete) - had)
         if parser.cut_short and parser.error is not None:
             return self._take_back(parser.error)
-        if parser.reading and parser.error is None and self.inbound.held_bytes > self.inbound.config.max_held_bytes:
+        if (
+            parser.reading
+            and parser.error is None
+            and self.inbound.held_bytes > self.inbound.config.max_held_bytes
+        ):
             # Guards the memory: bodies that never become whole count as well. The requests before it are
             # as good as ever: refused in their place, one that may have run would be sent again.
             parser.refuse(HttpError(503, "no room", b"Retry-After: 1"))
--- a/spoolbarrow/net/connection_pool.py
+++ b/spoolbarrow/net/connection_pool.py
@@ -11,8 +11,8 @@
 from spoolbarrow.config import Address, Config
 from spoolbarrow.net import http1, tcpinfo
 from spoolbarrow.net.log import log
+from spoolbarrow.net.observers import CloseReason, Observers, Side
 from spoolbarrow.net.request_writing import close_and_discard
-from spoolbarrow.net.observers import Side, Observers, CloseReason
 
 SETTLE_MS = 5.0  # a connection rests so long: a second answer straight after must not pass for the next
 LONGEST_SETTLE_MS = 1000.0  # where an endpoint's unasked bytes came later, its connections rest longer
--- a/spoolbarrow/net/discovery_client.py
+++ b/spoolbarrow/net/discovery_client.py
@@ -17,8 +17,8 @@
 
 from spoolbarrow.config import Address, HostList, Options
 from spoolbarrow.net import http1
-from spoolbarrow.net.log import log_exception
 from spoolbarrow.net.json_objects import JsonObjectSplitter
+from spoolbarrow.net.log import log_exception
 
 RECV = 65536
 MAX_LINE = 1 << 22  # a longer one is no list
--- a/spoolbarrow/net/discovery_watch.py
+++ b/spoolbarrow/net/discovery_watch.py
@@ -18,7 +18,14 @@
 
 from spoolbarrow import interface as i
 from spoolbarrow.config import Config, HostList
-from spoolbarrow.fleet.pacing import LIST_DEADLINE_MS, QUEUED_CALL_MS, hung_retry_ms, stale_list_retry_ms, silent_retry_ms, call_spread_ms
+from spoolbarrow.fleet.pacing import (
+    LIST_DEADLINE_MS,
+    QUEUED_CALL_MS,
+    call_spread_ms,
+    hung_retry_ms,
+    silent_retry_ms,
+    stale_list_retry_ms,
+)
 from spoolbarrow.net import discovery_client
 from spoolbarrow.net.log import log, log_exception
 
--- a/spoolbarrow/net/drain_schedule.py
+++ b/spoolbarrow/net/drain_schedule.py
@@ -147,7 +147,9 @@
         keep = schedule.at(DrainStep.END_ANSWERS)
         sooner = {DrainStep.END_ANSWERS: min(keep, passed), DrainStep.CLOSE_IDLE: max(keep, passed)}
         if not resumes:
-            sooner[DrainStep.REFUSE] = min(schedule.at(DrainStep.REFUSE), passed)  # a stream could not pass on either
+            sooner[DrainStep.REFUSE] = min(
+                schedule.at(DrainStep.REFUSE), passed
+            )  # a stream could not pass on either
         steps = {**schedule.steps, **sooner}
         self._drains[drain.cause] = replace(drain, schedule=replace(schedule, steps=steps))
 
--- a/spoolbarrow/net/endpoint_client.py
+++ b/spoolbarrow/net/endpoint_client.py
@@ -15,9 +15,9 @@
 from spoolbarrow.net.endpoint_response import TAIL, AnswerReader, InFlightAttempt
 from spoolbarrow.net.load_report import LOAD_HEADER, kept_tokens, parse_load, tail_report
 from spoolbarrow.net.log import log, log_exception
+from spoolbarrow.net.observers import CloseReason, Observers
 from spoolbarrow.net.request import Attempt
 from spoolbarrow.net.request_writing import await_sent, send_while
-from spoolbarrow.net.observers import Observers, CloseReason
 
 RECV = 65536  # bytes read at once
 UNPROCESSED_HEADER = b"x-unprocessed"
@@ -163,7 +163,9 @@
                 if parser.status == 200 and not parser.framed():
                     # A head cut short: what is left of it would pass for events, and any end for the last.
                     raise http1.HttpError(502, "a stream without an end")
-                if parser.status == 200 and not parser.fields.get(KIND, b"").lower().startswith(EVENT_STREAM_TYPE):
+                if parser.status == 200 and not parser.fields.get(KIND, b"").lower().startswith(
+                    EVENT_STREAM_TYPE
+                ):
                     # Guards against what an endpoint says unasked passing for the answer to this request.
                     raise http1.HttpError(502, "a 200 that is no stream of events")
                 parts = underway.passable(parser.take_body())
--- a/spoolbarrow/net/endpoint_response.py
+++ b/spoolbarrow/net/endpoint_response.py
@@ -46,7 +46,11 @@
         self._held += parts
         self._held_bytes += len(new)
         self._held_end = searched[1 - LONGEST_EVENT_END :]
-        if self.parser.complete or self._held_bytes >= MOST_HELD or any(end in searched for end in EVENT_ENDS):
+        if (
+            self.parser.complete
+            or self._held_bytes >= MOST_HELD
+            or any(end in searched for end in EVENT_ENDS)
+        ):
             parts, self._held = self._held, []
             return parts
         return []
--- a/spoolbarrow/net/failover.py
+++ b/spoolbarrow/net/failover.py
@@ -15,7 +15,14 @@
 
 from spoolbarrow import interface as i
 from spoolbarrow.config import Address
-from spoolbarrow.failover import Evidence, EndpointOutcome, Settings, Verdict, ZoneHealthTracker, zones_to_mask
+from spoolbarrow.failover import (
+    EndpointOutcome,
+    Evidence,
+    Settings,
+    Verdict,
+    ZoneHealthTracker,
+    zones_to_mask,
+)
 from spoolbarrow.net import http1
 from spoolbarrow.net.log import log, log_exception
 from spoolbarrow.net.observers import Observer
--- a/spoolbarrow/net/fleet_writer.py
+++ b/spoolbarrow/net/fleet_writer.py
@@ -50,7 +50,9 @@
             made = put.record.decision
             assert made is not None
             log("fleet_decided", kind=held.part.kind, epoch=made.epoch, number=made.number)
-        revision = self._store.put(held.standing_key, d.encode_document(put.record), put.expected_revision).revision
+        revision = self._store.put(
+            held.standing_key, d.encode_document(put.record), put.expected_revision
+        ).revision
         if revision > 0:
             held.see(sent, lease.ObservedRecord(revision, put.record))
             held.adopt(self._host.now())
--- a/spoolbarrow/net/host.py
+++ b/spoolbarrow/net/host.py
@@ -28,8 +28,8 @@
 from spoolbarrow.net.inbox import Inbox
 from spoolbarrow.net.log import log, log_exception
 from spoolbarrow.net.loop_iterations import LoopIterations
-from spoolbarrow.net.request import Answer, Attempt, Request, TransferredStream
 from spoolbarrow.net.observers import Observers
+from spoolbarrow.net.request import Answer, Attempt, Request, TransferredStream
 from spoolbarrow.router import Router
 
 if TYPE_CHECKING:
@@ -199,7 +199,9 @@
 
         Not one whose endpoint has finished it: it is passed on to its end.
         """
-        for request in [r for r in self._requests.values() if r.serving_attempt is not None and not r.finished]:
+        for request in [
+            r for r in self._requests.values() if r.serving_attempt is not None and not r.finished
+        ]:
             stream = request.serving_attempt
             assert stream is not None
             if stream.answer_reader is not None and stream.answer_reader.must_finish():
@@ -231,7 +233,12 @@
         And against a second effect: a connection may have come up after the time for repeats.
         """
         request, now = attempt.request, self.now()
-        if attempt.ended or request.finished or request.serving_attempt is not None or now >= request.deadline:
+        if (
+            attempt.ended
+            or request.finished
+            or request.serving_attempt is not None
+            or now >= request.deadline
+        ):
             return False
         if not request.may_repeat(attempt, now):
             return False
--- a/spoolbarrow/net/inbound.py
+++ b/spoolbarrow/net/inbound.py
@@ -18,8 +18,8 @@
 from spoolbarrow.net.host import Host
 from spoolbarrow.net.http1 import Message
 from spoolbarrow.net.log import log, log_exception
-from spoolbarrow.net.overflow import Overflow
 from spoolbarrow.net.observers import CloseReason
+from spoolbarrow.net.overflow import Overflow
 
 RECV = 65536  # bytes read at once, into one buffer: they are parsed before any other greenlet runs
 BACKLOG = 4096  # connections that the kernel holds for this process, as far as its own limit goes
@@ -83,7 +83,11 @@
         """Whether clients may be sent here."""
         drains = self.drainer.state
         ending = drains.process_ending() and not drains.has_successor()
-        return self.host.is_deciding() and not (ending or drains.by_operator()) and self.host.destinations.any_serving()
+        return (
+            self.host.is_deciding()
+            and not (ending or drains.by_operator())
+            and self.host.destinations.any_serving()
+        )
 
     def operator_drained(self) -> bool:
         """Whether an operator drained this router by hand."""
@@ -205,7 +209,9 @@
                 continue
             waited = max(self.host.now() - since, tcpinfo.last_received_ms(sock))
             # Late in a drain it would be refused all the same: no place is waited for.
-            if waited >= self._patience_ms() or self.drainer.state.reached(DrainStep.CLOSE_ALL, self.host.now()):
+            if waited >= self._patience_ms() or self.drainer.state.reached(
+                DrainStep.CLOSE_ALL, self.host.now()
+            ):
                 del self._waiting[listener]
                 return self._overflow.refuse(sock, self.host.now())
             gevent.sleep(ROOM_S)
--- a/spoolbarrow/net/request.py
+++ b/spoolbarrow/net/request.py
@@ -76,7 +76,9 @@
             self.tenant_name = facts.settings.tenant_name(facts.tenant)
         self.connection = connection  # its client's, by the taps' number; 0: told by none
         self.taken_at, self.deadline = now, deadline
-        self.repeat_window_ms = inf  # a further attempt is written whole so long after the first that may have run
+        self.repeat_window_ms = (
+            inf  # a further attempt is written whole so long after the first that may have run
+        )
         self.max_attempts = 1  # unless the host says more
         self.attempts: list[Attempt] = []
         self.serving_attempt: Attempt | None = None  # the attempt that is the client's
--- a/spoolbarrow/net/request_parser.py
+++ b/spoolbarrow/net/request_parser.py
@@ -78,7 +78,9 @@
             self._spoilt(HttpError(400, "upgrade not supported"))
         except httptools.HttpParserError as error:
             cause = error.__context__
-            self._spoilt(cause if isinstance(cause, HttpError) else HttpError(400, f"malformed request: {error}"))
+            self._spoilt(
+                cause if isinstance(cause, HttpError) else HttpError(400, f"malformed request: {error}")
+            )
         # What is not handed over (an unfinished field, empty lines, what frames chunks) could grow for ever.
         self._fed = 0 if len(self.complete) > had else self._fed + len(data)
         if self.error is None and not self._last and self._fed > self._max_head:
--- a/spoolbarrow/net/shared_documents.py
+++ b/spoolbarrow/net/shared_documents.py
@@ -27,7 +27,9 @@
 
     def __init__(self, host: Host, within_ms: float, changed: Callable[[], None]) -> None:
         self._host, self._changed = host, changed
-        self._shared = {key: shared_document.SharedDocument(key, within_ms) for key in shared_document.DOCUMENT_KINDS}
+        self._shared = {
+            key: shared_document.SharedDocument(key, within_ms) for key in shared_document.DOCUMENT_KINDS
+        }
         self._logged: dict[str, tuple[int, shared_document.Mode]] = {}
         self._suspended: frozenset[str] = frozenset()
         self._file_tenants: tuple[Tenant, ...] = ()  # as the router's own file has them
@@ -93,7 +95,9 @@
         config, shares = self._host.config, self._shared[d.SHARES_KEY]
         if config.settings.tenants is not self._applied_tenants:
             self._file_tenants = config.settings.tenants  # the file was read anew
-        wanted = shared_document.overlay_shares(shares.effective(now), config.tenants, self._file_tenants, not shares.is_unsettled(now))
+        wanted = shared_document.overlay_shares(
+            shares.effective(now), config.tenants, self._file_tenants, not shares.is_unsettled(now)
+        )
         if wanted != config.settings.tenants:
             self._set_tenants(wanted)
 
--- a/spoolbarrow/net/store_follower.py
+++ b/spoolbarrow/net/store_follower.py
@@ -44,7 +44,10 @@
 
     def __init__(self, host: Host, table: FleetTable, changed: Callable[[], None]) -> None:
         self._host = host
-        self._router, self._incarnation = host.config.name[: d.MAX_NAME_CHARS], new_incarnation(os.urandom(16))
+        self._router, self._incarnation = (
+            host.config.name[: d.MAX_NAME_CHARS],
+            new_incarnation(os.urandom(16)),
+        )
         self._random = SystemRandom()
         self._store = StoreClient(table, self._random)
         self._shared = SharedDocuments(host, table.within_s * 1000, changed)
--- a/spoolbarrow/operator.py
+++ b/spoolbarrow/operator.py
@@ -18,7 +18,7 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from spoolbarrow.config import ConfigError, parse_address, find_faults
+from spoolbarrow.config import ConfigError, find_faults, parse_address
 
 FILE_VARIABLE = "SPOOLBARROW_OPERATOR"
 ENVIRONMENT = {
--- a/spoolbarrow/pools/part.py
+++ b/spoolbarrow/pools/part.py
@@ -13,9 +13,9 @@
 from spoolbarrow.fleet.documents import MAX_BODY_BYTES
 from spoolbarrow.interface import RequestClass
 from spoolbarrow.pools import split
-from spoolbarrow.pools.traffic_stats import HALF_MS, TrafficRecorder, TrafficStats, decode_summary, merged
 from spoolbarrow.pools.queue_model import Atom, Rates
 from spoolbarrow.pools.split import ENCODE, Engine, Plan
+from spoolbarrow.pools.traffic_stats import HALF_MS, TrafficRecorder, TrafficStats, decode_summary, merged
 
 OLD_MS = 120_000.0  # a summary said so long ago, or ahead, says nothing; clocks may be a minute apart
 YOUNG_MS = 2000.0  # a router that has listened for less tells no rates
@@ -105,7 +105,11 @@
 
     def _without_lost(self, plan: Plan) -> Plan:
         """Engines that are gone, or cannot be steered, are no longer named."""
-        kept = [name for name in plan.prefill_engines if name in self.engines and not self.engines[name].fixed_side]
+        kept = [
+            name
+            for name in plan.prefill_engines
+            if name in self.engines and not self.engines[name].fixed_side
+        ]
         return msgspec.structs.replace(plan, prefill_engines=kept)
 
     def _next(self, now: float, plan: Plan, told: list[TrafficStats]) -> Plan:
@@ -140,7 +144,9 @@
         if odd and plan.prefill_engines:
             # What a tenant asks beyond its portion moves nothing, but leaving it out may do no harm.
             true = split.atoms(split.guarded(whole, None)[0], self.classes, SPAN_MS)
-            really = split.judged(true, split.apart(true, plan.prefill_min_tokens), len(self.engines), rates, weight)
+            really = split.judged(
+                true, split.apart(true, plan.prefill_min_tokens), len(self.engines), rates, weight
+            )
             if really.seen(self._reading(plan)) > really.none()[0] + split.ENTER:
                 return _none(plan, "harms the traffic as it is")
         return self._weighed(now, plan, target, whole, rates)
@@ -154,7 +160,11 @@
         for cut in split.cuts(found, rates):
             limits = split.thresholds(found, cut, len(self.classes), rates)
             options += [limits] if limits not in options else []
-        stands = plan.prefill_min_tokens if plan.prefill_engines and len(plan.prefill_min_tokens) == len(self.classes) else None
+        stands = (
+            plan.prefill_min_tokens
+            if plan.prefill_engines and len(plan.prefill_min_tokens) == len(self.classes)
+            else None
+        )
         if stands is not None and stands not in options:
             options.append(stands)
         tried: list[tuple[float, int, split.Judged, list[float]]] = []
--- a/spoolbarrow/pools/split.py
+++ b/spoolbarrow/pools/split.py
@@ -18,8 +18,8 @@
 from spoolbarrow.fleet.documents import MAX_BODY_BYTES
 from spoolbarrow.interface import RequestClass
 from spoolbarrow.pools import sketch
-from spoolbarrow.pools.traffic_stats import MOST_CLASSES, REST, US, Cell, EngineSpeed, TrafficStats
 from spoolbarrow.pools.queue_model import HURT, Atom, Rates, Traffic, flow
+from spoolbarrow.pools.traffic_stats import MOST_CLASSES, REST, US, Cell, EngineSpeed, TrafficStats
 
 LITTLE = 60.0  # requests weighed by age, below which there is too little evidence
 SURE = 3.0  # standard deviations of the evidence's noise that a gain must outlast
@@ -58,7 +58,9 @@
     """The decision's body. No readers: no split."""
 
     at_ms: float = 0.0
-    prefill_min_tokens: list[float] = field(default_factory=list)  # by class: prompt tokens from which it reads
+    prefill_min_tokens: list[float] = field(
+        default_factory=list
+    )  # by class: prompt tokens from which it reads
     prefill_engines: list[str] = field(default_factory=list)  # engines, in order
     since_ms: float = 0.0  # of the split
     moved_ms: float = 0.0  # of the last move
--- a/spoolbarrow/pools/traffic_stats.py
+++ b/spoolbarrow/pools/traffic_stats.py
@@ -145,7 +145,11 @@
     def _pace(self, kind: str) -> EngineSpeed:
         """Of a type of engines; one too many is noted for nobody."""
         paces = self.stats.speeds
-        return paces.setdefault(kind, EngineSpeed()) if kind in paces or len(paces) < MOST_TYPES else EngineSpeed()
+        return (
+            paces.setdefault(kind, EngineSpeed())
+            if kind in paces or len(paces) < MOST_TYPES
+            else EngineSpeed()
+        )
 
     def record_load(self, now: float, kind: str, busy_share: float, memory_share: float) -> None:
         """An engine told how full it is; what it does not tell is negative."""
--- a/spoolbarrow/router.py
+++ b/spoolbarrow/router.py
@@ -29,14 +29,26 @@
 QUOTA_BURST_MS = 4000.0  # a slice saves up so much: Poisson arrivals are not a flood
 QUOTA_BURST_MIN_REQUESTS = 2.0  # requests; a slice below one request must still let one through
 # Fullness
-FULL_WAIT_TOKEN_OBJECTIVES = 12.0  # token aims: waits are guessed from few reports, and most come true far below the guess
+FULL_WAIT_TOKEN_OBJECTIVES = (
+    12.0  # token aims: waits are guessed from few reports, and most come true far below the guess
+)
 FULL_WAIT_OBJECTIVE_SHARE = 0.25  # of the mean aim, where no token aim is told
-REFUSE_ABOVE_OBJECTIVES = 1.0  # aims; predicted later than this, an attempt is refused: late, it would only make others late
-PRIORITY_CUT_SAMPLE, PRIORITY_CUT_SPAN = 200, 1.0  # newest admitted, for the cut; fullness beyond full at which it is highest
-MEMORY_FULL_SHARE, MEMORY_FULL_WAIT_MS = 0.85, 4000.0  # memory held: beyond it requests are thrown back; wait for all beyond
+REFUSE_ABOVE_OBJECTIVES = (
+    1.0  # aims; predicted later than this, an attempt is refused: late, it would only make others late
+)
+PRIORITY_CUT_SAMPLE, PRIORITY_CUT_SPAN = (
+    200,
+    1.0,
+)  # newest admitted, for the cut; fullness beyond full at which it is highest
+MEMORY_FULL_SHARE, MEMORY_FULL_WAIT_MS = (
+    0.85,
+    4000.0,
+)  # memory held: beyond it requests are thrown back; wait for all beyond
 QUEUED_REQUEST_MS = 30.0  # wait counted for a request in the queue
 # Reports
-FRESH_REPORT_WEIGHT = 0.6  # of a fresh answer against its zone's mean: others sent too, and the least of several flatters
+FRESH_REPORT_WEIGHT = (
+    0.6  # of a fresh answer against its zone's mean: others sent too, and the least of several flatters
+)
 ZONE_MEAN_WEIGHT = 0.15  # weight of one answer in its zone's mean: few come from other zones
 ZONE_MEAN_VALID_MS = 8000.0  # an unprobed zone's mean is believed so long
 REPORT_FADE_MS = 4000.0  # a report older than this says no more than the zone's mean
@@ -44,21 +56,39 @@
 PROBE_POOL_MS, PROBE_POOL_SIZE = 2000.0, 5  # answers older than this leave the pool; so many are compared
 PREFERRED_REPORT_FRESH_MS = 700.0  # a home's answer younger than this needs no new probe
 PROBE_HOLD_MS = 25.0  # a request waits so long at most for its home's answer
-UNANSWERED_PROBE_WAIT_MS = 1200.0  # wait counted for a home that does not answer within the hold: probes wait like prompts
-UNANSWERED_PROBE_SHARE = 0.9  # of the hold: a timer that fires on the very millisecond must not miss the silence
+UNANSWERED_PROBE_WAIT_MS = (
+    1200.0  # wait counted for a home that does not answer within the hold: probes wait like prompts
+)
+UNANSWERED_PROBE_SHARE = (
+    0.9  # of the hold: a timer that fires on the very millisecond must not miss the silence
+)
 CROSS_ZONE_PROBE_SHARE = 0.2  # share of the spare probes, one a request, that go to other zones
 # Reading
 PREFILL_TOKENS_PER_MS = 12.0  # tokens a millisecond; an order of magnitude, since loads are only compared
-RUNNING_STREAM_COST_MS = 40.0  # a stream of this node's that runs there; on a slow replica they last, and add up
-PREFILL_COST_FACTOR = 8.0  # a token read keeps all who run on the replica waiting, not only the request itself
-FIRST_TOKEN_OVERHEAD_MS, DECODE_MS_PER_TOKEN = 30.0, 30.0  # first-token time that is not reading; streaming time taken as one token
+RUNNING_STREAM_COST_MS = (
+    40.0  # a stream of this node's that runs there; on a slow replica they last, and add up
+)
+PREFILL_COST_FACTOR = (
+    8.0  # a token read keeps all who run on the replica waiting, not only the request itself
+)
+FIRST_TOKEN_OVERHEAD_MS, DECODE_MS_PER_TOKEN = (
+    30.0,
+    30.0,
+)  # first-token time that is not reading; streaming time taken as one token
 MEAN_WEIGHT = 0.05  # weight of one sample in learnt means
 # Homes
-PREFERRED_OBJECTIVE_SHARE, PREFERRED_FULLNESS_SHARE = 0.65, 0.4  # of the aim, and of fullness: see where they are used
+PREFERRED_OBJECTIVE_SHARE, PREFERRED_FULLNESS_SHARE = (
+    0.65,
+    0.4,
+)  # of the aim, and of fullness: see where they are used
 PREFERRED_REPLICAS_FACTOR = 2.0  # homes of a prefix, as a multiple of the replicas its traffic could fill
-PREFERRED_PER_PART = 16  # homes among which a session is placed: a prefix with more has them in parts of so many
+PREFERRED_PER_PART = (
+    16  # homes among which a session is placed: a prefix with more has them in parts of so many
+)
 PREFIX_COUNT_HALF_LIFE_MS = 60000.0  # prefix counts halve in this time
-CROSS_ZONE_FEE_OBJECTIVES = 3.0  # cross-zone fee in aims of waiting: missing an aim loses the worth the fee is a share of
+CROSS_ZONE_FEE_OBJECTIVES = (
+    3.0  # cross-zone fee in aims of waiting: missing an aim loses the worth the fee is a share of
+)
 # Health
 SUSPECT_MS, SUSPECT_MAX_MS = 1000.0, 8000.0  # first and longest time a silent replica is left out
 SILENCE_MS = 1500.0  # with a prompt waiting and a probe failed: less is a pause, or long prompts being read
@@ -69,12 +99,27 @@
 FAILING_WAIT_MS = 2000.0  # wait counted for a replica whose attempts of late all ended in errors
 HEDGE_FACTOR, HEDGE_MIN_MS = 2.0, 200.0  # a second attempt after so many predicted first-token times,
 HEDGE_OBJECTIVE_SHARE = 0.5  # but not later than this share of the aim, so that it can still serve in time
-HEDGE_WASTE_BUDGET, HEDGES_PER_REQUEST_MAX, HEDGE_BUDGET_MAX = 0.004, 0.2, 5.0  # waste paid for them, most for each request, saved up
-LATE_FACTOR_MAX = 6.0  # largest general factor of late first tokens: loaded replicas read slower than idle ones
+HEDGE_WASTE_BUDGET, HEDGES_PER_REQUEST_MAX, HEDGE_BUDGET_MAX = (
+    0.004,
+    0.2,
+    5.0,
+)  # waste paid for them, most for each request, saved up
+LATE_FACTOR_MAX = (
+    6.0  # largest general factor of late first tokens: loaded replicas read slower than idle ones
+)
 SWEEP_INTERVAL_MS = 500.0  # between looks at what no event wakes
-SLOW_START_TOTAL_SHARE, SLOW_START_PREFERRED_SHARE = 0.5, 0.2  # of what rule 4 tolerates: in all, for those at home there
-SLOW_START_WORK_MIN, SLOW_START_RESUMED_SHARE = 0.5, 0.05  # mean works counted at least; chance of moved streams: they come at once
-LIST_CALL_LOST_MS, TIMER_RESOLUTION_MS = 3500.0, 1.0  # a call without an answer for so long is lost; timers are so exact
+SLOW_START_TOTAL_SHARE, SLOW_START_PREFERRED_SHARE = (
+    0.5,
+    0.2,
+)  # of what rule 4 tolerates: in all, for those at home there
+SLOW_START_WORK_MIN, SLOW_START_RESUMED_SHARE = (
+    0.5,
+    0.05,
+)  # mean works counted at least; chance of moved streams: they come at once
+LIST_CALL_LOST_MS, TIMER_RESOLUTION_MS = (
+    3500.0,
+    1.0,
+)  # a call without an answer for so long is lost; timers are so exact
 
 
 class Replica:
@@ -87,7 +132,13 @@
         self.probe_pending = self.sends_reports = False
         self.memory_share = self.load_ms = 0.0
         self.unstarted: list[Attempt] = []
-        self.slow_factor, self.slow_factor_at, self.failing_level, self.failed_at, self.decode_factor = 1.0, 0.0, 0.0, 0.0, 1.0
+        self.slow_factor, self.slow_factor_at, self.failing_level, self.failed_at, self.decode_factor = (
+            1.0,
+            0.0,
+            0.0,
+            0.0,
+            1.0,
+        )
         self.suspect_until, self.suspect_count, self.unresponsive = -1e12, 0, False
         self.running_streams, self.started_at = 0, 0.0
         self.update(entry)
@@ -106,7 +157,13 @@
     """One sending of a request."""
 
     def __init__(self, request: Request, replica: Replica, now: float, read: float, rank: int) -> None:
-        self.request, self.replica, self.sent_at, self.prefill_tokens, self.rank = request, replica, now, read, rank
+        self.request, self.replica, self.sent_at, self.prefill_tokens, self.rank = (
+            request,
+            replica,
+            now,
+            read,
+            rank,
+        )
         self.outcome: i.Outcome | None = None
         self.predicted_ms, self.first_token_ms, self.lost = 0.0, -1.0, False
 
@@ -119,11 +176,16 @@
     """What served requests of a class have taught, from a first guess on."""
 
     def __init__(self) -> None:
-        self.mean_answer_ms, self.preferred_prefill_tokens = 60.0 * DECODE_MS_PER_TOKEN, 600.0  # streaming; tokens read at a session's home
+        self.mean_answer_ms, self.preferred_prefill_tokens = (
+            60.0 * DECODE_MS_PER_TOKEN,
+            600.0,
+        )  # streaming; tokens read at a session's home
         self.prefix_miss_share = [0.5, 0.5, 0.9]  # share of the prefix read, by rank
 
 
-ClassTerms = tuple[float, int, ClassStats]  # of a class: its weight, its tier among the others, what it taught
+ClassTerms = tuple[
+    float, int, ClassStats
+]  # of a class: its weight, its tier among the others, what it taught
 
 
 class Request:
@@ -135,7 +197,10 @@
         self.weight, self.tier, self.class_stats = terms
         self.arrived_at, self.deadline = now, now + event.budget_ms
         self.objective_ms = self.cls.aim(event.prompt_tokens)
-        self.prompt_tokens, self.shared_tokens = event.prompt_tokens, min(event.shared_tokens, event.prompt_tokens)
+        self.prompt_tokens, self.shared_tokens = (
+            event.prompt_tokens,
+            min(event.shared_tokens, event.prompt_tokens),
+        )
         self.session, self.prefix = event.session, event.prefix
         self.resumed, self.promised, self.standing = event.resumed, event.promised, event.standing
         self.attempts: list[Attempt] = []
@@ -151,7 +216,9 @@
     def may_send(self, replica: Replica, now: float) -> bool:
         """Rule 2: whether one more attempt, on this replica, cannot cause a second effect."""
         settings = self.settings
-        if len(self.attempts) >= settings.max_attempts or (self.has_open_attempt() and not settings.second_copies):
+        if len(self.attempts) >= settings.max_attempts or (
+            self.has_open_attempt() and not settings.second_copies
+        ):
             return False
         ran = [a for a in self.attempts if a.may_have_run()]
         if not ran or self.cls.effect is i.Effect.SAFE:
@@ -207,13 +274,32 @@
         self.replicas: dict[str, Replica] = {}
         self.serving, self.local, self.remote, self.slow_starting = (list[Replica]() for _ in range(4))
         self.recent_answers: deque[tuple[float, Replica]] = deque(maxlen=PROBE_POOL_SIZE)
-        self.local_ring, self.remote_ring = HashRing[Replica](), HashRing[Replica]()  # of own zone's replicas, of others'
+        self.local_ring, self.remote_ring = (
+            HashRing[Replica](),
+            HashRing[Replica](),
+        )  # of own zone's replicas, of others'
         self.prefix_counts: dict[int, float] = {}
-        self.keyed_count, self.counts_halved_at, self.prefix_count_sum, self.prefixes_seen_once = 0.0, 0.0, 0.0, 0  # all, of prefixes, of ones
+        self.keyed_count, self.counts_halved_at, self.prefix_count_sum, self.prefixes_seen_once = (
+            0.0,
+            0.0,
+            0.0,
+            0,
+        )  # all, of prefixes, of ones
         self.mean_request_tokens = 2000.0  # mean tokens of a request, learnt
-        self.mean_work, self.arrivals = 2000.0, count(1)  # as mean_request_tokens, but from the first request on
-        self.zone_load_ms, self.zone_memory_share, self.zone_updated_at = list[float](), list[float](), list[float]()
-        self.zone_keys, self.late_factor, self.full_wait_ms = list[i.Key](), 1.0, 0.0  # zones by their numbers here
+        self.mean_work, self.arrivals = (
+            2000.0,
+            count(1),
+        )  # as mean_request_tokens, but from the first request on
+        self.zone_load_ms, self.zone_memory_share, self.zone_updated_at = (
+            list[float](),
+            list[float](),
+            list[float](),
+        )
+        self.zone_keys, self.late_factor, self.full_wait_ms = (
+            list[i.Key](),
+            1.0,
+            0.0,
+        )  # zones by their numbers here
         self.configure(settings, set(), 0.0)
 
     def configure(self, settings: i.Settings, sent: set[Replica], now: float) -> None:
@@ -276,14 +362,27 @@
         if request.prefix:
             heat = self.prefix_counts[key] = self.prefix_counts.get(key, 0.0) + 1.0
             # What was seen once stands for what was not seen (Good and Turing): the rest alone tells shares.
-            self.prefix_count_sum, self.prefixes_seen_once = self.prefix_count_sum + 1.0, self.prefixes_seen_once + (heat <= 1.0) - (1.0 < heat <= 2.0)
+            self.prefix_count_sum, self.prefixes_seen_once = (
+                self.prefix_count_sum + 1.0,
+                self.prefixes_seen_once + (heat <= 1.0) - (1.0 < heat <= 2.0),
+            )
             covered = (self.prefix_count_sum - self.prefixes_seen_once + 1.0) / (self.prefix_count_sum + 4.0)
-            wanted = PREFERRED_REPLICAS_FACTOR * len(self.local or self.remote) * covered * heat / (self.keyed_count + 5.0)
+            wanted = (
+                PREFERRED_REPLICAS_FACTOR
+                * len(self.local or self.remote)
+                * covered
+                * heat
+                / (self.keyed_count + 5.0)
+            )
             while count < wanted:
                 count *= 2  # coarse steps: nodes that count few requests must still agree on homes
         session = request.session or self.rng.getrandbits(63)
-        part = mix64(session, 2) % max(1, count // PREFERRED_PER_PART)  # ranking hundreds for each costs too much
-        chosen = (self.local_ring or self.remote_ring).walk(key + part, min(max(count, 2), PREFERRED_PER_PART))
+        part = mix64(session, 2) % max(
+            1, count // PREFERRED_PER_PART
+        )  # ranking hundreds for each costs too much
+        chosen = (self.local_ring or self.remote_ring).walk(
+            key + part, min(max(count, 2), PREFERRED_PER_PART)
+        )
         if count > 1:
             chosen = sorted(chosen, key=lambda r: mix64(session, r.points[0]))[:2]
         return chosen + (self.remote_ring.walk(key, 1) if self.local_ring else [])
@@ -291,7 +390,9 @@
     def predict_wait(self, replica: Replica, now: float, with_failures: bool = False) -> float:
         """Predicted time before a replica begins to read one more prompt, ms; more where it is failing."""
         weight = FRESH_REPORT_WEIGHT * max(0.0, 1.0 - (now - replica.report_at) / REPORT_FADE_MS)
-        heard = now - self.zone_updated_at[replica.zone] < ZONE_MEAN_VALID_MS  # else unknown: fullness must not stick
+        heard = (
+            now - self.zone_updated_at[replica.zone] < ZONE_MEAN_VALID_MS
+        )  # else unknown: fullness must not stick
         wait, memory = self.zone_load_ms[replica.zone] * heard, self.zone_memory_share[replica.zone] * heard
         wait += weight * (replica.load_ms - wait)
         memory += weight * (replica.memory_share - memory)
@@ -302,11 +403,15 @@
             wait += UNANSWERED_PROBE_WAIT_MS  # asked and not answered: paused, silent or deep in work
         if replica.slow_factor > 1.0:
             wait *= 1.0 + (replica.slow_factor - 1.0) * exp((replica.slow_factor_at - now) / SLOW_FADE_MS)
-        return wait + with_failures * FAILING_WAIT_MS * replica.failing_level * exp((replica.failed_at - now) / SLOW_FADE_MS)
+        return wait + with_failures * FAILING_WAIT_MS * replica.failing_level * exp(
+            (replica.failed_at - now) / SLOW_FADE_MS
+        )
 
     def predict_prefill(self, request: Request, rank: int) -> float:
         """Tokens of the prompt that a replica must still read: at its home, at a prefix home, elsewhere."""
-        elsewhere = request.prompt_tokens - request.shared_tokens * (1.0 - request.class_stats.prefix_miss_share[rank])
+        elsewhere = request.prompt_tokens - request.shared_tokens * (
+            1.0 - request.class_stats.prefix_miss_share[rank]
+        )
         return min(elsewhere, request.class_stats.preferred_prefill_tokens) if rank == 0 else elsewhere
 
     def predict_first_token(self, wait: float, read: float) -> float:
@@ -350,14 +455,20 @@
         replica.report_at, load = now, lag
         if report is not None:
             replica.sends_reports = True
-            load = max(lag, report.unread_tokens / PREFILL_TOKENS_PER_MS) + QUEUED_REQUEST_MS * max(report.queued, 0.0)
+            load = max(lag, report.unread_tokens / PREFILL_TOKENS_PER_MS) + QUEUED_REQUEST_MS * max(
+                report.queued, 0.0
+            )
             replica.memory_share = max(report.memory_share, report.busy_share, 0.0)
-            self.zone_memory_share[replica.zone] += ZONE_MEAN_WEIGHT * (replica.memory_share - self.zone_memory_share[replica.zone])
+            self.zone_memory_share[replica.zone] += ZONE_MEAN_WEIGHT * (
+                replica.memory_share - self.zone_memory_share[replica.zone]
+            )
             self.recent_answers.append((now, replica))
         replica.load_ms, self.zone_updated_at[replica.zone] = load, now
         # A few deep queues say nothing of those that are chosen: one counts as twice the mean at most.
         mean = self.zone_load_ms[replica.zone]
-        self.zone_load_ms[replica.zone] += ZONE_MEAN_WEIGHT * (min(load, 2.0 * max(mean, QUEUED_REQUEST_MS)) - mean)
+        self.zone_load_ms[replica.zone] += ZONE_MEAN_WEIGHT * (
+            min(load, 2.0 * max(mean, QUEUED_REQUEST_MS)) - mean
+        )
 
     def mark_alive(self, replica: Replica, now: float) -> None:
         """It lives."""
@@ -378,18 +489,30 @@
 
     def record_lateness(self, replica: Replica, ratio: float, now: float) -> None:
         """First tokens come `ratio` times as late as predicted, from this replica and in general."""
-        self.late_factor = min(LATE_FACTOR_MAX, max(1.0, self.late_factor * (1.0 + MEAN_WEIGHT * (min(ratio, 4.0) - 1.0))))
+        self.late_factor = min(
+            LATE_FACTOR_MAX, max(1.0, self.late_factor * (1.0 + MEAN_WEIGHT * (min(ratio, 4.0) - 1.0)))
+        )
         old = 1.0 + (replica.slow_factor - 1.0) * exp((replica.slow_factor_at - now) / SLOW_FADE_MS)
-        replica.slow_factor, replica.slow_factor_at = max(1.0, min(SLOW_FACTOR_MAX, 0.5 * old + 0.5 * ratio)), now
+        replica.slow_factor, replica.slow_factor_at = (
+            max(1.0, min(SLOW_FACTOR_MAX, 0.5 * old + 0.5 * ratio)),
+            now,
+        )
 
     def record_prefill(self, request: Request, attempt: Attempt, kept: int) -> None:
         """What a served attempt shows of kept prompts."""
         read = max(1.0, float(request.prompt_tokens - kept))
         if attempt.rank == 0:
-            request.class_stats.preferred_prefill_tokens += MEAN_WEIGHT * (read - request.class_stats.preferred_prefill_tokens)
+            request.class_stats.preferred_prefill_tokens += MEAN_WEIGHT * (
+                read - request.class_stats.preferred_prefill_tokens
+            )
         if request.shared_tokens > 0:
-            missed = min(1.0, max(0.0, (read - (request.prompt_tokens - request.shared_tokens)) / request.shared_tokens))
-            request.class_stats.prefix_miss_share[attempt.rank] += MEAN_WEIGHT * (missed - request.class_stats.prefix_miss_share[attempt.rank])
+            missed = min(
+                1.0,
+                max(0.0, (read - (request.prompt_tokens - request.shared_tokens)) / request.shared_tokens),
+            )
+            request.class_stats.prefix_miss_share[attempt.rank] += MEAN_WEIGHT * (
+                missed - request.class_stats.prefix_miss_share[attempt.rank]
+            )
 
 
 Choice = tuple[Replica, int, float, float]  # replica, rank among homes, predicted wait, tokens to read
@@ -407,7 +530,12 @@
         self.actions: list[i.Action] = []
         self.now, self.hedge_budget, self.started = 0.0, 1.0, False
         self.configure(settings)
-        self.subscribed, self.list_call_pending, self.list_called_at, self.list_due_at = not settings.subscribe, False, 0.0, 0.0
+        self.subscribed, self.list_call_pending, self.list_called_at, self.list_due_at = (
+            not settings.subscribe,
+            False,
+            0.0,
+            0.0,
+        )
         self.awaiting_probe: dict[str, list[Request]] = {}  # requests held, by the replica asked
         self.handlers: dict[type, Callable[[Any], None]] = {
             i.RequestArrived: self._on_request,
@@ -428,10 +556,16 @@
         self.pool.configure(settings, sent, self.now)
         self.mean_objective_ms = settings.mean_aim()
         self.class_terms = self._class_terms(settings)
-        self.class_stats = {key: of[2] for key, of in zip(settings.class_keys(), self.class_terms, strict=True)}
+        self.class_stats = {
+            key: of[2] for key, of in zip(settings.class_keys(), self.class_terms, strict=True)
+        }
         pace = [FULL_WAIT_TOKEN_OBJECTIVES * c.token_aim_ms for c in settings.classes if c.token_aim_ms > 0]
-        self.full_wait_ms = self.pool.full_wait_ms = sum(pace) / len(pace) if pace else FULL_WAIT_OBJECTIVE_SHARE * self.mean_objective_ms
-        self.hedges_per_request = min(HEDGES_PER_REQUEST_MAX, HEDGE_WASTE_BUDGET / max(settings.waste_fee, 1e-9))
+        self.full_wait_ms = self.pool.full_wait_ms = (
+            sum(pace) / len(pace) if pace else FULL_WAIT_OBJECTIVE_SHARE * self.mean_objective_ms
+        )
+        self.hedges_per_request = min(
+            HEDGES_PER_REQUEST_MAX, HEDGE_WASTE_BUDGET / max(settings.waste_fee, 1e-9)
+        )
 
     def _class_terms(self, settings: i.Settings) -> list[ClassTerms]:
         """Of each class of these settings; what it has taught goes by its name, and is new where that is."""
@@ -448,7 +582,9 @@
             self.started = True
             self._timer("sweep", SWEEP_INTERVAL_MS * (0.5 + self.rng.random()))
             if self.settings.subscribe:
-                self._timer("list", self.pacing.first_call_ms())  # nodes that start together would swamp the service
+                self._timer(
+                    "list", self.pacing.first_call_ms()
+                )  # nodes that start together would swamp the service
         for event in events:
             self.handlers[type(event)](event)
         return self.actions
@@ -458,7 +594,11 @@
 
     def _on_list(self, event: i.ReplicaList) -> None:
         if event.kind is i.ListKind.FAILED:
-            pause = self.pacing.call_failed_ms(self.now - self.list_called_at) if self.list_call_pending else self.pacing.watch_ended_ms()
+            pause = (
+                self.pacing.call_failed_ms(self.now - self.list_called_at)
+                if self.list_call_pending
+                else self.pacing.watch_ended_ms()
+            )
             self.subscribed = self.list_call_pending = False
             self.list_due_at = self.now + pause  # a timer of an earlier failure makes no call of its own
             return self._timer("list", pause)
@@ -471,7 +611,9 @@
         token = event.token
         if token == "sweep":
             self._sweep()
-        elif token == "list" and not (self.subscribed or self.list_call_pending or self.now < self.list_due_at - TIMER_RESOLUTION_MS):
+        elif token == "list" and not (
+            self.subscribed or self.list_call_pending or self.now < self.list_due_at - TIMER_RESOLUTION_MS
+        ):
             self.list_call_pending, self.list_called_at = True, self.now
             self.actions.append(i.Subscribe())
         elif token[:2] == "h:":
@@ -542,9 +684,14 @@
         terms = self.class_terms if settings is self.settings else self._class_terms(settings)
         self.requests[event.request] = request = Request(event, settings, terms[event.cls], self.now)
         answer = request.class_stats.mean_answer_ms / DECODE_MS_PER_TOKEN
-        request.expected_tokens, request.slow_start_draw = request.prompt_tokens + answer, self.slow_start_rng.getrandbits(63)
+        request.expected_tokens, request.slow_start_draw = (
+            request.prompt_tokens + answer,
+            self.slow_start_rng.getrandbits(63),
+        )
         pool.mean_request_tokens += MEAN_WEIGHT * (request.expected_tokens - pool.mean_request_tokens)
-        pool.mean_work += max(MEAN_WEIGHT, 1.0 / next(pool.arrivals)) * (request.expected_tokens - pool.mean_work)
+        pool.mean_work += max(MEAN_WEIGHT, 1.0 / next(pool.arrivals)) * (
+            request.expected_tokens - pool.mean_work
+        )
         self.hedge_budget = min(HEDGE_BUDGET_MAX, self.hedge_budget + self.hedges_per_request)
         request.preferred_replicas = pool.homes(request, self.now)
         pool.count_arrival(request, self.now)
@@ -555,7 +702,9 @@
                 spare = members[int(self.rng.random() * len(members))]
                 if self.now >= spare.suspect_until:
                     self._probe(spare)
-            home = next((r for r in request.preferred_replicas if r.serving and self.now >= r.suspect_until), None)
+            home = next(
+                (r for r in request.preferred_replicas if r.serving and self.now >= r.suspect_until), None
+            )
             if home is not None and self.now - home.report_at > PREFERRED_REPORT_FRESH_MS:
                 self._probe(home)
                 if home.zone == self.settings.zone or not pool.local:
@@ -573,7 +722,9 @@
             return request.quota_per_s * self.pool.mean_request_tokens / 1000.0
         # Not told: an equal share of the capacity that usage and probed fullness suggest.
         pool, zone = self.pool, self.settings.zone
-        fullness = max(0.1, min(1.0, max(pool.zone_load_ms[zone] / self.full_wait_ms, pool.zone_memory_share[zone])))
+        fullness = max(
+            0.1, min(1.0, max(pool.zone_load_ms[zone] / self.full_wait_ms, pool.zone_memory_share[zone]))
+        )
         used = sum(e.usage_rate(self.now) for e in self.entitlements.values())
         share = used * self.settings.nodes / fullness / max(1, len(self.entitlements))
         return max(share, self.pool.mean_request_tokens / QUOTA_BURST_MS)
@@ -588,7 +739,9 @@
             # A home that keeps a prompt waiting is no reason to refuse it where others have room. Where all
             # are busy it waits at home while it can be in time: else its reading fills the fleet.
             # The busier the fleet, the more wait for what is read anew: it goes elsewhere the less for that.
-            care = min(1.0, max(0.0, pool.zone_load_ms[settings.zone] - QUEUED_REQUEST_MS) / self.full_wait_ms)
+            care = min(
+                1.0, max(0.0, pool.zone_load_ms[settings.zone] - QUEUED_REQUEST_MS) / self.full_wait_ms
+            )
             soonest = self._choose(request, care) or choice
             first = pool.predict_first_token(*choice[2:])
             busy = soonest[2] * pool.late_factor >= PREFERRED_FULLNESS_SHARE * self.full_wait_ms
@@ -605,8 +758,15 @@
             saved = entitlement.refill(now, slice_rate, pool.mean_request_tokens)
             refused = False
             if wait > self.full_wait_ms and not request.promised:
-                seconds = (request.class_stats.mean_answer_ms + self.mean_objective_ms) * slice_rate / pool.mean_request_tokens
-                refused = entitlement.in_flight >= max(2.0 * seconds, QUOTA_BURST_MIN_REQUESTS) or saved < request.expected_tokens
+                seconds = (
+                    (request.class_stats.mean_answer_ms + self.mean_objective_ms)
+                    * slice_rate
+                    / pool.mean_request_tokens
+                )
+                refused = (
+                    entitlement.in_flight >= max(2.0 * seconds, QUOTA_BURST_MIN_REQUESTS)
+                    or saved < request.expected_tokens
+                )
                 # Departure 3: the lowest of many is beaten by nearly all; the fuller, the higher the cut.
                 newest = (r.priority for r in reversed(self.requests.values()) if r.entitlement)
                 admitted = sorted(islice(newest, PRIORITY_CUT_SAMPLE))
@@ -654,8 +814,14 @@
             read = pool.predict_prefill(request, rank)
             wait = pool.predict_wait(replica, now)
             # Failing is a reason to choose another, not to think the fleet full and refuse.
-            cost = pool.predict_wait(replica, now, True) + RUNNING_STREAM_COST_MS * replica.running_streams + price * read / PREFILL_TOKENS_PER_MS
-            cost = (cost + self.full_wait_ms * max(0.0, replica.decode_factor - 1.0)) * (1.0 + 0.1 * self.rng.random())
+            cost = (
+                pool.predict_wait(replica, now, True)
+                + RUNNING_STREAM_COST_MS * replica.running_streams
+                + price * read / PREFILL_TOKENS_PER_MS
+            )
+            cost = (cost + self.full_wait_ms * max(0.0, replica.decode_factor - 1.0)) * (
+                1.0 + 0.1 * self.rng.random()
+            )
             if replica.zone != self.settings.zone:
                 cost += cross
             elif wait * pool.late_factor > self.full_wait_ms and pool.remote:
@@ -672,7 +838,10 @@
         request.attempts.append(attempt)
         replica.unstarted.append(attempt)
         self.actions.append(i.Send(request.id, replica.id))
-        late = max(HEDGE_MIN_MS, min(HEDGE_FACTOR * predicted, max(HEDGE_OBJECTIVE_SHARE * request.objective_ms, predicted)))
+        late = max(
+            HEDGE_MIN_MS,
+            min(HEDGE_FACTOR * predicted, max(HEDGE_OBJECTIVE_SHARE * request.objective_ms, predicted)),
+        )
         if now + late < request.deadline and len(request.attempts) < request.settings.max_attempts:
             self._timer(f"s:{len(request.attempts) - 1}:{request.id}", late)
 
@@ -682,17 +851,26 @@
         if request.closed or request.started or attempt is None or attempt.outcome is not None:
             return
         replica = attempt.replica
-        self.pool.record_lateness(replica, (self.now - attempt.sent_at) / max(attempt.predicted_ms, 50.0), self.now)
+        self.pool.record_lateness(
+            replica, (self.now - attempt.sent_at) / max(attempt.predicted_ms, 50.0), self.now
+        )
         if replica.last_response_at < attempt.sent_at:
             self._probe(replica)
             if replica.probed_at < self.now - HEDGE_MIN_MS:
                 self.pool.mark_suspect(replica, self.now)
-        if number != len(request.attempts) - 1 or self.hedge_budget < 1.0 or len(self.pool.serving) <= number + 1:
+        if (
+            number != len(request.attempts) - 1
+            or self.hedge_budget < 1.0
+            or len(self.pool.serving) <= number + 1
+        ):
             return  # no retry storm: few requests are tried twice; with nowhere else to go, late is better
         choice = self._choose(request) if request.settings.second_copies else None
         if choice is not None:
             left = request.arrived_at + request.objective_ms - self.now
-            if choice[2] * self.pool.late_factor < self.full_wait_ms and self.pool.predict_first_token(*choice[2:]) < left:
+            if (
+                choice[2] * self.pool.late_factor < self.full_wait_ms
+                and self.pool.predict_first_token(*choice[2:]) < left
+            ):
                 self.hedge_budget -= 1.0
                 self._send(request, *choice)
         elif not request.settings.second_copies and request.settings.cancelling and request.may_refuse():
@@ -737,7 +915,9 @@
         attempt.replica.running_streams += attempt.first_token_ms < 0.0
         attempt.first_token_ms = self.now - attempt.sent_at
         self._mark_lost(attempt.replica, attempt.sent_at - OVERTAKEN_MS)
-        self.pool.record_lateness(attempt.replica, attempt.first_token_ms / max(attempt.predicted_ms, 100.0), self.now)
+        self.pool.record_lateness(
+            attempt.replica, attempt.first_token_ms / max(attempt.predicted_ms, 100.0), self.now
+        )
         if not (request.started or self.pool.is_cold(attempt.replica, self.now)):
             self.pool.capacity.count_start(attempt.replica.kind)
         request.started = True
@@ -763,7 +943,10 @@
         if outcome is i.Outcome.SERVED:
             self.pool.mark_alive(replica, now)
             if attempt.first_token_ms >= 0.0:
-                spent, usual = now - attempt.sent_at - attempt.first_token_ms, request.class_stats.mean_answer_ms
+                spent, usual = (
+                    now - attempt.sent_at - attempt.first_token_ms,
+                    request.class_stats.mean_answer_ms,
+                )
                 replica.decode_factor += 2.0 * MEAN_WEIGHT * (min(spent / usual, 4.0) - replica.decode_factor)
                 request.class_stats.mean_answer_ms += MEAN_WEIGHT * (spent - usual)
             self.pool.record_prefill(request, attempt, event.kept_tokens)
@@ -783,7 +966,10 @@
         elif outcome is i.Outcome.UNREADABLE:
             # Such answers come from any replica equally: left out for one, it only sends its work to others.
             self.pool.mark_alive(replica, now)
-        elif outcome not in (i.Outcome.CANCELLED, i.Outcome.MOOT) and replica.last_response_at < attempt.sent_at:
+        elif (
+            outcome not in (i.Outcome.CANCELLED, i.Outcome.MOOT)
+            and replica.last_response_at < attempt.sent_at
+        ):
             self.pool.mark_suspect(replica, now)
         if event.report is not None:
             self.pool.record_report(replica, event.report, 0.0, now)
@@ -822,7 +1008,11 @@
             if entitlement is not None:
                 entitlement.in_flight -= 1
                 slice_rate, pool = self._baseline_rate(request) / self.settings.nodes, self.pool
-                seconds = (request.class_stats.mean_answer_ms + self.mean_objective_ms) * slice_rate / pool.mean_request_tokens
+                seconds = (
+                    (request.class_stats.mean_answer_ms + self.mean_objective_ms)
+                    * slice_rate
+                    / pool.mean_request_tokens
+                )
                 entitlement.settle(self.now, slice_rate, seconds, request.tier < 2)
         if not request.has_open_attempt():
             self.requests.pop(request.id, None)
--- a/spoolbarrow/serve.py
+++ b/spoolbarrow/serve.py
@@ -13,7 +13,7 @@
 from spoolbarrow import config
 from spoolbarrow.net.host import Host
 from spoolbarrow.net.inbound import Inbound
-from spoolbarrow.net.log import log, log_problem, default_log
+from spoolbarrow.net.log import default_log, log, log_problem
 from spoolbarrow.reload import DescriptorLimit, Reloader, operators
 
 if TYPE_CHECKING:
--- a/spoolbarrow/sessions/part.py
+++ b/spoolbarrow/sessions/part.py
@@ -15,11 +15,11 @@
 
 from spoolbarrow.errors import Problem
 from spoolbarrow.fleet.documents import MAX_BODY_BYTES
-from spoolbarrow.sessions import cells, turn_counts, model, router_shares, session_table
-from spoolbarrow.sessions.turn_counts import SCALE, Evidence
-from spoolbarrow.sessions.reservations import ReservationBook
-from spoolbarrow.sessions.model import Prediction, Predictor
+from spoolbarrow.sessions import cells, model, router_shares, session_table, turn_counts
 from spoolbarrow.sessions.cache_retention import TELLS, CacheRetention
+from spoolbarrow.sessions.model import Prediction, Predictor
+from spoolbarrow.sessions.reservations import ReservationBook
+from spoolbarrow.sessions.turn_counts import SCALE, Evidence
 
 SWEEP_MS = 60_000.0  # every session is looked at so often: who is still away is told, who has gone forgotten
 LEAST_CHANCE = 0.05  # below it nothing is reserved
@@ -140,7 +140,9 @@
                 found = len(self.engines)
                 self.engines.append(engine)
             else:
-                return session_table.NO_HOME  # more engines than a fleet has: nothing is kept in mind of these
+                return (
+                    session_table.NO_HOME
+                )  # more engines than a fleet has: nothing is kept in mind of these
             self.numbers[engine] = found
         return found
 
@@ -169,7 +171,9 @@
 
     # --- sessions
 
-    def request_arrived(self, now: float, key: int, cls: int, tenant: int, prompt: int, shared: int) -> CacheHint:
+    def request_arrived(
+        self, now: float, key: int, cls: int, tenant: int, prompt: int, shared: int
+    ) -> CacheHint:
         """A request of a session came, `key` of 64 bits, 0: of none; where its prompt lies."""
         t = self.table
         if not key:
--- a/spoolbarrow/shadow/copier.py
+++ b/spoolbarrow/shadow/copier.py
@@ -22,12 +22,12 @@
 from spoolbarrow import interface as i
 from spoolbarrow.config import Address, CannotWrite, Config, ConfigError, parse_address
 from spoolbarrow.net import http1
-from spoolbarrow.net.endpoint_client import UNPROCESSED_HEADER, EVENT_STREAM_TYPE
+from spoolbarrow.net.endpoint_client import EVENT_STREAM_TYPE, UNPROCESSED_HEADER
 from spoolbarrow.net.host import Host
 from spoolbarrow.net.load_report import LOAD_HEADER, parse_load
 from spoolbarrow.net.log import log, log_exception
-from spoolbarrow.net.request import Attempt, Request
 from spoolbarrow.net.observers import Observer
+from spoolbarrow.net.request import Attempt, Request
 from spoolbarrow.operator import ShadowTable, index_of
 from spoolbarrow.shadow import decide
 from spoolbarrow.shadow.reading import Reading
@@ -311,7 +311,9 @@
                     raise Moot(f"answered {parser.status}")  # its client's fault, not the candidate's
                 full = parser.status in (503, 504) and parser.fields.get(UNPROCESSED_HEADER) == b"1"
                 raise Failed("turned away" if full else f"answered {parser.status}")
-            if parser.head_complete and not parser.fields.get(b"content-type", b"").lower().startswith(EVENT_STREAM_TYPE):
+            if parser.head_complete and not parser.fields.get(b"content-type", b"").lower().startswith(
+                EVENT_STREAM_TYPE
+            ):
                 raise Failed("no stream of events")
             if parts:
                 now = self._host.now()
--- a/spoolbarrow/subsystems.py
+++ b/spoolbarrow/subsystems.py
@@ -24,9 +24,9 @@
     from spoolbarrow.door.keeper import Keeper
     from spoolbarrow.flows import exporter
     from spoolbarrow.flows.exporter import Exporter
-    from spoolbarrow.net.version_monitor import VersionMonitor, ConfigFiles
     from spoolbarrow.net.failover import ZoneMonitor
     from spoolbarrow.net.store_follower import StoreFollower
+    from spoolbarrow.net.version_monitor import ConfigFiles, VersionMonitor
     from spoolbarrow.operator import FailoverTable, FleetTable, Operator
     from spoolbarrow.shadow import copier
     from spoolbarrow.shadow.copier import Copier
@@ -83,7 +83,9 @@
 class Subsystems:
     """All subsystems of one router."""
 
-    def __init__(self, host: Host, inbound: Inbound, operations: Coordinator | None, files: ConfigFiles) -> None:
+    def __init__(
+        self, host: Host, inbound: Inbound, operations: Coordinator | None, files: ConfigFiles
+    ) -> None:
         self._host, self._inbound, self._operations, self._files = host, inbound, operations, files
         self._operator: Operator | None = None
         self._flows = Switch(self._start_flows, lambda one: gevent.spawn(one.close))  # collectors may be slow
--- a/tests/test_accepting.py
+++ b/tests/test_accepting.py
@@ -16,7 +16,7 @@
 from spoolbarrow.flows.collector import Listener
 from spoolbarrow.net import accepting, http1
 from spoolbarrow.operator import Collector
-from tests.router_harness import LISTEN, ask, serve_all, running_router, wait_until
+from tests.router_harness import LISTEN, ask, running_router, serve_all, wait_until
 
 ROOT = Path(spoolbarrow.__file__).parent
 FOR_A_MOMENT = ("ECONNABORTED", "EINTR", "EPROTO", "ENETDOWN", "EHOSTUNREACH", "EMFILE", "ENFILE", "ENOBUFS")
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -23,17 +23,17 @@
 from spoolbarrow import interface as i
 from spoolbarrow.admin import calls, control
 from spoolbarrow.admin.calls import Call, Verb
+from spoolbarrow.admin.commands import OperatorCommands
 from spoolbarrow.admin.control import Control
 from spoolbarrow.admin.metrics import Metrics
-from spoolbarrow.admin.commands import OperatorCommands
 from spoolbarrow.config import HostList
 from spoolbarrow.net import destinations, drain_schedule, drainer
 from spoolbarrow.net.drain_log import DrainCounts
 from spoolbarrow.net.http1 import Message, ResponseParser
 from tests.router_harness import (
     EVENTS,
-    STREAM_HEAD,
     LISTEN,
+    STREAM_HEAD,
     UNPROCESSED_503,
     Client,
     Script,
@@ -42,8 +42,8 @@
     endpoint_entry,
     free_port,
     make_config,
-    serve_all,
     running_router,
+    serve_all,
     wait_until,
 )
 
@@ -57,7 +57,9 @@
     """A router with an operators' listener: (stage, control, call, engines...)."""
     with running_router(*scripts, **changes) as (scene, *engines):
         address = (LISTEN, free_port())
-        listener = Control(scene.host, scene.inbound, OperatorCommands(scene.host, scene.inbound), lambda: None)
+        listener = Control(
+            scene.host, scene.inbound, OperatorCommands(scene.host, scene.inbound), lambda: None
+        )
         listener.move(control.listen(address))
 
         def call(path: str, method: str = "POST") -> ResponseParser:
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -65,7 +65,9 @@
         assert isinstance(ask(router, name, cls=cls), Send)
     router.handle(3.0, [StreamStarted(n, 0, "a", 1.0) for n in ("a1", "a2", "a3")])
     router.pool.late_factor = 1.0
-    router.handle(4.0, [ProbeAnswered("a", Outcome.SERVED, 1.0, Report(0.1, 12.0 * router.full_wait_ms * 3.5))])
+    router.handle(
+        4.0, [ProbeAnswered("a", Outcome.SERVED, 1.0, Report(0.1, 12.0 * router.full_wait_ms * 3.5))]
+    )
     assert isinstance(ask(router, "again", now=5.0, cls=0, tenant=0), Refuse)
 
 
--- a/tests/test_agree.py
+++ b/tests/test_agree.py
@@ -11,7 +11,15 @@
 from hypothesis import strategies as st
 
 from spoolbarrow import config, operator
-from spoolbarrow.agree import COMPARED_ITEMS, VersionedItem, VersionTracker, Version, find_differences, digest, files_digest
+from spoolbarrow.agree import (
+    COMPARED_ITEMS,
+    Version,
+    VersionedItem,
+    VersionTracker,
+    digest,
+    files_digest,
+    find_differences,
+)
 from spoolbarrow.net.version_monitor import file_digests
 from tests.router_harness import make_config
 
@@ -24,16 +32,28 @@
 
 def test_a_number_alone_is_told_and_is_no_contradiction() -> None:
     ledger = VersionTracker()
-    assert ledger.record(1.0, VersionedItem.LIST, 4, "x") and not ledger.record(2.0, VersionedItem.LIST, 4, "x")
-    assert ledger.record(3.0, VersionedItem.LIST, 5, "x") and ledger.versions[VersionedItem.LIST] == Version(5, "x", 1.0)
-    assert ledger.record(4.0, VersionedItem.LIST, 6, "y") and ledger.versions[VersionedItem.LIST].since_ms == 4.0
-    told = {"r0": {VersionedItem.LIST: Version(5, "x", 1.0)}, "r1": {VersionedItem.LIST: Version(6, "x", 2.0)}}
+    assert ledger.record(1.0, VersionedItem.LIST, 4, "x") and not ledger.record(
+        2.0, VersionedItem.LIST, 4, "x"
+    )
+    assert ledger.record(3.0, VersionedItem.LIST, 5, "x") and ledger.versions[VersionedItem.LIST] == Version(
+        5, "x", 1.0
+    )
+    assert (
+        ledger.record(4.0, VersionedItem.LIST, 6, "y") and ledger.versions[VersionedItem.LIST].since_ms == 4.0
+    )
+    told = {
+        "r0": {VersionedItem.LIST: Version(5, "x", 1.0)},
+        "r1": {VersionedItem.LIST: Version(6, "x", 2.0)},
+    }
     assert find_differences(told) == []
 
 
 def test_routers_contradict_since_the_second_version_came_into_force() -> None:
     def of(contents: str, number: int, since: float) -> dict[VersionedItem, Version]:
-        return {VersionedItem.SETTINGS: Version(number, contents, since), VersionedItem.DRAIN: Version(0, contents, since)}
+        return {
+            VersionedItem.SETTINGS: Version(number, contents, since),
+            VersionedItem.DRAIN: Version(0, contents, since),
+        }
 
     told = {"r0": of("old", 1, 5.0), "r3": of("old", 1, 8.0)}
     told |= {"r1": of("new", 2, 90.0), "r2": of("new", 2, 70.0)}
@@ -58,8 +78,13 @@
     assert ledger.refusal_reason(1, CONTENTS) == ""
     for item, contents in CONTENTS.items():
         ledger.record(1.0, item, 3, contents)
-    assert ledger.refusal_reason(3, CONTENTS) == "" and ledger.refusal_reason(4, {**CONTENTS, VersionedItem.SHARES: "u"}) == ""
-    assert ledger.refusal_reason(3, {**CONTENTS, VersionedItem.SHARES: "u"}).startswith("agree.revision: 3 is acted on")
+    assert (
+        ledger.refusal_reason(3, CONTENTS) == ""
+        and ledger.refusal_reason(4, {**CONTENTS, VersionedItem.SHARES: "u"}) == ""
+    )
+    assert ledger.refusal_reason(3, {**CONTENTS, VersionedItem.SHARES: "u"}).startswith(
+        "agree.revision: 3 is acted on"
+    )
     assert ledger.refusal_reason(2, CONTENTS).startswith("agree.revision: 2 is older than 3")
 
 
@@ -76,7 +101,9 @@
     assert {item for item, contents in of().items() if more[item] != contents} == {VersionedItem.SHARES}
     slower = of(TickMs=7.0)
     assert {item for item, contents in of().items() if slower[item] != contents} == {VersionedItem.SETTINGS}
-    assert files_digest(of()) != files_digest(slower) != files_digest(more) and set(COMPARED_ITEMS) > set(of())
+    assert files_digest(of()) != files_digest(slower) != files_digest(more) and set(COMPARED_ITEMS) > set(
+        of()
+    )
 
 
 @pytest.mark.parametrize(
--- a/tests/test_answer_races.py
+++ b/tests/test_answer_races.py
@@ -28,8 +28,8 @@
     chunk,
     endpoint_entry,
     make_config,
-    serve_all,
     running_router,
+    serve_all,
     wait_until,
 )
 from tests.test_client_disconnects import DISCONNECTS
@@ -66,7 +66,9 @@
         settings = make_config([])["settings"]
         settings["Limits"]["Cancelling"] = cancelling
         monkeypatch.setattr(http1, "connect", with_small_buffer)
-        scene = RouterHarness(make_config([endpoint_entry("e0", machine.getsockname()[1])], settings=settings))
+        scene = RouterHarness(
+            make_config([endpoint_entry("e0", machine.getsockname()[1])], settings=settings)
+        )
         try:
             yield scene, machine
         finally:
@@ -414,7 +416,10 @@
 
 
 @pytest.mark.parametrize("end", [socket.socket.close, reset])
-@pytest.mark.parametrize("cut", [len(STREAM_HEAD), len(STREAM_HEAD) + 1, len(STREAM_HEAD) + 9, len(STREAM_HEAD + chunk(EVENTS[0])) - 3])
+@pytest.mark.parametrize(
+    "cut",
+    [len(STREAM_HEAD), len(STREAM_HEAD) + 1, len(STREAM_HEAD) + 9, len(STREAM_HEAD + chunk(EVENTS[0])) - 3],
+)
 @pytest.mark.parametrize(
     "framing", [chunk, lambda event: b"".join(chunk(event[n : n + 1]) for n in range(len(event)))]
 )
@@ -436,7 +441,11 @@
         client = scene.client().send(ask())
         wait_until(lambda: not scripts)
         (request,) = scene.host._requests.values()
-        wait_until(lambda: request.attempts[0].answer_reader and not request.attempts[0].answer_reader.connection.stale())
+        wait_until(
+            lambda: (
+                request.attempts[0].answer_reader and not request.attempts[0].answer_reader.connection.stale()
+            )
+        )
         assert not scene.events_of(i.StreamStarted)
         go.set()
         answer = client.answer()
--- a/tests/test_arrival.py
+++ b/tests/test_arrival.py
@@ -12,7 +12,7 @@
 import pytest
 
 from spoolbarrow import interface as i
-from tests.router_harness import ask, serve_all, running_router, wait_until
+from tests.router_harness import ask, running_router, serve_all, wait_until
 
 HELD_S = 0.4  # for so long no greenlet runs
 SLACK_MS = 150.0
--- a/tests/test_client_disconnects.py
+++ b/tests/test_client_disconnects.py
@@ -25,7 +25,18 @@
 from spoolbarrow.net import client as client_connection
 from spoolbarrow.net import http1
 from spoolbarrow.net.http1 import Message
-from tests.router_harness import LISTEN, UNPROCESSED_503, Client, RouterHarness, ask, endpoint_entry, make_config, serve_all, running_router, wait_until
+from tests.router_harness import (
+    LISTEN,
+    UNPROCESSED_503,
+    Client,
+    RouterHarness,
+    ask,
+    endpoint_entry,
+    make_config,
+    running_router,
+    serve_all,
+    wait_until,
+)
 from tests.test_drain import asked, router
 
 MANY = 8  # requests at once
--- a/tests/test_client_races.py
+++ b/tests/test_client_races.py
@@ -18,7 +18,16 @@
 from spoolbarrow.net.client import ClientConnection as InboundClient
 from spoolbarrow.net.http1 import Message
 from spoolbarrow.net.request import Attempt
-from tests.router_harness import EVENTS, STREAM_HEAD, Client, ask, chunk, serve_all, running_router, wait_until
+from tests.router_harness import (
+    EVENTS,
+    STREAM_HEAD,
+    Client,
+    ask,
+    chunk,
+    running_router,
+    serve_all,
+    wait_until,
+)
 from tests.test_client_disconnects import DISCONNECTS
 
 END = b"0\r\n\r\n"
@@ -252,7 +261,9 @@
             wait_until(inside.has_unread)
         else:
             read_as_its_reader_ends(inside, client, raw, inside.has_unread)
-        scene.host.hand_over = lambda underway: connection_handover.send_stream(scene.host, underway, newer.take)
+        scene.host.hand_over = lambda underway: connection_handover.send_stream(
+            scene.host, underway, newer.take
+        )
         go.set()
         wait_until(lambda: newer.taken and inside not in scene.inbound._clients)
         with newer.taken[0] as passed:
--- a/tests/test_deadlines.py
+++ b/tests/test_deadlines.py
@@ -16,8 +16,17 @@
 from spoolbarrow import interface as i
 from spoolbarrow.net import http1, tcpinfo
 from spoolbarrow.net.http1 import RequestParser
-from tests.router_harness import RouterHarness, ask, endpoint_entry, make_config, serve_all, running_router, run_ready, wait_until
-from tests.test_answer_races import LONG_BODY, outcomes, read_rest, silent, window_full, unread_engine
+from tests.router_harness import (
+    RouterHarness,
+    ask,
+    endpoint_entry,
+    make_config,
+    run_ready,
+    running_router,
+    serve_all,
+    wait_until,
+)
+from tests.test_answer_races import LONG_BODY, outcomes, read_rest, silent, unread_engine, window_full
 from tests.test_client_disconnects import DISCONNECTS
 
 SMALL = 4096  # bytes of a socket's buffer
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -23,7 +23,18 @@
 from spoolbarrow.net import connection_pool, http1
 from spoolbarrow.net.failover import ZoneMonitor
 from spoolbarrow.operator import FailoverTable
-from tests.router_harness import STREAM_HEAD, Client, ScriptedServer, ask, chunk, endpoint_entry, make_config, serve_all, running_router, wait_until
+from tests.router_harness import (
+    STREAM_HEAD,
+    Client,
+    ScriptedServer,
+    ask,
+    chunk,
+    endpoint_entry,
+    make_config,
+    running_router,
+    serve_all,
+    wait_until,
+)
 
 MANY = 2000  # clients that say nothing to the point
 TOLD_S = 3.0  # after connecting, each of them is told or closed
@@ -247,7 +258,10 @@
     assert (few.max_inbound, few.max_outbound) == (made.max_inbound, made.max_outbound) == (112, 112)
     assert many.max_inbound + many.max_outbound == 200 - 40 - config.RESERVED_DESCRIPTORS
     called = config.parse(json.dumps(make_config([], 1, limits={"sockets": 256}, control="h:1")).encode())
-    assert called.max_inbound + called.max_outbound == 256 - config.RESERVED_DESCRIPTORS - config.CONTROL_DESCRIPTORS
+    assert (
+        called.max_inbound + called.max_outbound
+        == 256 - config.RESERVED_DESCRIPTORS - config.CONTROL_DESCRIPTORS
+    )
 
 
 def test_two_processes_of_a_router_hold_together_what_one_may(tmp_path: Path) -> None:
@@ -257,7 +271,12 @@
     try:
         newer.refresh_peers()
         fitted = newer.divide_limits(made)
-        own = fitted.max_inbound + fitted.max_outbound + config.RESERVED_DESCRIPTORS + config.CONTROL_DESCRIPTORS
+        own = (
+            fitted.max_inbound
+            + fitted.max_outbound
+            + config.RESERVED_DESCRIPTORS
+            + config.CONTROL_DESCRIPTORS
+        )
         assert newer.older and own == 128 and fitted.max_inbound == 38
     finally:
         newer.close()
--- a/tests/test_discovery_timing.py
+++ b/tests/test_discovery_timing.py
@@ -32,8 +32,8 @@
 from tests.router_harness import (
     STREAM_HEAD,
     UNPROCESSED_503,
-    ScriptedServer,
     RouterHarness,
+    ScriptedServer,
     ask,
     chunk,
     endpoint_entry,
@@ -120,7 +120,9 @@
         self.kinds: list[i.ListKind] = []
         self.heard = 0.0
         self.party = ScriptedServer(self.answer)
-        raw = make_config([endpoint_entry("e0", 1), endpoint_entry("e1", 2)], self.party.port, options=options)
+        raw = make_config(
+            [endpoint_entry("e0", 1), endpoint_entry("e1", 2)], self.party.port, options=options
+        )
         raw["settings"]["Discovery"] = mode
         self.config = config.parse(msgspec.json.encode(raw))
         self.set = DestinationSet(self.config, self.tell, lambda name: None, now_unix_ms)
@@ -265,7 +267,9 @@
 
     thread = threading.Thread(target=serve, daemon=True)
     thread.start()
-    raw = make_config([endpoint_entry("e0", 1)], listener.getsockname()[1], options={"watch_silence_ms": 700.0})
+    raw = make_config(
+        [endpoint_entry("e0", 1)], listener.getsockname()[1], options={"watch_silence_ms": 700.0}
+    )
     told: list[i.ReplicaList] = []
     made = DestinationSet(config.parse(msgspec.json.encode(raw)), told.append, lambda name: None, now_unix_ms)
     try:
@@ -473,7 +477,9 @@
 def pushed(agent: Agent, **changes: Any) -> Iterator[tuple[RouterHarness, ScriptedServer]]:
     """A router with a pushed list; e0, which nobody listens at, and e1 are what it knows."""
     engine = ScriptedServer(serve_all)
-    raw = make_config([endpoint_entry("e0", 1), endpoint_entry("e1", engine.port)], agent.party.port, **changes)
+    raw = make_config(
+        [endpoint_entry("e0", 1), endpoint_entry("e1", engine.port)], agent.party.port, **changes
+    )
     raw["settings"]["Discovery"] = "automatic"
     made = RouterHarness(raw)
     try:
@@ -525,7 +531,9 @@
         wait_until(lambda: scene.host.destinations.seen()[0] == 9)
         agent.out = True
         asked = agent.asked
-        wait_until(lambda: agent.asked > asked + 3)  # the silence is noticed, and the agent asked again and again
+        wait_until(
+            lambda: agent.asked > asked + 3
+        )  # the silence is noticed, and the agent asked again and again
         gevent.sleep(4.0)
         has(agent, 10, engine.port, "e0")
         agent.out, back = False, time.monotonic()
--- a/tests/test_door.py
+++ b/tests/test_door.py
@@ -516,7 +516,10 @@
 
 
 def fill(made: Gate, now: float, fullness: float) -> None:
-    made.router.pool.zone_updated_at[0], made.router.pool.zone_load_ms[0] = now, fullness * made.router.full_wait_ms
+    made.router.pool.zone_updated_at[0], made.router.pool.zone_load_ms[0] = (
+        now,
+        fullness * made.router.full_wait_ms,
+    )
 
 
 def test_the_gate_passes_on_what_is_let_in_and_gives_refusals_their_time() -> None:
--- a/tests/test_door_serving.py
+++ b/tests/test_door_serving.py
@@ -19,14 +19,17 @@
 from spoolbarrow.door.keeper import TICKET, Keeper, Prepared
 from spoolbarrow.interface import RequestArrived
 from spoolbarrow.operator import DoorTable
-from tests.router_harness import ask, make_config, serve_all, running_router, wait_until
+from tests.router_harness import ask, make_config, running_router, serve_all, wait_until
 from tests.test_cli import write_operator_file
 
 
 def full(scene: Any, gate: Gate, fullness: float) -> None:
     """As if probes had told so, from now on."""
     pool, router = gate.router.pool, gate.router
-    pool.zone_updated_at[0], pool.zone_load_ms[0] = scene.host.now() + 60_000.0, fullness * router.full_wait_ms
+    pool.zone_updated_at[0], pool.zone_load_ms[0] = (
+        scene.host.now() + 60_000.0,
+        fullness * router.full_wait_ms,
+    )
 
 
 @contextmanager
@@ -73,7 +76,10 @@
 
 
 def test_a_refusal_shows_a_ticket_that_lets_its_client_in_at_its_time() -> None:
-    with running_router(serve_all) as (scene, _), guarded(scene, tickets=True, promised_share=1.0) as (keeper, gate):
+    with (
+        running_router(serve_all) as (scene, _),
+        guarded(scene, tickets=True, promised_share=1.0) as (keeper, gate),
+    ):
         gate.door.capacity.rate = 1e6
         full(scene, gate, 1e6)  # hopeless: the decisions refuse at once
         refused = scene.client().send(ask(X_Correlation_Id="r1", X_Session_Key="0")).answer()
--- a/tests/test_drain.py
+++ b/tests/test_drain.py
@@ -35,8 +35,8 @@
 from spoolbarrow.net.request import Attempt
 from tests.router_harness import (
     EVENTS,
-    STREAM_HEAD,
     LISTEN,
+    STREAM_HEAD,
     Client,
     ScriptedServer,
     ask,
@@ -44,8 +44,8 @@
     endpoint_entry,
     free_port,
     make_config,
-    serve_all,
     running_router,
+    serve_all,
     wait_until,
 )
 from tests.test_handover import service
@@ -424,9 +424,14 @@
     ends = (told.at(step) for step in (DrainStep.END_ANSWERS, DrainStep.REFUSE, DrainStep.ANSWER_ALL))
     keep, refuse, answer = ends
     move = told.at(DrainStep.MOVE_STREAMS) if resume else times[4]
-    assert (told.accept_ms, keep, refuse, told.handover_ms, move, answer, told.retry_after_ms) == (*times, 500)
+    assert (told.accept_ms, keep, refuse, told.handover_ms, move, answer, told.retry_after_ms) == (
+        *times,
+        500,
+    )
     assert told.at(DrainStep.CLOSE_IDLE) == (NEVER_MS if succeeded else keep)
-    assert told.at(DrainStep.REFUSE_HALF_READ) == answer and (resume or told.at(DrainStep.MOVE_STREAMS) == NEVER_MS)
+    assert told.at(DrainStep.REFUSE_HALF_READ) == answer and (
+        resume or told.at(DrainStep.MOVE_STREAMS) == NEVER_MS
+    )
     assert told.at(DrainStep.CLOSE_ALL) == max(told.accept_ms, min(longest, 3000.0) + 700.0)
 
 
@@ -641,7 +646,10 @@
         step.wait()
         sock.sendall(chunk(EVENTS[1]) + END)
 
-    with running_router(in_two, options={"drain_accept_ms": NEVER, "drain_move_ms": NEVER}) as (scene, engine):
+    with running_router(in_two, options={"drain_accept_ms": NEVER, "drain_move_ms": NEVER}) as (
+        scene,
+        engine,
+    ):
         idle, busy = scene.client().send(b"GET /up HTTP/1.1\r\n\r\n"), scene.client().send(ask())
         idle.answer()
         wait_until(lambda: engine.requests)
@@ -670,7 +678,9 @@
         draining = gevent.spawn(scene.inbound.drain, pass_on)
         assert idle.ended()
         wait_until(lambda: len(scene.inbound._clients) == 1)
-        assert len(met) == 1 and not scene.inbound.drainer.state.reached(DrainStep.CLOSE_IDLE, scene.host.now())
+        assert len(met) == 1 and not scene.inbound.drainer.state.reached(
+            DrainStep.CLOSE_IDLE, scene.host.now()
+        )
         leaving.sock.close()
         draining.join()
 
--- a/tests/test_drain_state.py
+++ b/tests/test_drain_state.py
@@ -17,9 +17,9 @@
 from spoolbarrow.config import Config, parse
 from spoolbarrow.net import drain_log, drainer
 from spoolbarrow.net.drain_schedule import (
+    ALL_STEPS_REACHED_MS,
     CALL_CLOSE_ALL_MS,
     CALL_REFUSE_MS,
-    ALL_STEPS_REACHED_MS,
     DrainCause,
     DrainSchedule,
     DrainState,
@@ -28,7 +28,16 @@
     shutdown_schedule,
 )
 from spoolbarrow.net.http1 import Message
-from tests.router_harness import EVENTS, STREAM_HEAD, ask, chunk, make_config, serve_all, running_router, wait_until
+from tests.router_harness import (
+    EVENTS,
+    STREAM_HEAD,
+    ask,
+    chunk,
+    make_config,
+    running_router,
+    serve_all,
+    wait_until,
+)
 
 NEVER = 600_000.0
 HELD_MS, RECENT_MS, LATE_CALL_MS = 4000.0, 2000.0, 1000.0  # the operators' terms
@@ -283,7 +292,11 @@
         scene.inbound.begin_operator_drain()
         scene.inbound.drainer.begin(DrainCause.SIGTERM, shutdown_schedule(scene.config, False))
         scene.inbound.activate()
-        assert not scene.inbound.ready() and not scene.inbound.can_serve() and not scene.inbound.operator_drained()
+        assert (
+            not scene.inbound.ready()
+            and not scene.inbound.can_serve()
+            and not scene.inbound.operator_drained()
+        )
 
 
 @pytest.mark.parametrize("at_start", [True, False])
--- a/tests/test_endpoint_restarts.py
+++ b/tests/test_endpoint_restarts.py
@@ -16,7 +16,7 @@
 from spoolbarrow import interface as i
 from spoolbarrow.config import HostList, ListEntry
 from spoolbarrow.net import http1
-from tests.router_harness import ask, endpoint_entry, make_config, serve_all, running_router, wait_until
+from tests.router_harness import ask, endpoint_entry, make_config, running_router, serve_all, wait_until
 
 COLD = {"ColdFrom": 0.1, "ColdMs": 60_000.0, "TipAfterMs": 2000.0, "OverloadFactor": 2.0}
 
--- a/tests/test_event_delay.py
+++ b/tests/test_event_delay.py
@@ -22,8 +22,8 @@
 from spoolbarrow.net.host import AT_ONCE
 from spoolbarrow.net.http1 import READS_A_TURN, Message, ResponseParser
 from spoolbarrow.net.log import Log
-from spoolbarrow.net.request import Attempt, Request
 from spoolbarrow.net.observers import Observer, OpenConnection
+from spoolbarrow.net.request import Attempt, Request
 from tests.router_harness import STREAM_HEAD, Client, ask, chunk, running_router, wait_until
 
 
@@ -85,7 +85,9 @@
         wait_until(lambda: len(engines.socks) == many + 1)
         flood = gevent.spawn(engines.write, "slow", chunk(event("x" * 60_000)) * 1000)  # 60 MB
         # All buffers on the way are full: the router waits for the client, and so does the engine.
-        wait_until(lambda: any(client.writing_since for client in scene.inbound._clients) and not flood.ready())
+        wait_until(
+            lambda: any(client.writing_since for client in scene.inbound._clients) and not flood.ready()
+        )
         for k, name in itertools.product(range(10), readers):
             told = event(f"{name}-{k}")
             engines.write(name, chunk(told))  # the last event of every other stream has arrived
@@ -189,7 +191,10 @@
         # Only the first event waits to be whole: until then another attempt may still serve the request.
         (STREAM_HEAD, [(b"5\r\ndata:", b""), (b"\r\n6\r\n one\n\n", b"data: one\n\n")]),
         (STREAM_HEAD, [(b"b\r\ndata: one\n\n", b"data: one\n\n"), (b"\r\n5\r\ndata:", b"data:")]),
-        (STREAM_HEAD, [(b"b\r\ndata: one\n\n\r", b"data: one\n\n"), (b"\nb\r\ndata: two\n\n", b"data: two\n\n")]),
+        (
+            STREAM_HEAD,
+            [(b"b\r\ndata: one\n\n\r", b"data: one\n\n"), (b"\nb\r\ndata: two\n\n", b"data: two\n\n")],
+        ),
         (STREAM_HEAD, [(b"b;x=y\r\ndata: one\n\n\r\nb", b"data: one\n\n"), (b"\r\nd", b"d")]),
         (LENGTH, [(b"data: one\n\n", b"data: one\n\n"), (b"data: tw", b"data: tw"), (b"o\n\n", b"o\n\n")]),
     ],
--- a/tests/test_failover.py
+++ b/tests/test_failover.py
@@ -11,7 +11,14 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from spoolbarrow.failover import Evidence, EndpointOutcome, Settings, ZoneState, ZoneHealthTracker, zones_to_mask
+from spoolbarrow.failover import (
+    EndpointOutcome,
+    Evidence,
+    Settings,
+    ZoneHealthTracker,
+    ZoneState,
+    zones_to_mask,
+)
 from spoolbarrow.lab import zoned
 from spoolbarrow.lab.scenario import ScenarioError, convert
 from spoolbarrow.lab.simulate import Simulation
@@ -25,7 +32,9 @@
     return {f"{z}{n}": (z, z not in gone) for z, count in ZONES.items() for n in range(count)}
 
 
-def outcomes(now: float, failing: dict[str, int], wait: float = 20.0, slow: str = "") -> tuple[EndpointOutcome, ...]:
+def outcomes(
+    now: float, failing: dict[str, int], wait: float = 20.0, slow: str = ""
+) -> tuple[EndpointOutcome, ...]:
     """Every endpoint heard from at `now`; the first `failing[zone]` of a zone fail."""
     return tuple(
         EndpointOutcome(f"{z}{n}", now, n >= failing.get(z, 0), 10 * wait if z == slow else wait)
@@ -128,7 +137,9 @@
         asked = verdicts.endpoints_to_check(now)
         assert len(asked) <= SETTINGS.check_most and all(name[0] == "a" for name in asked)
         named |= set(asked)
-        verdicts.update(now, Evidence(listed(), tuple(EndpointOutcome(n, now, answers, 900.0) for n in asked)))
+        verdicts.update(
+            now, Evidence(listed(), tuple(EndpointOutcome(n, now, answers, 900.0) for n in asked))
+        )
         now += 100.0
     assert len(named) == ZONES["a"]  # in turn
     assert (ZoneState.FAILED in seen) is not answers
@@ -160,7 +171,11 @@
         verdicts.update(now, Evidence(listed(), tuple(EndpointOutcome(n, now, n[0] != "c") for n in named)))
         now += 100.0
     told = verdicts.update(now, Evidence(listed()))
-    assert {z: told[z].state for z in ZONES} == {"a": ZoneState.HEALTHY, "b": ZoneState.HEALTHY, "c": ZoneState.FAILED}
+    assert {z: told[z].state for z in ZONES} == {
+        "a": ZoneState.HEALTHY,
+        "b": ZoneState.HEALTHY,
+        "c": ZoneState.FAILED,
+    }
     quiet = 2 * SETTINGS.check_most * 10000.0 / SETTINGS.window_ms  # of zones a and b
     assert asked <= quiet + SETTINGS.check_most * 10000.0 / SETTINGS.check_ms
 
@@ -224,7 +239,7 @@
     from spoolbarrow import interface as i
     from spoolbarrow.net.failover import ZoneMonitor
     from spoolbarrow.operator import FailoverTable
-    from tests.router_harness import ask, make_config, serve_all, running_router, wait_until
+    from tests.router_harness import ask, make_config, running_router, serve_all, wait_until
 
     two = make_config([])["settings"] | {"Zones": ["a", "b"]}
     with running_router(serve_all, serve_all, serve_all, settings=two) as (scene, near, other, far):
@@ -290,7 +305,7 @@
     from spoolbarrow import interface as i
     from spoolbarrow.net import failover
     from spoolbarrow.operator import FailoverTable
-    from tests.router_harness import serve_all, running_router
+    from tests.router_harness import running_router, serve_all
 
     monkeypatch.setattr(failover, "MAX_OUTCOMES", 1)
     with running_router(serve_all) as (scene, _):
@@ -325,7 +340,10 @@
         at = next(now for now, _, state in changes if state is ZoneState.FAILED) - 4000.0
         checked = 1000.0 + SETTINGS.check_ms
         assert at <= SETTINGS.window_ms + checked + SETTINGS.confirm_ms + 2 * zoned.PERIOD_MS
-        assert [state for _, zone, state in changes if zone == "1"][-1] in (ZoneState.RETURNING, ZoneState.HEALTHY)
+        assert [state for _, zone, state in changes if zone == "1"][-1] in (
+            ZoneState.RETURNING,
+            ZoneState.HEALTHY,
+        )
 
 
 def test_a_trouble_of_a_zone_that_is_none_names_its_key() -> None:
--- a/tests/test_final_answers.py
+++ b/tests/test_final_answers.py
@@ -10,7 +10,7 @@
 from spoolbarrow import interface as i
 from spoolbarrow.net import tcpinfo
 from spoolbarrow.net.http1 import Message
-from tests.router_harness import ask, make_config, serve_all, running_router, wait_until
+from tests.router_harness import ask, make_config, running_router, serve_all, wait_until
 from tests.test_answer_races import outcomes, silent
 from tests.test_deadlines import pass_time
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -16,8 +16,8 @@
 from spoolbarrow import config, operator
 from spoolbarrow.fleet import documents as d
 from spoolbarrow.fleet import lease, shared_document
-from spoolbarrow.fleet.summary_table import MOST_ROUTERS, SummaryTable
 from spoolbarrow.fleet.membership import Membership
+from spoolbarrow.fleet.summary_table import MOST_ROUTERS, SummaryTable
 from spoolbarrow.interface import Tenant
 from spoolbarrow.lab.leases import Broken, play
 from spoolbarrow.net.store_follower import StoreFollower
@@ -41,7 +41,9 @@
     return listed.map(lambda found: [(key, n + 1, text) for n, (key, text) in enumerate(found)])
 
 
-def table(found: list[tuple[str, int, bytes]], now: float = 0.0, into: SummaryTable | None = None) -> SummaryTable:
+def table(
+    found: list[tuple[str, int, bytes]], now: float = 0.0, into: SummaryTable | None = None
+) -> SummaryTable:
     made = SummaryTable("k") if into is None else into
     for key, revision, text in found:
         made.add(now, key, revision, text)
@@ -55,7 +57,9 @@
 ) -> None:
     other = data.draw(st.permutations(found)) + data.draw(st.permutations(found))
     assert table(found).newest() == table(other).newest()
-    first = [(f"{d.EVIDENCE_PREFIX}k/{name}", 0, b"") for name in "abcd"]  # seen before by both: all is news now
+    first = [
+        (f"{d.EVIDENCE_PREFIX}k/{name}", 0, b"") for name in "abcd"
+    ]  # seen before by both: all is news now
     one, two = table(found, 1.0, table(first)), table(other, 1.0, table(first))
     assert one.live_bodies(1.0, AGE) == two.live_bodies(1.0, AGE)
     counted = {key for key, _, _ in found}
@@ -101,7 +105,9 @@
     ],
 )
 def test_a_hostile_summary_is_dropped_and_counted(text: bytes) -> None:
-    made = table([(f"{d.EVIDENCE_PREFIX}k/a", 1, told("a", "x", 1, b"good")), (f"{d.EVIDENCE_PREFIX}k/a", 2, text)])
+    made = table(
+        [(f"{d.EVIDENCE_PREFIX}k/a", 1, told("a", "x", 1, b"good")), (f"{d.EVIDENCE_PREFIX}k/a", 2, text)]
+    )
     assert made.live_bodies(0.0, AGE) == [] and made.dropped == 1
 
 
@@ -163,7 +169,9 @@
     acting.observe(1200.0, lease.ObservedRecord(6, standing(2, 9)))
     assert acting.refused_count == 1 and acting.decision is not None and acting.decision.epoch == 4
     acting.observe(1300.0, lease.ObservedRecord(7))  # garbage: no word
-    assert acting.current(6100.0) is not None and acting.current(6101.0) is None  # no longer, whatever it says
+    assert (
+        acting.current(6100.0) is not None and acting.current(6101.0) is None
+    )  # no longer, whatever it says
 
 
 def shared(key: str, *versions: str) -> shared_document.SharedDocument:
@@ -191,7 +199,9 @@
     names, tenants = {"a": 0, "b": 1, "c": 2}, (Tenant(1.0, 10.0), Tenant(2.0, 0.0), Tenant(3.0, 0.0))
 
     def laid(made: shared_document.SharedDocument, now: float) -> list[Any]:
-        return list(shared_document.overlay_shares(made.effective(now), names, tenants, not made.is_unsettled(now)))
+        return list(
+            shared_document.overlay_shares(made.effective(now), names, tenants, not made.is_unsettled(now))
+        )
 
     wide = json.dumps({"a": {"quota_per_s": 50.0}, "b": {"quota_per_s": 5.0}, "c": {"portion": 9.0}})
     made = shared(d.SHARES_KEY, json.dumps({"a": {"quota_per_s": 20.0}, "nobody": {"portion": 1.0}}), wide)
--- a/tests/test_fleet_pools.py
+++ b/tests/test_fleet_pools.py
@@ -32,8 +32,8 @@
 from spoolbarrow.lab.members import ask
 from spoolbarrow.net import pool_split
 from spoolbarrow.net.http1 import HttpError, Message
-from spoolbarrow.net.request import Attempt, Request
 from spoolbarrow.net.observers import Observers
+from spoolbarrow.net.request import Attempt, Request
 from spoolbarrow.operator import FleetTable, fleet_faults
 from spoolbarrow.pools import sketch
 from spoolbarrow.pools.traffic_stats import TrafficRecorder, decode_summary
@@ -232,7 +232,9 @@
     spans = [{12: (nan, 1.0, 1.0)}, {12: (-5.0, 1.0, 1.0)}, {12: (1e18, 1e18, 1e18)}]
     hostile = [msgspec.msgpack.encode([1, now, now - 60_000.0, [[*cell, span]], {}]) for span in spans]
     right = msgspec.msgpack.encode([1, now, now - 60_000.0, [[*cell, {12: (5.0, 2e4, 8e7)}]], {}])
-    assert decode_summary(right) is not None and not any(map(decode_summary, hostile))  # by their figures, not by their form
+    assert decode_summary(right) is not None and not any(
+        map(decode_summary, hostile)
+    )  # by their figures, not by their form
     bodies = [old.body(now - 86_400_000.0), b"\xff" * 500, *hostile]
     holder = fleet.holder(KIND)
     before, sequence = fleet.decisions(holder), 0
--- a/tests/test_flows.py
+++ b/tests/test_flows.py
@@ -43,16 +43,16 @@
 from spoolbarrow.operator import Collector, FlowsTable
 from tests.router_harness import (
     EVENTS,
-    STREAM_HEAD,
     LISTEN,
+    STREAM_HEAD,
     Client,
     ScriptedServer,
     ask,
     chunk,
     endpoint_entry,
     make_config,
-    serve_all,
     running_router,
+    serve_all,
     wait_until,
 )
 from tests.test_taps import Listener as TapListener
@@ -368,7 +368,10 @@
 
 def test_a_collector_that_is_dead_at_start_or_dies_gets_everything_when_it_is_back() -> None:
     port = free_port_of_collector()
-    with running_router(serve_all) as (scene, _), exporting(scene, table(f"tcp://127.0.0.1:{port}")) as exporter:
+    with (
+        running_router(serve_all) as (scene, _),
+        exporting(scene, table(f"tcp://127.0.0.1:{port}")) as exporter,
+    ):
         (sink,) = exporter._sinks.values()
         seen: list[int] = []
         for round in range(3):
@@ -522,7 +525,10 @@
     monkeypatch.setattr("spoolbarrow.flows.exporter.CLOSE_S", 20.0)  # a busy disk is no broken one
     leftover = tmp_path / "20200101T000000-999999999-00001.ipfix.zst.part"
     leftover.write_bytes(b"\x28\xb5\x2f\xfd")
-    with running_router(serve_all) as (scene, _), exporting(scene, table(f"file:{tmp_path}", file_bytes=4096)):
+    with (
+        running_router(serve_all) as (scene, _),
+        exporting(scene, table(f"file:{tmp_path}", file_bytes=4096)),
+    ):
         for _ in range(3):
             assert scene.client().send(ask()).answer().status == 200
             wait_until(lambda: scene.host.open_requests() == 0)
@@ -539,7 +545,10 @@
 
 
 def test_five_hundred_connections_at_once_are_each_told_and_nothing_is_kept_of_them() -> None:
-    with running_router(serve_all, limits={"sockets": 1100}) as (scene, _), collecting("tcp") as (heard, listener):
+    with (
+        running_router(serve_all, limits={"sockets": 1100}) as (scene, _),
+        collecting("tcp") as (heard, listener),
+    ):
         with exporting(scene, table(f"tcp://127.0.0.1:{listener.port}")) as exporter:
             clients = [scene.client() for _ in range(500)]
             wait_until(lambda: len(exporter._meter) == 500)
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -19,7 +19,7 @@
 
 from spoolbarrow import handover
 from spoolbarrow import interface as i
-from spoolbarrow.admin import state, overrides
+from spoolbarrow.admin import overrides, state
 from spoolbarrow.admin.commands import OperatorCommands
 from spoolbarrow.admin.overrides import ROUTER_DRAIN, Overrides
 from spoolbarrow.config import INHERITED_FD_VARIABLE, ConfigError, HostList, ListEntry
@@ -29,8 +29,8 @@
 from spoolbarrow.router import Router
 from tests.router_harness import (
     EVENTS,
-    STREAM_HEAD,
     LISTEN,
+    STREAM_HEAD,
     Client,
     ScriptedServer,
     ask,
@@ -38,8 +38,8 @@
     endpoint_entry,
     free_port,
     make_config,
-    serve_all,
     running_router,
+    serve_all,
     wait_until,
 )
 
@@ -57,12 +57,20 @@
     assert {m: word.on for m, word in one.merge(two).items()} == {"e0": False} and not two.merge(one)
     assert one.put(ROUTER_DRAIN, True, 20.0) and set(two.merge(one)) == {ROUTER_DRAIN}
     one.prune(30.0 + overrides.CLEARED_RETENTION_MS)
-    assert list(overrides.decode(one.encode("n0"), "n0")._by_target) == [ROUTER_DRAIN]  # what was taken back is forgotten
+    assert list(overrides.decode(one.encode("n0"), "n0")._by_target) == [
+        ROUTER_DRAIN
+    ]  # what was taken back is forgotten
 
 
 @pytest.mark.parametrize(
     "text",
-    [b"", b'{"v":1,"name":"n0","wor', b'{"v":9,"name":"n0","words":{}}', Overrides().encode("n1"), b" " * 2**21],
+    [
+        b"",
+        b'{"v":1,"name":"n0","wor',
+        b'{"v":9,"name":"n0","words":{}}',
+        Overrides().encode("n1"),
+        b" " * 2**21,
+    ],
 )
 def test_words_that_are_torn_or_foreign_are_not_taken(text: bytes) -> None:
     with pytest.raises(ValueError):
@@ -93,7 +101,10 @@
     state.restore(read, other)
     replica = other.pool.replicas["e0"]
     assert (replica.slow_factor, replica.slow_factor_at, replica.suspect_until) == (2.5, 50.0, 4000.0)
-    assert (other.pool.prefix_counts, other.pool.mean_request_tokens) == ({7: 3.0}, router.pool.mean_request_tokens)
+    assert (other.pool.prefix_counts, other.pool.mean_request_tokens) == (
+        {7: 3.0},
+        router.pool.mean_request_tokens,
+    )
     assert other.entitlements[0].debt == 0.4 and other.entitlements[0].in_flight == 0  # that ends there
     assert set(other.pool.replicas) == {"e0"}
 
@@ -107,7 +118,9 @@
     other = Router(SETTINGS, 2)
     guess = vars(Router(SETTINGS, 2).class_stats[0])
     state.restore(read, other)
-    assert other.pool.zone_load_ms == [0.0] and other.pool.keyed_count == 0.0 and list(other.class_stats) == [0]
+    assert (
+        other.pool.zone_load_ms == [0.0] and other.pool.keyed_count == 0.0 and list(other.class_stats) == [0]
+    )
     assert vars(other.class_stats[0]) == guess and list(other.entitlements) == [0]
     for text in (b"", b'{"v":1', state.encode("n1", HostList(), {}, learned())):
         with pytest.raises(ValueError):
--- a/tests/test_handover_races.py
+++ b/tests/test_handover_races.py
@@ -26,7 +26,17 @@
 from spoolbarrow.net import connection_handover
 from spoolbarrow.net.drain_schedule import DrainCause, DrainSchedule
 from spoolbarrow.net.http1 import Message
-from tests.router_harness import EVENTS, STREAM_HEAD, LISTEN, ask, chunk, make_config, serve_all, running_router, wait_until
+from tests.router_harness import (
+    EVENTS,
+    LISTEN,
+    STREAM_HEAD,
+    ask,
+    chunk,
+    make_config,
+    running_router,
+    serve_all,
+    wait_until,
+)
 from tests.test_drain import END, asked, rest
 from tests.test_handover import begin_only, two_processes
 
--- a/tests/test_http1.py
+++ b/tests/test_http1.py
@@ -142,7 +142,12 @@
 def test_an_answer_followed_by_more_is_whole_but_its_connection_is_not_used_again() -> None:
     parser = ResponseParser(500)
     parser.feed(memoryview(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nokHTTP/1.1 500 No\r\n"))
-    assert (parser.status, parser.take_body(), parser.complete, parser.reusable) == (200, [b"ok"], True, False)
+    assert (parser.status, parser.take_body(), parser.complete, parser.reusable) == (
+        200,
+        [b"ok"],
+        True,
+        False,
+    )
 
 
 def test_an_answer_cut_off_is_a_reset_whatever_it_promised() -> None:
--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -10,7 +10,12 @@
 
 ROOT = Path(spoolbarrow.__file__).parent
 WAY = ("serve.py", "reload.py", "subsystems.py", "handover.py", "router.py", "interface.py")
-OBSERVERS = {"version_monitor", "failover", "connection_handover", "pool_split"}  # of net/: they come in from above
+OBSERVERS = {
+    "version_monitor",
+    "failover",
+    "connection_handover",
+    "pool_split",
+}  # of net/: they come in from above
 
 
 def imports() -> dict[str, set[str]]:
--- a/tests/test_pacing.py
+++ b/tests/test_pacing.py
@@ -10,7 +10,14 @@
 
 from spoolbarrow import interface as i
 from spoolbarrow.config import Options
-from spoolbarrow.fleet.pacing import LIST_DEADLINE_MS, FIRST_CALL_SHARE, Pacing, hung_retry_ms, silent_retry_ms, call_spread_ms
+from spoolbarrow.fleet.pacing import (
+    FIRST_CALL_SHARE,
+    LIST_DEADLINE_MS,
+    Pacing,
+    call_spread_ms,
+    hung_retry_ms,
+    silent_retry_ms,
+)
 from spoolbarrow.lab.callers import BEGINNINGS, CASES, CLASSES, RATES, WAYS, Beginning, Result, heard, play
 from spoolbarrow.router import Router
 
@@ -63,9 +70,13 @@
     options, rng = Options(), Random(seed)
     last = LIST_DEADLINE_MS - MARGIN_MS - QUEUE_MS
     assert options.watch_silence_ms + silent_retry_ms(mute, rng) <= last
-    assert 1_500.0 <= hung_retry_ms(facts(200), rng, False) <= last  # two calls open at once at most: 3.2 s each
+    assert (
+        1_500.0 <= hung_retry_ms(facts(200), rng, False) <= last
+    )  # two calls open at once at most: 3.2 s each
     assert options.call_timeout_ms + silent_retry_ms(0, rng) <= last < 3_400.0 + QUEUE_MS
-    assert hung_retry_ms(facts(200), rng, True) > options.call_timeout_ms  # none beside one that stands in a queue
+    assert (
+        hung_retry_ms(facts(200), rng, True) > options.call_timeout_ms
+    )  # none beside one that stands in a queue
 
 
 @pytest.mark.parametrize("among", [range(20), range(100, 120), range(0, 200, 10), range(3, 200, 4)])
--- a/tests/test_pipeline_terms.py
+++ b/tests/test_pipeline_terms.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from tests.router_harness import ask, serve_all, running_router
+from tests.router_harness import ask, running_router, serve_all
 
 
 @pytest.mark.parametrize("behind", [b"\x00nonsense\r\n\r\n", b"POST / HTTP/1.1\r\nContent-Length: x\r\n\r\n"])
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -133,7 +133,9 @@
         router.handle(200.0 * k + 100, [AttemptEnded(f"q{k}", 0, "a", Outcome.SERVED, True)])
     pool = router.pool
     assert (
-        len(pool.prefix_counts) < 40 and pool.local_ring.cached_walks() + pool.remote_ring.cached_walks() <= 500 and not router.requests
+        len(pool.prefix_counts) < 40
+        and pool.local_ring.cached_walks() + pool.remote_ring.cached_walks() <= 500
+        and not router.requests
     )
 
 
@@ -251,7 +253,9 @@
     router.handle(1.0, idle)
     assert sends(ask(router, 2.0, "q1"))[0].replica == "near"
     router.handle(3.0, [StreamStarted("q1", 0, "near", 1.0)])
-    router.handle(4.0, [ProbeAnswered("near", Outcome.SERVED, 1.0, Report(0.1, 12.0 * router.full_wait_ms * 1.2))])
+    router.handle(
+        4.0, [ProbeAnswered("near", Outcome.SERVED, 1.0, Report(0.1, 12.0 * router.full_wait_ms * 1.2))]
+    )
     assert sends(ask(router, 5.0, "q2"))[0].replica == "far"
 
 
@@ -432,7 +436,9 @@
     actions = router.handle(750.0, [StreamStarted("q2", 0, home, 50.0)])
     assert sends(actions) == [Send("q1", other)]
     replica, pool = router.pool.replicas[home], router.pool
-    assert pool.predict_wait(replica, 750.0, True) > pool.predict_wait(replica, 750.0) + 500.0  # dearer, but not fuller
+    assert (
+        pool.predict_wait(replica, 750.0, True) > pool.predict_wait(replica, 750.0) + 500.0
+    )  # dearer, but not fuller
     assert not sends(router.handle(751.0, [StreamStarted("q2", 0, home, 51.0)]))  # once is enough
 
 
--- a/tests/test_pools.py
+++ b/tests/test_pools.py
@@ -16,8 +16,8 @@
 from spoolbarrow.fleet.documents import MAX_BODY_BYTES, Part
 from spoolbarrow.interface import RequestClass
 from spoolbarrow.pools import Engine, Pools, sketch, split
-from spoolbarrow.pools.traffic_stats import MOST_CELLS, TrafficRecorder, decode_summary, merged
 from spoolbarrow.pools.queue_model import Atom, Rates, Traffic
+from spoolbarrow.pools.traffic_stats import MOST_CELLS, TrafficRecorder, decode_summary, merged
 
 CLASSES = (
     RequestClass(1500.0, 6000.0, 1.0, late_share=0.2, aim_ms_per_token=0.06),
@@ -51,7 +51,9 @@
             prompt, made, cls = rng.randint(50, 300), rng.randint(150, 430), 1
         found.record_request(at, cls, tenant, prompt, prompt)
         found.record_answer(at, cls, tenant, made, True, rng.random() < late)
-        found.record_timing(at, "big", prompt, prompt * read_us / 1000.0 + 15.0, made, (made - 1) * BUSY_STEP_MS)
+        found.record_timing(
+            at, "big", prompt, prompt * read_us / 1000.0 + 15.0, made, (made - 1) * BUSY_STEP_MS
+        )
         found.record_load(at, "big", 0.25, 0.25)
     return found
 
@@ -173,10 +175,16 @@
         absent += decode_summary(bad) is None
         plan = decided([*reading, bad])
         if decode_summary(bad) is None:  # else what was put in can be true after all: an empty histogram
-            assert plan.prefill_engines == plain.prefill_engines and plan.prefill_min_tokens == plain.prefill_min_tokens
+            assert (
+                plan.prefill_engines == plain.prefill_engines
+                and plan.prefill_min_tokens == plain.prefill_min_tokens
+            )
     assert absent >= 110
     for garbage in (b"", b"\xc1", b"\x00" * 70_000, b"[]", reading[0][:-7], msgspec.msgpack.encode([1, 2])):
-        assert decode_summary(garbage) is None and decided([*reading, garbage]).prefill_engines == plain.prefill_engines
+        assert (
+            decode_summary(garbage) is None
+            and decided([*reading, garbage]).prefill_engines == plain.prefill_engines
+        )
 
 
 @settings(derandomize=True, max_examples=100)
@@ -205,7 +213,9 @@
     }[name]  # fmt: skip
     plan = decided(bodies, engines=engines)
     assert not plan.prefill_engines and plan.reason == why
-    stood = split.ENCODE(split.Plan(prefill_engines=["e1", "e2"], prefill_min_tokens=[0.0, -1.0], reason="split"))
+    stood = split.ENCODE(
+        split.Plan(prefill_engines=["e1", "e2"], prefill_min_tokens=[0.0, -1.0], reason="split")
+    )
     after = decided(bodies, stood, engines=engines)
     assert not after.prefill_engines or name in ("calm", "not this fleet")
 
@@ -263,7 +273,11 @@
     plan = msgspec.structs.replace(decided(calm, engines=engines), step_ms=15.0)
     begun = len(plan.prefill_engines)
     early = NOW + split.MOVE_MS - 1.0
-    assert begun and decided(turned, split.ENCODE(plan), early, engines=engines).prefill_engines == plan.prefill_engines
+    assert (
+        begun
+        and decided(turned, split.ENCODE(plan), early, engines=engines).prefill_engines
+        == plan.prefill_engines
+    )
     touched: dict[str, float] = {}
     sizes, now = [begun], NOW
     for _ in range(12):
@@ -315,7 +329,9 @@
     fixed = {f"e{n}": Engine("big", fixed_side="read" if n < 5 else "write") for n in range(8)}
     plan = decided(reading, engines=fixed)
     assert not plan.prefill_engines and sum(plan.wanted) == 8 and 3 <= plan.wanted[0] <= 7
-    some = {f"e{n}": Engine("big", fixed_side="read" if n < 1 else "write" if n < 2 else "") for n in range(8)}
+    some = {
+        f"e{n}": Engine("big", fixed_side="read" if n < 1 else "write" if n < 2 else "") for n in range(8)
+    }
     plan = decided(reading, engines=some)
     assert plan.prefill_engines and not {"e0", "e1"} & set(plan.prefill_engines)
     made = pools(some)
@@ -344,7 +360,10 @@
     assert factor > 10  # these three see a tenth of what would keep the fleet busy: no split is right
     assert not decided(many, engines=engines).prefill_engines
     names = sorted(engines)[:600]
-    assert len(split.ENCODE(split.Plan(prefill_engines=names, moved=dict.fromkeys(names[:62], NOW)))) <= MAX_BODY_BYTES
+    assert (
+        len(split.ENCODE(split.Plan(prefill_engines=names, moved=dict.fromkeys(names[:62], NOW))))
+        <= MAX_BODY_BYTES
+    )
 
 
 # --- the model
--- a/tests/test_read_requests.py
+++ b/tests/test_read_requests.py
@@ -20,7 +20,16 @@
 from spoolbarrow.net.client import ClientConnection as InboundClient
 from spoolbarrow.net.http1 import Message, RequestParser
 from spoolbarrow.net.overflow import Overflow
-from tests.router_harness import EVENTS, STREAM_HEAD, LISTEN, chunk, end_answers, serve_all, running_router, wait_until
+from tests.router_harness import (
+    EVENTS,
+    LISTEN,
+    STREAM_HEAD,
+    chunk,
+    end_answers,
+    running_router,
+    serve_all,
+    wait_until,
+)
 from tests.router_harness import ask as asked
 from tests.test_client_races import all_of, the_client
 
--- a/tests/test_ready.py
+++ b/tests/test_ready.py
@@ -12,7 +12,15 @@
 import pytest
 
 from spoolbarrow.lab.cluster import Process
-from tests.router_harness import Client, ScriptedServer, ask, endpoint_entry, make_config, serve_all, wait_until
+from tests.router_harness import (
+    Client,
+    ScriptedServer,
+    ask,
+    endpoint_entry,
+    make_config,
+    serve_all,
+    wait_until,
+)
 from tests.test_descriptors import Discovery
 
 ROUTERS = 6
--- a/tests/test_reload_races.py
+++ b/tests/test_reload_races.py
@@ -35,8 +35,8 @@
 from spoolbarrow.router import Router
 from tests.router_harness import (
     EVENTS,
-    STREAM_HEAD,
     LISTEN,
+    STREAM_HEAD,
     Client,
     ScriptedServer,
     ask,
@@ -44,8 +44,8 @@
     endpoint_entry,
     free_port,
     make_config,
-    serve_all,
     running_router,
+    serve_all,
     wait_until,
 )
 
@@ -201,7 +201,10 @@
         sock.sendall(chunk(EVENTS[1]) + b"0\r\n\r\n")
 
     with running_router(wait, settings=settings(FIRST)) as (scene, _):
-        router, guess = scene.host.router(), Router(scene.config.settings, 1).class_stats["chat"].mean_answer_ms
+        router, guess = (
+            scene.host.router(),
+            Router(scene.config.settings, 1).class_stats["chat"].mean_answer_ms,
+        )
         asked = scene.client().send(ask(X_Service_Class="once"))
         wait_until(lambda: scene.events_of(i.StreamStarted))
         router.class_stats["chat"].preferred_prefill_tokens = 77.0
@@ -395,7 +398,11 @@
     old.handle(2.0, [i.RequestArrived("q", 0, 4000.0, tenant=1)])
     old.entitlements["other"].debt = 0.4
     state.restore(state.decode(state.encode("n0", HostList(), {}, old), "n0"), new)
-    assert new.class_stats["once"].mean_answer_ms == 5.0 and new.class_terms[0][2].prefix_miss_share == [0.1, 0.2, 0.3]
+    assert new.class_stats["once"].mean_answer_ms == 5.0 and new.class_terms[0][2].prefix_miss_share == [
+        0.1,
+        0.2,
+        0.3,
+    ]
     assert new.class_terms[1][2].preferred_prefill_tokens == 77.0
     assert new.pool.zone_load_ms == [4.0, 0.0]
     assert list(new.entitlements) == ["other"] and new.entitlements["other"].debt == 0.4
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -23,16 +23,16 @@
 from spoolbarrow.router import Router
 from tests.router_harness import (
     EVENTS,
-    STREAM_HEAD,
     LISTEN,
+    STREAM_HEAD,
     Client,
     ScriptedServer,
     ask,
     chunk,
     endpoint_entry,
     make_config,
-    serve_all,
     running_router,
+    serve_all,
     wait_until,
 )
 
@@ -186,7 +186,14 @@
 
 @pytest.mark.parametrize(
     "spoilt",
-    [OK, OK + b"b\r\n\r\n3\r\nabc\r\n", OK + b"x" * 20000, STREAM_HEAD[:-2] + b"3\r\n", b"HTTP/1.1 2x0", b"\x16"],
+    [
+        OK,
+        OK + b"b\r\n\r\n3\r\nabc\r\n",
+        OK + b"x" * 20000,
+        STREAM_HEAD[:-2] + b"3\r\n",
+        b"HTTP/1.1 2x0",
+        b"\x16",
+    ],
 )
 def test_an_answer_spoilt_before_its_first_event_is_left_to_the_decisions(spoilt: bytes) -> None:
     def script(sock: socket.socket, message: Message) -> None:
--- a/tests/test_serving.py
+++ b/tests/test_serving.py
@@ -26,16 +26,16 @@
 from tests import router_harness as st
 from tests.router_harness import (
     EVENTS,
-    STREAM_HEAD,
     LISTEN,
+    STREAM_HEAD,
     Client,
     ScriptedServer,
     ask,
     chunk,
     endpoint_entry,
     make_config,
-    serve_all,
     running_router,
+    serve_all,
     wait_until,
 )
 
@@ -481,10 +481,14 @@
         # Silent, though its connection stayed open: the next one, at once, asks from where this one ended.
         assert again.kind is i.ListKind.CHANGES
         assert not scene.host.destinations.serving("e0") and scene.host.destinations.serving("new")
-        wait_until(lambda: scene.events_of(i.ReplicaList)[-1].kind is i.ListKind.FAILED)  # that one is cut off
+        wait_until(
+            lambda: scene.events_of(i.ReplicaList)[-1].kind is i.ListKind.FAILED
+        )  # that one is cut off
 
 
-@pytest.mark.parametrize("said", [st.UNPROCESSED_503, STREAM_HEAD + chunk(b"{]\n"), STREAM_HEAD + b"0\r\n\r\n", b"\x00"])
+@pytest.mark.parametrize(
+    "said", [st.UNPROCESSED_503, STREAM_HEAD + chunk(b"{]\n"), STREAM_HEAD + b"0\r\n\r\n", b"\x00"]
+)
 def test_a_watch_that_fails_is_told_once(said: bytes) -> None:
     with running_router(watch=lambda sock, message: sock.sendall(said)) as (scene,):
         wait_until(lambda: len(scene.events_of(i.ReplicaList)) > 1)
--- a/tests/test_sessions.py
+++ b/tests/test_sessions.py
@@ -15,11 +15,11 @@
 
 from spoolbarrow.errors import Problem
 from spoolbarrow.fleet.documents import MAX_BODY_BYTES, Part
-from spoolbarrow.sessions import cells, turn_counts, model, part, router_shares, session_table
-from spoolbarrow.sessions.turn_counts import SCALE, Body, Told
-from spoolbarrow.sessions.reservations import ReservationBook
-from spoolbarrow.sessions.part import Sessions, Settings
+from spoolbarrow.sessions import cells, model, part, router_shares, session_table, turn_counts
 from spoolbarrow.sessions.cache_retention import CacheRetention
+from spoolbarrow.sessions.part import Sessions, Settings
+from spoolbarrow.sessions.reservations import ReservationBook
+from spoolbarrow.sessions.turn_counts import SCALE, Body, Told
 
 SLOTS = 4096
 steady = settings(max_examples=60, derandomize=True, deadline=None)
@@ -254,7 +254,9 @@
     one = learnt()
     assert one.predictor is not None
     loop, once = (one.predictor.of(t.cell) for t in (LOOPS[1], ONCE[0]))
-    assert loop.return_chance == pytest.approx(870 / 900, abs=0.02) and once.return_chance == pytest.approx(0.01, abs=0.02)
+    assert loop.return_chance == pytest.approx(870 / 900, abs=0.02) and once.return_chance == pytest.approx(
+        0.01, abs=0.02
+    )
     assert loop.low <= loop.return_chance <= loop.high and loop.high - loop.low < 0.1
     assert 500.0 < loop.median_return_ms < 1000.0 < loop.p90_return_ms < 2000.0
     assert one.predictor.turns_left(loop, 4) > 5.0 > 0.1 > one.predictor.turns_left(once, 1)
@@ -313,7 +315,9 @@
         for number, account in book.slices.items():
             mine = [one for one in book.by_key.values() if one.engine == number]
             assert account.held == sum(one.tokens for one in mine) and account.keys == {o.key for o in mine}
-        assert book.reserved_tokens == sum(book.held.values()) == sum(one.tokens for one in book.by_key.values())
+        assert (
+            book.reserved_tokens == sum(book.held.values()) == sum(one.tokens for one in book.by_key.values())
+        )
         assert book.balance() == pytest.approx(0.0, abs=1e-6)
 
 
@@ -423,8 +427,13 @@
     assert {g.share for g in first.values()} == {router_shares.WHOLE // 3}
     two = [Body(1, who, 1, 0, []) for who in (1, 2)]
     before = router_shares.grant(router_shares.LEASE_MS - 1.0, two, 1, first)
-    assert before[3].claim == first[3].claim and before[1].share <= (router_shares.WHOLE - before[3].claim) // 2 + 1
-    after = router_shares.grant(router_shares.LEASE_MS + 1.0, [Body(1, who, 2, 0, []) for who in (1, 2)], 2, before)
+    assert (
+        before[3].claim == first[3].claim
+        and before[1].share <= (router_shares.WHOLE - before[3].claim) // 2 + 1
+    )
+    after = router_shares.grant(
+        router_shares.LEASE_MS + 1.0, [Body(1, who, 2, 0, []) for who in (1, 2)], 2, before
+    )
     assert 3 not in after and after[1].share == router_shares.WHOLE // 2
 
 
@@ -453,7 +462,10 @@
     for key in range(1000, 1600):
         turn(one, 4e5 + key * 1000.0, key, prompt=3000, kept=0)
     turn(one, 2.05e6, 1599, prompt=3500, kept=3000)  # no more than it left here
-    assert one.moved_share < part.MAX_MOVED_SHARE and one.request_arrived(2.1e6, 1599, 0, 0, 4000, 0).cached_tokens > 3000
+    assert (
+        one.moved_share < part.MAX_MOVED_SHARE
+        and one.request_arrived(2.1e6, 1599, 0, 0, 4000, 0).cached_tokens > 3000
+    )
 
 
 # --- the seam
--- a/tests/test_shadow.py
+++ b/tests/test_shadow.py
@@ -28,8 +28,8 @@
 from spoolbarrow.spool import read_spool_file
 from tests.router_harness import (
     EVENTS,
-    STREAM_HEAD,
     LISTEN,
+    STREAM_HEAD,
     UNPROCESSED_503,
     Client,
     ScriptedServer,
@@ -37,8 +37,8 @@
     chunk,
     endpoint_entry,
     make_config,
-    serve_all,
     running_router,
+    serve_all,
     wait_until,
 )
 
@@ -335,7 +335,10 @@
 def test_engines_of_the_candidate_type_or_group_serve_nothing_live(chosen: dict[str, Any]) -> None:
     scripts = (serve_all, other_words)
     parties = [ScriptedServer(script) for script in scripts]
-    listed = [endpoint_entry("e0", parties[0].port), endpoint_entry("new", parties[1].port, type="candidate", group=7)]
+    listed = [
+        endpoint_entry("e0", parties[0].port),
+        endpoint_entry("new", parties[1].port, type="candidate", group=7),
+    ]
     known = {"index": 7, "snapshot": True, "endpoints": listed}
     with running_router(serve_all, known=known) as (scene, _):
         table = ShadowTable(share=1.0, **chosen, **PLENTY)
@@ -347,7 +350,9 @@
                 live(scene)
             wait_until(lambda: not copier._pairs)
             assert len(parties[0].requests) == 8 == len(parties[1].requests)
-            draining = [endpoint_entry("new", parties[1].port, type="candidate", group=7, status="terminating")]
+            draining = [
+                endpoint_entry("new", parties[1].port, type="candidate", group=7, status="terminating")
+            ]
             news = config.HostList(8, False, msgspec.convert(draining, list[config.ListEntry]))
             scene.host.destinations.apply_list(news, i.ListKind.CHANGES)
             live(scene)
--- a/tests/test_shutdown_races.py
+++ b/tests/test_shutdown_races.py
@@ -36,9 +36,9 @@
     endpoint_entry,
     free_port,
     make_config,
-    serve_all,
-    running_router,
     run_ready,
+    running_router,
+    serve_all,
     wait_until,
 )
 from tests.test_drain import NEVER, PATIENT, ROOT, Engine, asked, closed, refused, rest
--- a/tests/test_taps.py
+++ b/tests/test_taps.py
@@ -10,9 +10,9 @@
 from spoolbarrow import interface as i
 from spoolbarrow.net import tcpinfo
 from spoolbarrow.net.http1 import Message
+from spoolbarrow.net.observers import CloseReason, Observer, Observers, OpenConnection, Side
 from spoolbarrow.net.request import Attempt, Request
-from spoolbarrow.net.observers import Observer, OpenConnection, Side, Observers, CloseReason
-from tests.router_harness import EVENTS, STREAM_HEAD, ask, chunk, serve_all, running_router, wait_until
+from tests.router_harness import EVENTS, STREAM_HEAD, ask, chunk, running_router, serve_all, wait_until
 
 
 class Listener(Observer):
@@ -73,7 +73,11 @@
             ("closing", CloseReason.DONE, ours),
         ]
         counted = listener.counters[ours]
-        assert counted.bytes_received == len(ask()) and counted.bytes_sent > passed and counted.data_segments_received == 1
+        assert (
+            counted.bytes_received == len(ask())
+            and counted.bytes_sent > passed
+            and counted.data_segments_received == 1
+        )
         scene.host._endpoints._pool.forget("e0")
         assert listener.heard[-1] == ("closing", CloseReason.DONE, theirs)
         assert listener.counters[theirs].bytes_sent > len(b'{"model":"chat"}')
--- a/tests/test_time_left_terms.py
+++ b/tests/test_time_left_terms.py
@@ -12,7 +12,7 @@
 from gevent import socket
 
 from spoolbarrow.net.http1 import Message
-from tests.router_harness import ask, serve_all, running_router, wait_until
+from tests.router_harness import ask, running_router, serve_all, wait_until
 from tests.terms import ANSWER_SLACK_S, TOLD_SLACK_S
 
 STILL_S = 0.4  # over twice what may be told too much
--- a/tests/test_watch_races.py
+++ b/tests/test_watch_races.py
@@ -26,7 +26,18 @@
 from spoolbarrow.net.destinations import DestinationSet
 from spoolbarrow.net.host import Host
 from spoolbarrow.net.http1 import Message
-from tests.router_harness import STREAM_HEAD, ScriptedServer, ask, chunk, endpoint_entry, make_config, now_unix_ms, serve_all, running_router, wait_until
+from tests.router_harness import (
+    STREAM_HEAD,
+    ScriptedServer,
+    ask,
+    chunk,
+    endpoint_entry,
+    make_config,
+    now_unix_ms,
+    running_router,
+    serve_all,
+    wait_until,
+)
 
 KNOWN = 7  # the version in the configuration
 LONG_WARM_MS = 30_000.0  # since an engine started: its slow start is over, and the news of it is not old
@@ -63,7 +74,9 @@
         return [target.rpartition(b"=")[2] for target in self.targets if b"stream=1" in target]
 
     def config(self, mode: str = "subscribe", **options: Any) -> Config:
-        raw = make_config([endpoint_entry("e0", 1), endpoint_entry("e1", 2)], self.party.port, options=options)
+        raw = make_config(
+            [endpoint_entry("e0", 1), endpoint_entry("e1", 2)], self.party.port, options=options
+        )
         raw["settings"]["Discovery"] = mode
         return config.parse(msgspec.json.encode(raw))
 
@@ -327,7 +340,10 @@
         wait_until(lambda: len(service.watches) == 2)
         old, new = service.watches
         drains, serves = endpoint_entry("e0", 1, status="terminating"), endpoint_entry("e0", 1)
-        answers = {new: STREAM_HEAD + chunk(listing(9, drains)), old: STREAM_HEAD + chunk(listing(8, serves, whole=True))}
+        answers = {
+            new: STREAM_HEAD + chunk(listing(9, drains)),
+            old: STREAM_HEAD + chunk(listing(8, serves, whole=True)),
+        }
         for sock in (old, new) if first == "old" else (new, old):
             sock.sendall(answers[sock])
         wait_until(lambda: one.set.seen()[0] == 9)
