--- a/benchmarks/sessions.py
+++ b/benchmarks/sessions.py
@@ -276,9 +276,9 @@
         self.part, self.facts = part, facts
         self.read = 0.0
 
-    def homes(self, request: r.Request, now: float) -> list[r.Replica]:
+    def preferred_replicas(self, request: r.Request, now: float) -> list[r.Replica]:
         """Where its prompt was left, before where its key would have it."""
-        usual = super().homes(request, now)
+        usual = super().preferred_replicas(request, now)
         told = self.facts.get(request.id)
         home = self.replicas.get(told.home) if told is not None and told.home else None
         if home is not None and home.serving:
--- a/spoolbarrow/lab/opened.py
+++ b/spoolbarrow/lab/opened.py
@@ -138,7 +138,7 @@
         asked = RequestArrived("q", 0, 4000.0, session=rng.getrandbits(60) + 1, prefix=key, resumed=moved)
         request = Request(asked, settings, NO_TERMS, now)
         request.expected_tokens, request.slow_start_draw = work * pool.mean_work, rng.getrandbits(63)
-        request.preferred_replicas = homes = pool.homes(request, now)
+        request.preferred_replicas = homes = pool.preferred_replicas(request, now)
         pool.count_arrival(request, now)
         if now < START:
             if warm.begins(now, (engines - cold) * per_warm_ms):
@@ -146,7 +146,9 @@
             continue
         knows = number not in told_at
         if knows:
-            opened = [r.id for r in pool.slow_starting if pool.cold_allows(r, request, now, r is homes[0])]
+            opened = [
+                r.id for r in pool.slow_starting if pool.slow_start_allows(r, request, now, r is homes[0])
+            ]
             rng.shuffle(opened)
             opened.sort(key=lambda name: name != homes[0].id)
         else:
--- a/spoolbarrow/router.py
+++ b/spoolbarrow/router.py
@@ -343,7 +343,7 @@
             ring.update([r for r in members if r not in before], after)
         self.capacity.set_members(self.serving, self.slow_starting)
 
-    def homes(self, request: Request, now: float) -> list[Replica]:
+    def preferred_replicas(self, request: Request, now: float) -> list[Replica]:
         """Where the kept beginning of a request lies, best first: departure 1 of docs/design.md.
 
         Rendezvous hashing needs no talk between nodes. A prefix has as many homes as its traffic could
@@ -423,11 +423,13 @@
         warm = None
         if self.slow_starting:
             # What hangs begins nothing, and must not make the others look as if they bore little.
-            warm = Counter(r.kind for r in self.serving if not (r.suspect_count or self.is_cold(r, now)))
+            warm = Counter(
+                r.kind for r in self.serving if not (r.suspect_count or self.is_slow_starting(r, now))
+            )
         preferred = request.preferred_replicas[0] if request.preferred_replicas else None
         self.capacity.count_arrival(now, preferred.id if preferred in self.slow_starting else None, warm)
 
-    def is_cold(self, replica: Replica, now: float) -> bool:
+    def is_slow_starting(self, replica: Replica, now: float) -> bool:
         """Whether it is in its slow start."""
         return replica.started_at > 0.0 and now - replica.started_at < self.settings.cold_ms
 
@@ -437,9 +439,9 @@
         grown = min(1.0, age / settings.cold_ms) if settings.cold_ms > 0.0 else 1.0
         return settings.overload_factor * (settings.cold_from + (1.0 - settings.cold_from) * grown)
 
-    def cold_allows(self, replica: Replica, request: Request, now: float, home: bool) -> bool:
+    def slow_start_allows(self, replica: Replica, request: Request, now: float, home: bool) -> bool:
         """Rule 4: a cold replica is open to a request by its draw, the same at each attempt (design.md)."""
-        if not self.is_cold(replica, now):
+        if not self.is_slow_starting(replica, now):
             return True
         tolerated = self.slow_start_limit(replica, now)
         at_home = min(1.0, SLOW_START_PREFERRED_SHARE * tolerated)
@@ -693,7 +695,7 @@
             request.expected_tokens - pool.mean_work
         )
         self.hedge_budget = min(HEDGE_BUDGET_MAX, self.hedge_budget + self.hedges_per_request)
-        request.preferred_replicas = pool.homes(request, self.now)
+        request.preferred_replicas = pool.preferred_replicas(request, self.now)
         pool.count_arrival(request, self.now)
         if self.settings.probing:
             far = pool.remote and (not pool.local or self.rng.random() < CROSS_ZONE_PROBE_SHARE)
@@ -790,8 +792,12 @@
         candidates = [(home, min(rank, 1)) for rank, home in enumerate(request.preferred_replicas)]
         candidates += [(r, 2) for _, r in pool.recent_answers if r not in request.preferred_replicas]
         # A node meets a cold replica seldom by chance: those that this request may use are always compared.
-        cold = [r for r in pool.slow_starting if pool.is_cold(r, now) and r not in request.preferred_replicas]
-        candidates += [(r, 2) for r in cold if pool.cold_allows(r, request, now, False)]
+        cold = [
+            r
+            for r in pool.slow_starting
+            if pool.is_slow_starting(r, now) and r not in request.preferred_replicas
+        ]
+        candidates += [(r, 2) for r in cold if pool.slow_start_allows(r, request, now, False)]
         best = self._cheapest(request, candidates, False, care)
         if best is None and pool.serving:
             # Nobody left to trust: suspicion must never empty the candidate set.
@@ -827,7 +833,7 @@
             elif wait * pool.late_factor > self.full_wait_ms and pool.remote:
                 cost += request.objective_ms  # a full zone must not refuse what another has room for
             allowed = not request.attempts or request.may_send(replica, now)
-            if cost < least and allowed and pool.cold_allows(replica, request, now, rank == 0):
+            if cost < least and allowed and pool.slow_start_allows(replica, request, now, rank == 0):
                 best, least = (replica, rank, wait, read), cost
         return best
 
@@ -918,7 +924,7 @@
         self.pool.record_lateness(
             attempt.replica, attempt.first_token_ms / max(attempt.predicted_ms, 100.0), self.now
         )
-        if not (request.started or self.pool.is_cold(attempt.replica, self.now)):
+        if not (request.started or self.pool.is_slow_starting(attempt.replica, self.now)):
             self.pool.capacity.count_start(attempt.replica.kind)
         request.started = True
         self._cancel_others(request, event.attempt)
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -39,7 +39,7 @@
     request = Request(RequestArrived("q", 0, 4000.0, resumed=moved), cfg, (1.0, 0, ClassStats()), STARTED)
     request.expected_tokens, found = work * pool.mean_work, set()
     for number, request.slow_start_draw in enumerate(DRAWS):
-        if pool.cold_allows(cold, request, STARTED + age, home):
+        if pool.slow_start_allows(cold, request, STARTED + age, home):
             found.add(number)
     return found
 
