--- a/spoolbarrow/__init__.py
+++ b/spoolbarrow/__init__.py
@@ -1,4 +1,4 @@
-"""spoolbarrow: a request router's decisions for fleets of language-model servers."""
+"""spoolbarrow: routing decisions for requests to fleets of language-model servers."""
 
 from spoolbarrow.router import Router
 
--- a/spoolbarrow/__main__.py
+++ b/spoolbarrow/__main__.py
@@ -1,4 +1,4 @@
-"""The program: without arguments it serves, as the platform's `run` starts it; else the command line."""
+"""Entry point: serves if called without arguments, as the platform does; else runs the command line."""
 
 from __future__ import annotations
 
@@ -7,13 +7,13 @@
 
 
 def main() -> int:
-    """Serve, or carry out the command that the arguments name; the exit status."""
+    """Serve, or run the command in the arguments; returns the exit status."""
     if len(sys.argv) > 1:
         from spoolbarrow.cli import run
 
         return run(sys.argv[1:])
-    # Until it serves: what imports leave lives as long as the process, and looking through it is a tenth of
-    # a start's processor time.
+    # Disabled until serving starts: objects made by imports live as long as the process, and scanning them
+    # takes a tenth of the processor time of a start.
     gc.disable()
     from spoolbarrow.serve import main as serve
 
--- a/spoolbarrow/admin/__init__.py
+++ b/spoolbarrow/admin/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' listener: calls and figures, which are pure, and the sockets they come by."""
+"""The control listener for operators, its API calls and metrics, and the handover between processes."""
--- a/spoolbarrow/admin/calls.py
+++ b/spoolbarrow/admin/calls.py
@@ -1,6 +1,6 @@
-"""What operators ask for: a request's method and path, read as one of the calls.
+"""Maps a request's method and path to one of the operators' API calls.
 
-Owns the table of paths and the status of each answer; carrying a call out is `control`'s. Free of I/O.
+Owns the table of paths and the HTTP status of each error; `control` executes the calls. Free of I/O.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 
 class CallFault(Problem):
-    """An operator's call is not carried out; `answer` is the status of HTTP."""
+    """An operator's call is not executed; `answer` is the HTTP status."""
 
     answer = 400
     where = "the path, the engine, or the field of the call"
@@ -23,9 +23,9 @@
 
 
 class BadCall(CallFault):
-    """A call is no request that can be read, or not whole in time."""
+    """A call is not a valid HTTP request, or incomplete at its time-out."""
 
-    remedy = "Say it again as docs/operators/on-call.md has it, by `curl`."
+    remedy = "Repeat the call as described in docs/operators/on-call.md, with `curl`."
 
     def __init__(self, fault: HttpError) -> None:
         super().__init__("", str(fault))
@@ -33,46 +33,46 @@
 
 
 class NoSuchPath(CallFault):
-    """There is no call of this path."""
+    """There is no call with this path."""
 
     answer = 404
-    remedy = "Look the path up in docs/operators/on-call.md."
+    remedy = "See docs/operators/on-call.md for the path."
 
 
 class WrongMethod(CallFault):
-    """There is a call of this path, by another method."""
+    """The call with this path uses another method."""
 
     answer = 405
-    remedy = "Say it by the method that is named (`curl -X POST` where it changes something)."
+    remedy = "Use the named method (`curl -X POST` for calls that change something)."
 
-    def __init__(self, path: str, wanted: bytes) -> None:
-        super().__init__("", f"{path} takes {wanted.decode()}")
-        self.headers = (b"Allow: " + wanted,)
+    def __init__(self, path: str, expected: bytes) -> None:
+        super().__init__("", f"{path} takes {expected.decode()}")
+        self.headers = (b"Allow: " + expected,)
 
 
 class NoSuchEngine(CallFault):
-    """No engine of this id is listed or suspended here."""
+    """No engine with this id is listed or suspended here."""
 
     answer = 404
-    remedy = "Look at the log's `destinations`, or at discovery, for the id as it is listed."
+    remedy = "See the log's `destinations`, or discovery, for the id as it is listed."
 
 
 class NotReady(CallFault):
-    """This process can't serve yet, or no more."""
+    """This process can't serve yet, or is shutting down."""
 
     answer = 503
-    remedy = "Wait for its list (`watch_broken` in the log says why there is none), or ask its successor."
+    remedy = "Wait for its list (`watch_broken` in the log says why none comes), or ask its successor."
 
 
 class AgreementOff(CallFault):
-    """Versions are asked for, and the operator's file does not switch them on."""
+    """Versions are requested, but the operator's file does not enable them."""
 
     answer = 404
-    remedy = "Give the operator's file a table `[agree]` with a revision, and send SIGHUP."
+    remedy = "Add a table `[agree]` with a revision to the operator's file, and send SIGHUP."
 
 
 class Verb(Enum):
-    """What is asked."""
+    """The kinds of calls."""
 
     READY = "readyz"
     METRICS = "metrics"
@@ -87,7 +87,7 @@
 
 
 class Call(Struct, frozen=True):
-    """One call; `engine` where it names one, or the digest of what is to be adopted."""
+    """One call; `engine` is the engine's id if it has one, or the digest to be adopted."""
 
     verb: Verb
     engine: str = ""
@@ -105,7 +105,7 @@
     Verb.CHECK: b"GET",
     Verb.ADOPT: b"POST",
 }
-PLAIN = {
+PATHS = {
     b"/v1/readyz": Verb.READY,
     b"/v1/metrics": Verb.METRICS,
     b"/v1/router/drain": Verb.DRAIN,
@@ -114,25 +114,25 @@
     b"/v1/versions": Verb.VERSIONS,
     b"/v1/settings/check": Verb.CHECK,
 }
-ENGINES = b"/v1/engines/"
-ADOPT = b"/v1/settings/adopt/"
-OF_ENGINE = {b"suspend": Verb.SUSPEND, b"resume": Verb.RESUME}
+ENGINE_PREFIX = b"/v1/engines/"
+ADOPT_PREFIX = b"/v1/settings/adopt/"
+ENGINE_VERBS = {b"suspend": Verb.SUSPEND, b"resume": Verb.RESUME}
 
 
-def read(message: Message) -> Call:
-    """The call that a request makes; NoSuchPath, WrongMethod or NoSuchEngine where it makes none."""
+def parse(message: Message) -> Call:
+    """The call of a request; raises NoSuchPath, WrongMethod or NoSuchEngine if it is none."""
     path = message.path()
-    verb, engine = PLAIN.get(path), b""
-    if verb is None and path.startswith(ENGINES):
-        engine, _, word = path[len(ENGINES) :].rpartition(b"/")
-        verb = OF_ENGINE.get(word) if engine and b"/" not in engine else None
-    elif path.startswith(ADOPT):
-        verb, engine = Verb.ADOPT, path[len(ADOPT) :]
+    verb, engine = PATHS.get(path), b""
+    if verb is None and path.startswith(ENGINE_PREFIX):
+        engine, _, action = path[len(ENGINE_PREFIX) :].rpartition(b"/")
+        verb = ENGINE_VERBS.get(action) if engine and b"/" not in engine else None
+    elif path.startswith(ADOPT_PREFIX):
+        verb, engine = Verb.ADOPT, path[len(ADOPT_PREFIX) :]
     if verb is None:
         raise NoSuchPath("", "no such path")
-    wanted = METHODS[verb]
-    if message.method != wanted:
-        raise WrongMethod(path.decode("latin-1"), wanted)
+    expected = METHODS[verb]
+    if message.method != expected:
+        raise WrongMethod(path.decode("latin-1"), expected)
     try:
         return Call(verb, unquote_to_bytes(engine).decode())
     except UnicodeDecodeError:
--- a/spoolbarrow/admin/commands.py
+++ b/spoolbarrow/admin/commands.py
@@ -1,4 +1,4 @@
-"""Operators' orders carried out: on this process and, by way of `tell`, on the router's others."""
+"""Executes operators' commands on this process and publishes them to the router's other processes."""
 
 from __future__ import annotations
 
@@ -13,58 +13,58 @@
 
 
 class OperatorCommands:
-    """The words that hold, and what they do here."""
+    """The current overrides, and their effect on this process."""
 
     def __init__(self, host: Host, inbound: Inbound) -> None:
         self._host, self._inbound = host, inbound
-        self.words = Overrides()
-        self.tell: Callable[[], None] | None = None  # has the other processes know, before a yes
+        self.overrides = Overrides()
+        self.publish: Callable[[], None] | None = None  # called before a command is confirmed
 
     def suspend(self, engine: str) -> None:
-        """Nothing more to an engine; NoRoom where too many are suspended."""
+        """Stop sending to an engine; raises NoRoom if too many are suspended."""
         self._host.destinations.suspend(engine)
-        self._say(engine, True)
+        self._set(engine, True)
 
     def resume(self, engine: str) -> None:
-        """An engine is used again."""
+        """Use an engine again."""
         self._host.destinations.resume(engine)
-        self._say(engine, False)
+        self._set(engine, False)
 
     def drain(self) -> None:
-        """Clients are sent away."""
+        """Drain the router of clients."""
         self._inbound.begin_operator_drain()
-        self._say(ROUTER_DRAIN, True)
+        self._set(ROUTER_DRAIN, True)
 
     def activate(self) -> None:
-        """Clients are taken again."""
+        """Accept clients again."""
         self._inbound.activate()
-        self._say(ROUTER_DRAIN, False)
+        self._set(ROUTER_DRAIN, False)
 
-    def _say(self, matter: str, on: bool) -> None:
+    def _set(self, target: str, on: bool) -> None:
         now = self._host.now()
-        self.words.prune(now)
-        if self.words.put(matter, on, now) and self.tell is not None:
-            self.tell()
+        self.overrides.prune(now)
+        if self.overrides.put(target, on, now) and self.publish is not None:
+            self.publish()
 
     def apply_remote(self, other: Overrides, at_start: bool = False) -> bool:
-        """Carry out what another process was told later than this one; whether that was anything.
+        """Apply the overrides of another process that are newer than this one's; returns whether any were.
 
-        What is found at the start may have been said at any time before, and its clients have had theirs.
+        Those found at the start may be of any age, so a drain among them gives clients no further time.
         """
-        changed = self.words.merge(other)
-        for matter, word in changed.items():
-            log("word", engine=matter, on=word.on)
+        changed = self.overrides.merge(other)
+        for target, override in changed.items():
+            log("word", engine=target, on=override.on)
             try:
-                if matter == ROUTER_DRAIN:
-                    self._adopt_drain(word.on, at_start)
+                if target == ROUTER_DRAIN:
+                    self._apply_drain(override.on, at_start)
                 else:
                     destinations = self._host.destinations
-                    (destinations.suspend if word.on else destinations.resume)(matter)
+                    (destinations.suspend if override.on else destinations.resume)(target)
             except NoRoom as error:
-                log("word_lost", engine=matter, why=str(error))
+                log("word_lost", engine=target, why=str(error))
         return bool(changed)
 
-    def _adopt_drain(self, on: bool, at_start: bool) -> None:
+    def _apply_drain(self, on: bool, at_start: bool) -> None:
         if on:
             self._inbound.begin_operator_drain(ALL_STEPS_REACHED_MS if at_start else 0.0)
         else:
--- a/spoolbarrow/admin/control.py
+++ b/spoolbarrow/admin/control.py
@@ -1,8 +1,8 @@
-"""The operators' listener: one call to a connection, each answered at once; nothing here waits for serving.
+"""Serves the operators' control listener: one call per connection, answered without waiting for serving.
 
-Owns the listener and the callers' connections. What a call means is `calls`' business, what the figures are
-`metrics`'. Callers that say nothing hold up nobody: their connections are few, bounded in time, and the
-oldest silent one gives way to a new one. A fault here is logged, answered 500, and reaches nothing else.
+Owns the listener and its connections. `calls` parses the calls, `metrics` holds the counters. Idle
+connections block nobody: they are few, limited in time, and the oldest is closed for a new one. An error here
+is logged, answered with 500, and affects nothing else.
 """
 
 from __future__ import annotations
@@ -30,38 +30,38 @@
 from spoolbarrow.net.observers import Observer
 from spoolbarrow.net.request import Request
 
-CALLERS = 16  # connections at once: their descriptors are set aside from the clients'
-CALL_S = 3.0  # a caller that has not said what it wants by then is told so
-LINGER_S = 0.5  # what it still sends after its answer is taken in so long
-MAX_HEAD, MAX_BODY = 8192, 4096  # bytes
-RECV = 4096
+MAX_CONNECTIONS = 16  # concurrent connections: their descriptors are reserved, apart from those of clients
+CALL_TIMEOUT_S = 3.0  # time-out of a whole call, answered with 408
+LINGER_S = 0.5  # after the response, further input is read for so long
+MAX_HEAD_BYTES, MAX_BODY_BYTES = 8192, 4096
+RECV_BYTES = 4096
 BACKLOG = 64
-OF_AGREEMENT = frozenset({Verb.VERSIONS, Verb.CHECK, Verb.ADOPT})
-ANSWERS: tuple[tuple[type[Problem], int], ...] = ((InternalError, 500), (NoRoom, 503), (Problem, 409))
-TEXT = b"text/plain; charset=utf-8"
+VERSION_VERBS = frozenset({Verb.VERSIONS, Verb.CHECK, Verb.ADOPT})
+ERROR_STATUS: tuple[tuple[type[Problem], int], ...] = ((InternalError, 500), (NoRoom, 503), (Problem, 409))
+TEXT_TYPE = b"text/plain; charset=utf-8"
 
 
-class Counting(Observer):
-    """Counts what the taps tell."""
+class RequestCounter(Observer):
+    """Counts attempts and requests in the metrics."""
 
-    def __init__(self, figures: Metrics, name: Callable[[int], str]) -> None:
-        self._figures, self._name = figures, name
+    def __init__(self, metrics: Metrics, name: Callable[[int], str]) -> None:
+        self._metrics, self._name = metrics, name
 
     def attempt_sent(self, attempt: object) -> None:
-        """An attempt's last byte is written."""
-        self._figures.tried()
+        """Counts an attempt whose last byte is written."""
+        self._metrics.count_attempt()
 
     def request_answered(self, request: Request) -> None:
-        """A request has its answer."""
-        self._figures.answered(request.class_name, request.answer_kind)
+        """Counts a request with a final response."""
+        self._metrics.count_result(request.class_name, request.answer_kind)
 
     def request_declined(self, cls: int, how: str) -> None:
-        """A request was answered without being taken."""
-        self._figures.answered(self._name(cls), how)
+        """Counts a request that was answered without being admitted."""
+        self._metrics.count_result(self._name(cls), how)
 
 
 def listen(address: Address) -> socket.socket:
-    """A listener; CannotListen where the address can't be had."""
+    """Open a listening socket; raises CannotListen if the address is unavailable."""
     try:
         return http1.listen(address, BACKLOG)
     except OSError as error:
@@ -69,37 +69,41 @@
 
 
 class Versions(Protocol):
-    """Who tells which versions this process acts on, where that is on."""
+    """Tells the versions that this process acts on, if that is enabled."""
 
     def status(self) -> dict[str, Any]:
-        """Every version as it is now."""
+        """All versions as of now."""
         ...
 
     def check(self) -> dict[str, Any]:
-        """What would be acted on with the files as they are; ConfigError where they can't be used."""
+        """What the current files would change to; raises ConfigError if they are invalid."""
         ...
 
     def adopt(self, wanted: str) -> None:
-        """Act on the files of this digest; a Problem where that fails."""
+        """Apply the files with this digest; raises a Problem if that fails."""
         ...
 
 
-class Control:
-    """The listener and what its callers may do."""
+class ControlListener:
+    """The listener and its handling of calls."""
 
     def __init__(
-        self, host: Host, inbound: Inbound, orders: OperatorCommands, agreement: Callable[[], Versions | None]
+        self,
+        host: Host,
+        inbound: Inbound,
+        commands: OperatorCommands,
+        agreement: Callable[[], Versions | None],
     ) -> None:
-        self._host, self._inbound, self._orders, self._agreement = host, inbound, orders, agreement
-        self.figures = Metrics(host.config.classes)
-        self._counting = Counting(self.figures, self._class)
-        host.observers.add(self._counting)
-        self._silent: dict[socket.socket, gevent.Greenlet[..., None]] = {}  # oldest first
+        self._host, self._inbound, self._commands, self._agreement = host, inbound, commands, agreement
+        self.metrics = Metrics(host.config.classes)
+        self._counter = RequestCounter(self.metrics, self._class_name)
+        host.observers.add(self._counter)
+        self._connections: dict[socket.socket, gevent.Greenlet[..., None]] = {}  # oldest first
         self._listener: socket.socket | None = None
         self._accepting: gevent.Greenlet[..., None] | None = None
 
-    def move(self, listener: socket.socket) -> None:
-        """Answer calls that come by this listener, and by no other."""
+    def serve_on(self, listener: socket.socket) -> None:
+        """Accept calls on this listener only, closing the one before."""
         self._stop_listening()
         self._listener = listener
         self._accepting = gevent.spawn(self._accept, listener)
@@ -111,76 +115,76 @@
             self._listener.close()
 
     def close(self) -> None:
-        """Stop listening; callers under way are cut off."""
-        self._host.observers.remove(self._counting)
+        """Stop listening; open connections are cut off."""
+        self._host.observers.remove(self._counter)
         self._stop_listening()
-        gevent.killall(list(self._silent.values()))
+        gevent.killall(list(self._connections.values()))
 
-    def _class(self, number: int) -> str:
+    def _class_name(self, number: int) -> str:
         names = list(self._host.config.classes)
         return names[number] if 0 <= number < len(names) else ""
 
     def _accept(self, listener: socket.socket) -> None:
         while True:
             sock = next_connection(listener, lambda error: log("control_paused", why=str(error)))
-            if len(self._silent) >= CALLERS:
-                gevent.sleep(0)  # in a burst, none has been read yet: whose call has come is answered first
-            if len(self._silent) >= CALLERS:
-                # The one that has had most time to speak gives way.
-                oldest = next(iter(self._silent))
-                self._silent.pop(oldest).kill(block=False)
-            self._silent[sock] = gevent.spawn(self._converse, sock)
-
-    def _converse(self, sock: socket.socket) -> None:
-        parser = http1.RequestParser(MAX_HEAD, MAX_BODY)
+            if len(self._connections) >= MAX_CONNECTIONS:
+                gevent.sleep(0)  # in a burst, none has been read yet: complete calls are answered first
+            if len(self._connections) >= MAX_CONNECTIONS:
+                # Closes the oldest idle connection: it has had the most time to send its call.
+                oldest = next(iter(self._connections))
+                self._connections.pop(oldest).kill(block=False)
+            self._connections[sock] = gevent.spawn(self._handle, sock)
+
+    def _handle(self, sock: socket.socket) -> None:
+        parser = http1.RequestParser(MAX_HEAD_BYTES, MAX_BODY_BYTES)
         try:
             with sock:
                 try:
-                    with gevent.Timeout(CALL_S):
+                    with gevent.Timeout(CALL_TIMEOUT_S):
                         while not parser.complete and parser.error is None:
-                            data = sock.recv(RECV)
+                            data = sock.recv(RECV_BYTES)
                             if not data:
                                 return
                             parser.feed(memoryview(data))
                     pieces = self._answer(parser)
                 except gevent.Timeout:
-                    pieces = _refusal(BadCall(HttpError(408, "no whole call in time")))
+                    pieces = _error_response(BadCall(HttpError(408, "no complete call in time")))
                 sock.settimeout(LINGER_S)
                 http1.send_pieces(sock, pieces)
                 sock.shutdown(socket.SHUT_WR)
                 with gevent.Timeout(LINGER_S, False):  # type: ignore[arg-type]
-                    while sock.recv(RECV):  # else what is unread would reset the connection under the answer
+                    while sock.recv(RECV_BYTES):  # unread input would cause a reset that loses the response
                         pass
         except OSError:
-            pass  # the caller has gone
+            pass  # the caller has disconnected
         except Exception as error:
             log_exception("control", error)
         finally:
-            self._silent.pop(sock, None)
+            self._connections.pop(sock, None)
 
     def _answer(self, parser: http1.RequestParser) -> list[bytes]:
         try:
             if parser.error is not None and not parser.complete:
                 raise BadCall(parser.error)
-            call = calls.read(parser.complete.popleft())
+            call = calls.parse(parser.complete.popleft())
             if call.verb is Verb.ZONES:
                 verdicts = self._host.destinations.verdicts
-                told = {"failover": "off"} if verdicts is None else {"failover": "on", "zones": verdicts}
-                return http1.response_pieces(200, orjson.dumps(told), True)
-            if call.verb in OF_AGREEMENT:
-                return self._agree(call)
-            text = self._carry_out(call)
+                body = {"failover": "off"} if verdicts is None else {"failover": "on", "zones": verdicts}
+                return http1.response_pieces(200, orjson.dumps(body), True)
+            if call.verb in VERSION_VERBS:
+                return self._handle_versions(call)
+            text = self._execute(call)
             if call.verb is Verb.METRICS:
-                return http1.response_pieces(200, text.encode(), True, kind=TEXT)
-            return http1.response_pieces(200, _told(text), True)
+                return http1.response_pieces(200, text.encode(), True, kind=TEXT_TYPE)
+            return http1.response_pieces(200, _status_body(text), True)
         except Problem as error:
-            return _refusal(error)
+            return _error_response(error)
         except Exception as error:
             log_exception("call", error)
-            return _refusal(InternalError("", "internal error"))
+            return _error_response(InternalError("", "internal error"))
 
-    def _agree(self, call: Call) -> list[bytes]:
-        """Versions told, files checked, or adopted; ConfigError where the files can't be used."""
+    def _handle_versions(self, call: Call) -> list[bytes]:
+        """Handle the calls about versions; raises ConfigError if the files are invalid."""
         agreement = self._agreement()
         if agreement is None:
             raise AgreementOff("", "the operator's file has no [agree]")
@@ -190,10 +194,10 @@
             return http1.response_pieces(200, orjson.dumps(agreement.check()), True)
         log("call", verb=call.verb.value, engine=call.engine)
         agreement.adopt(call.engine)
-        return http1.response_pieces(200, _told("adopted"), True)
+        return http1.response_pieces(200, _status_body("adopted"), True)
 
-    def _carry_out(self, call: Call) -> str:
-        """The answer's text; a Problem where it is no."""
+    def _execute(self, call: Call) -> str:
+        """The text of the response; raises a Problem if the call fails."""
         verb = call.verb
         if verb is Verb.READY:
             if not self._inbound.can_serve():
@@ -202,36 +206,36 @@
         if verb is Verb.METRICS:
             known, skipped = self._host.endpoint_counts()
             inbound = self._inbound
-            return self.figures.write(
+            return self.metrics.format(
                 self._host.in_progress(), known, skipped, len(inbound.clients()), inbound.drainer.log.counts
             )
         log("call", verb=verb.value, engine=call.engine)
         if verb is Verb.DRAIN:
-            self._orders.drain()
+            self._commands.drain()
         elif verb is Verb.ACTIVATE:
-            self._orders.activate()
+            self._commands.activate()
         else:
-            self._engine(call)
+            self._execute_on_engine(call)
         return str(verb.value)
 
-    def _engine(self, call: Call) -> None:
+    def _execute_on_engine(self, call: Call) -> None:
         if not self._host.destinations.has(call.engine):
             raise NoSuchEngine("", "no such engine")
         if call.verb is Verb.RESUME:
-            return self._orders.resume(call.engine)
-        self._orders.suspend(call.engine)
+            return self._commands.resume(call.engine)
+        self._commands.suspend(call.engine)
 
 
-def _told(text: str) -> bytes:
+def _status_body(text: str) -> bytes:
     return orjson.dumps({"status": text})
 
 
-def _refusal(error: Problem) -> list[bytes]:
-    """The answer to a call that is not carried out: what is wrong, and what can be done."""
+def _error_response(error: Problem) -> list[bytes]:
+    """The response to a failed call: the error and its remedy."""
     headers: tuple[bytes, ...] = ()
     if isinstance(error, CallFault):
         status, headers = error.answer, error.headers
     else:
-        status = next(status for kind, status in ANSWERS if isinstance(error, kind))
-    told = {"message": str(error), "code": status, "remedy": error.remedy}
-    return http1.response_pieces(status, orjson.dumps({"error": told}), True, *headers)
+        status = next(status for kind, status in ERROR_STATUS if isinstance(error, kind))
+    body = {"message": str(error), "code": status, "remedy": error.remedy}
+    return http1.response_pieces(status, orjson.dumps({"error": body}), True, *headers)
--- a/spoolbarrow/admin/coordinator.py
+++ b/spoolbarrow/admin/coordinator.py
@@ -1,8 +1,8 @@
-"""The operators' side of one process: its listener, the orders that hold, the router's other processes.
+"""Connects one process's control listener, operators' commands and handover to the router's other processes.
 
-Joins what `control`, `commands`, `state` and `handover` own; `serve` starts it where operators call or a
-listening socket is inherited. It keeps the configuration as it was read: while another process of the router
-lives, only a part of the room is this one's.
+Joins `control`, `commands`, `state` and `handover`; `serve` creates it if there is a control listener or an
+inherited listening socket. It keeps the configuration as it was read: while another process of the router
+lives, this one gets only a part of the connection limits.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 from spoolbarrow import handover
 from spoolbarrow.admin import overrides, state
 from spoolbarrow.admin.commands import OperatorCommands
-from spoolbarrow.admin.control import Control, Versions, listen
+from spoolbarrow.admin.control import ControlListener, Versions, listen
 from spoolbarrow.config import Config
 from spoolbarrow.handover import Handover, HandoverDataError
 from spoolbarrow.net import connection_handover
@@ -32,17 +32,17 @@
 
 
 class Coordinator:
-    """From the start of a process to its end."""
+    """Lives from the start of a process to its end."""
 
     def __init__(self, config: Config) -> None:
-        """ConfigError where what is inherited can't be used."""
+        """Raises ConfigError if the inherited socket can't be used."""
         self._config = config
         self.inherited_socket = handover.inherited_listener()
         self._handover: Handover | None = None
-        self._control: Control | None = None
-        self._shared = False  # another process lives
-        self._unheard = False  # the newer process did not say whether it took a connection
-        self.agreement: Versions | None = None  # where versions are told
+        self._control: ControlListener | None = None
+        self._shared = False  # another process is running
+        self._handover_unanswered = False  # the newer process did not say whether it took a connection
+        self.agreement: Versions | None = None  # set while versions are enabled
         directory = os.environ.get("TMPDIR")
         if directory:
             try:
@@ -51,142 +51,144 @@
                 log("handover_failed", what="folder", why=str(error))
 
     def fit(self, config: Config) -> Config:
-        """A configuration with this process's part of the room."""
+        """A configuration with this process's part of the connection limits."""
         return config if self._handover is None else self._handover.divide_limits(config)
 
     def clock(self) -> Clock:
-        """The clock that all processes of this router go by."""
+        """The clock shared by all processes of this router."""
         return Clock(None if self._handover is None else self._handover.clock_offset_s)
 
     def is_oldest(self) -> bool:
-        """Whether no older process of this router lives."""
+        """Whether no older process of this router is running."""
         return self._handover is None or not self._handover.older
 
     def has_successor(self) -> bool:
-        """Whether a newer process takes clients from the same socket."""
+        """Whether a newer process accepts clients from the same socket."""
         return self.inherited_socket is not None and self._handover is not None and bool(self._handover.newer)
 
     def start(self, host: Host, inbound: Inbound) -> None:
-        """Take over what an older process passes on, and begin to decide; CannotListen for calls."""
+        """Take over an older process's state and start deciding; raises CannotListen."""
         self._host, self._inbound = host, inbound
-        self._orders = orders = OperatorCommands(host, inbound)
-        passed = None
+        self._commands = commands = OperatorCommands(host, inbound)
+        received = None
         if self._handover is not None:
             dead = self._handover.refresh_peers()
-            self._adopt(self._handover.read_peer_overrides(dead), at_start=True)
+            self._apply_remote(self._handover.read_peer_overrides(dead), at_start=True)
             self._handover.remove_files(dead)
-            orders.tell = self._tell
-            self._tell()  # what the dead were told is this process's to pass on from here
-            passed = self._read_state(self._handover.await_state())
-        if passed is None:
+            commands.publish = self._publish
+            self._publish()  # this process publishes the overrides of dead processes from here on
+            received = self._read_state(self._handover.await_state())
+        if received is None:
             host.start()
         else:
-            given = passed
-            host.start(passed.known, passed.resumed, lambda router: state.restore(given, router))
+            previous = received
+            host.start(received.known, received.resumed, lambda router: state.restore(previous, router))
         if self._config.control is not None:
-            self._control = Control(host, inbound, orders, lambda: self.agreement)
-            self._control.move(listen(self._config.control))
+            self._control = ControlListener(host, inbound, commands, lambda: self.agreement)
+            self._control.serve_on(listen(self._config.control))
         if self._handover is not None and self.inherited_socket is not None:
-            self._handover.start(self._update_limits, self._adopt, self._write_state)
+            self._handover.start(self._update_limits, self._apply_remote, self._write_state)
             try:
                 self._handover.listen_for_streams(partial(connection_handover.receive, host, inbound))
             except OSError as error:
-                log("handover_failed", what="streams", why=str(error))  # a path that is too long, say
+                log("handover_failed", what="streams", why=str(error))  # for example a path that is too long
 
     def drain(self) -> Callable[[ClientConnection], bool] | None:
-        """SIGTERM has come: what passes idle connections on, where a newer process takes clients.
+        """Begin shutting down; returns what hands over idle connections, if a newer process accepts clients.
 
-        Streams that last pass on to it by themselves.
+        Long streams are handed over to it later, by a timer.
         """
         if self._handover is not None:
             with suppress(OSError):
-                self._handover.refresh_peers()  # the newer one may have ended since the last look
+                self._handover.refresh_peers()  # the newer process may have ended since the last scan
         if not self.has_successor():
             return None
         gevent.spawn_later(
-            shutdown_schedule(self._inbound.config, True).handover_ms / 1000, self._pass_streams
+            shutdown_schedule(self._inbound.config, True).handover_ms / 1000, self._start_stream_handover
         )
         return self._give_idle
 
     def _give_idle(self, client: ClientConnection) -> bool:
-        """Whether the next idle connection may be tried, too.
+        """Hand over an idle connection; returns whether the next one may be tried.
 
-        One whose next request is coming in is served here, and that is no reason to give up on the others.
+        A connection with a request coming in is served here, which does not stop the handover of others.
         """
-        if self._unheard:
+        if self._handover_unanswered:
             return False
         if client.has_unread() or connection_handover.send_idle(client, self._send_idle):
             return True
-        return not client.idle() or client.has_unread()  # its request came just now
+        return not client.idle() or client.has_unread()  # its request has just arrived
 
     def _send_idle(self, text: bytes, descriptors: Sequence[int]) -> bool | None:
         assert self._handover is not None
-        taken = self._handover.send_stream(text, descriptors)
-        # Guards the others: each would wait in vain, and longer than this process lives.
-        self._unheard = taken is None
-        return taken
+        accepted = self._handover.send_stream(text, descriptors)
+        # The other connections are not tried: each would wait in vain, and longer than this process lives.
+        self._handover_unanswered = accepted is None
+        return accepted
 
-    def _pass_streams(self) -> None:
-        self._host.hand_over = self._give
+    def _start_stream_handover(self) -> None:
+        self._host.hand_over = self._give_stream
 
-    def _give(self, underway: InFlightAttempt) -> bool:
+    def _give_stream(self, attempt: InFlightAttempt) -> bool:
         assert self._handover is not None
-        return connection_handover.send_stream(self._host, underway, self._send_stream)
+        return connection_handover.send_stream(self._host, attempt, self._send_stream)
 
     def _send_stream(self, text: bytes, descriptors: Sequence[int]) -> bool | None:
         assert self._handover is not None
-        taken = self._handover.send_stream(text, descriptors)
-        if not taken:
-            self._host.hand_over = None  # the clock of the drain sees to the rest
-        return taken
+        accepted = self._handover.send_stream(text, descriptors)
+        if not accepted:
+            self._host.hand_over = None  # the drain schedule handles the remaining streams
+        return accepted
 
     def prepare(self, config: Config) -> socket.socket | None:
-        """What a new configuration needs that can fail: CannotListen, and nothing is changed."""
-        moved = config.control != self._config.control
-        return listen(config.control) if moved and config.control is not None else None
+        """Do what can fail for a new configuration: raises CannotListen, changing nothing."""
+        address_changed = config.control != self._config.control
+        return listen(config.control) if address_changed and config.control is not None else None
 
     def apply(self, config: Config, listener: socket.socket | None) -> None:
-        """Go by a new configuration, with what was prepared for it."""
-        moved, self._config = config.control != self._config.control, config
+        """Apply a new configuration, with the listener prepared for it."""
+        address_changed, self._config = config.control != self._config.control, config
         if listener is not None:
             if self._control is None:
-                self._control = Control(self._host, self._inbound, self._orders, lambda: self.agreement)
-            self._control.move(listener)
-        elif moved and self._control is not None:
+                self._control = ControlListener(
+                    self._host, self._inbound, self._commands, lambda: self.agreement
+                )
+            self._control.serve_on(listener)
+        elif address_changed and self._control is not None:
             self._control.close()
             self._control = None
         if self._control is not None:
-            self._control.figures.name(config.classes)
+            self._control.metrics.add_classes(config.classes)
 
     def close(self) -> None:
-        """End."""
+        """Stop listening and leave the handover."""
         if self._control is not None:
             self._control.close()
         if self._handover is not None:
             self._handover.close()
 
     def _update_limits(self) -> None:
-        """Guards the limits of the router: two processes have them together."""
+        """Apply the connection limits anew: two processes share those of the router."""
         shared = self._handover is not None and self._handover.has_peers()
         if shared is not self._shared:
             self._shared = shared
-            fitting = self.fit(self._config)
-            self._inbound.config = fitting
-            self._host.apply(fitting)
+            fitted = self.fit(self._config)
+            self._inbound.config = fitted
+            self._host.apply(fitted)
 
-    def _tell(self) -> None:
+    def _publish(self) -> None:
         assert self._handover is not None
-        self._handover.write_overrides(self._orders.words.encode(self._config.name))
+        self._handover.write_overrides(self._commands.overrides.encode(self._config.name))
 
-    def _adopt(self, texts: list[bytes], at_start: bool = False) -> None:
+    def _apply_remote(self, texts: list[bytes], at_start: bool = False) -> None:
         changed = False
         for text in texts:
             try:
-                changed |= self._orders.apply_remote(overrides.decode(text, self._config.name), at_start)
+                changed |= self._commands.apply_remote(overrides.decode(text, self._config.name), at_start)
             except HandoverDataError as error:
                 log("handover_failed", what="words", why=str(error), remedy=error.remedy)
         if changed:
-            self._tell()
+            self._publish()
 
     def _write_state(self) -> bytes:
         known, resumed = self._host.destinations.export()
@@ -195,7 +197,7 @@
     def _read_state(self, text: bytes | None) -> state.State | None:
         if text is None:
             if not self.is_oldest():
-                log("handover_failed", what="state", why="none came")
+                log("handover_failed", what="state", why="none received")
             return None
         try:
             return state.decode(text, self._config.name)
--- a/spoolbarrow/admin/metrics.py
+++ b/spoolbarrow/admin/metrics.py
@@ -1,7 +1,7 @@
-"""The figures that operators fetch: counts since the process began, and how they are written.
+"""Counts requests by class and result since the start, and formats the metrics that operators fetch.
 
-Owns the counts by class; what can be read off the router at any time (requests in progress, engines) is
-handed in. Each request is counted once, when its answer is settled. Free of I/O.
+Owns the counters by class; values that can be read from the router at any time (requests in progress,
+engines) are passed in. Each request is counted once, when its response is final. Free of I/O.
 """
 
 from __future__ import annotations
@@ -14,49 +14,49 @@
 PREFIX = "router"
 
 
-class Fate(Enum):
-    """What a request came to; the value is the figure's name."""
+class Result(Enum):
+    """The result of a request; the value is part of the metric's name."""
 
     PASSED = "passed"
     DROPPED = "dropped"
     BAD_GATEWAY = "bad_gateway"
 
 
-# By the host's word for an answer. A client that left is counted nowhere: nobody was answered.
-FATES = {
-    "served": Fate.PASSED,
-    "moved": Fate.PASSED,  # its client goes on with the rest elsewhere
-    "fail_fast": Fate.DROPPED,
-    "failed": Fate.BAD_GATEWAY,
-    "rejected": Fate.BAD_GATEWAY,
-    "broken": Fate.BAD_GATEWAY,
+# By the host's result of a response. A request whose client disconnected is not counted: it got no response.
+RESULTS = {
+    "served": Result.PASSED,
+    "moved": Result.PASSED,  # its client resumes the rest elsewhere
+    "fail_fast": Result.DROPPED,
+    "failed": Result.BAD_GATEWAY,
+    "rejected": Result.BAD_GATEWAY,
+    "broken": Result.BAD_GATEWAY,
 }
 
 
 class Metrics:
-    """Counts of what became of requests, for each class."""
+    """Counters of results by class."""
 
     def __init__(self, classes: Iterable[str]) -> None:
-        self._counts: dict[str, dict[Fate, int]] = {}
+        self._counts: dict[str, dict[Result, int]] = {}
         self.upstream_tries = 0
-        self.name(classes)
+        self.add_classes(classes)
 
-    def name(self, classes: Iterable[str]) -> None:
-        """Classes that are told from now on, from zero; those of before keep their counts."""
+    def add_classes(self, classes: Iterable[str]) -> None:
+        """Add classes with counters at zero; existing ones keep their counts."""
         for name in classes:
-            self._counts.setdefault(name, dict.fromkeys(Fate, 0))
+            self._counts.setdefault(name, dict.fromkeys(Result, 0))
 
-    def answered(self, cls: str, how: str) -> None:
-        """A request of that class has its answer; words that are not in FATES count nowhere."""
-        fate, counts = FATES.get(how), self._counts.get(cls)
-        if fate is not None and counts is not None:
-            counts[fate] += 1
+    def count_result(self, cls: str, outcome: str) -> None:
+        """Count a final response of a class; results that are not in RESULTS are ignored."""
+        result, counts = RESULTS.get(outcome), self._counts.get(cls)
+        if result is not None and counts is not None:
+            counts[result] += 1
 
-    def tried(self) -> None:
-        """An attempt was written whole to an engine."""
+    def count_attempt(self) -> None:
+        """Count an attempt that was written to an engine completely."""
         self.upstream_tries += 1
 
-    def write(
+    def format(
         self,
         in_progress: int,
         known_engines: int,
@@ -64,13 +64,13 @@
         client_connections: int,
         drains: DrainCounts,
     ) -> str:
-        """All figures, `name=value` a line."""
-        told = {
-            f"handled.{cls}.{fate.value}": count
+        """All metrics, one `name=value` per line."""
+        values = {
+            f"handled.{cls}.{result.value}": count
             for cls, counts in self._counts.items()
-            for fate, count in counts.items()
+            for result, count in counts.items()
         }
-        told |= {
+        values |= {
             "upstream_tries": self.upstream_tries,
             "in_progress": in_progress,
             "known_engines": known_engines,
@@ -80,4 +80,4 @@
             "drains.refused": drains.refused,
             "drains.closed": drains.closed,
         }
-        return "".join(f"{PREFIX}.{name}={value}\n" for name, value in told.items())
+        return "".join(f"{PREFIX}.{name}={value}\n" for name, value in values.items())
--- a/spoolbarrow/admin/state.py
+++ b/spoolbarrow/admin/state.py
@@ -1,7 +1,7 @@
-"""What the next process of this router should know: the list, and what the decisions have learnt.
+"""Encodes the state handed to the next process of this router: the list, and what the decisions have learnt.
 
-Owns the form, and which attributes of the decisions are learnt and worth passing on; times in it are Unix ms,
-as the host's clock is on one machine. What is missing or does not fit is left as at a start. Free of I/O.
+Owns the format, and which learnt attributes of the decisions are worth handing over; times are Unix ms, as
+the host's clock is on one machine. Anything missing or incompatible keeps its initial value. Free of I/O.
 """
 
 from __future__ import annotations
@@ -15,8 +15,8 @@
 from spoolbarrow.handover import HandoverDataError
 from spoolbarrow.router import Entitlement, Router
 
-VERSION = 2  # 1 told what was learnt by positions of classes, tenants and zones
-MOST_HEAT = 2000  # prefixes whose counts are passed on, the most used ones
+VERSION = 2  # 1 identified classes, tenants and zones by position
+MAX_HEAT_PREFIXES = 2000  # prefixes whose counts are handed over, the most used ones
 # Keys in the state, with the attributes of the decisions that they hold.
 OF_ROUTER = {"hedges": "hedge_budget"}
 OF_POOL = {
@@ -46,7 +46,7 @@
     "strikes": "suspect_count",
     "silent": "unresponsive",
 }
-OF_ENTITLEMENT = {  # not what is in flight there
+OF_ENTITLEMENT = {  # without requests in flight
     "burst": "burst",
     "debt": "debt",
     "used": "used_tokens",
@@ -57,19 +57,19 @@
 
 
 class State(Struct):
-    """One process's knowledge, for another process of the same version."""
+    """The state of one process, for another process of the same version."""
 
     v: int
     name: str
     known: HostList
-    resumed: dict[str, float]  # when operators took an engine back
+    resumed: dict[str, float]  # when operators resumed an engine
     router: dict[str, Any]
     pool: dict[str, Any]
     heat: dict[str, float]
     replicas: dict[str, dict[str, Any]]
-    # By name; by position where there is none.
+    # Keyed by name, or by position if it has none.
     classes: dict[str, dict[str, Any]]
-    zones: dict[str, tuple[float, float, float]]  # load, memory, when last heard of
+    zones: dict[str, tuple[float, float, float]]  # load, memory, time of the last report
     entitlements: dict[str, dict[str, float]]
 
 
@@ -78,9 +78,9 @@
 
 
 def encode(name: str, known: HostList, resumed: dict[str, float], router: Router) -> bytes:
-    """The text of a state."""
+    """Encode a state."""
     pool = router.pool
-    hottest = sorted(pool.prefix_counts.items(), key=lambda item: -item[1])[:MOST_HEAT]
+    hottest = sorted(pool.prefix_counts.items(), key=lambda item: -item[1])[:MAX_HEAT_PREFIXES]
     return msgspec.json.encode(
         State(
             VERSION,
@@ -102,7 +102,7 @@
 
 
 def decode(text: bytes, name: str) -> State:
-    """The state in a text; HandoverDataError where it is torn, of another version or another router."""
+    """Decode a state; raises HandoverDataError if it is torn, of another version or another router."""
     try:
         state = msgspec.json.decode(text, type=State)
     except msgspec.DecodeError as error:
@@ -113,15 +113,15 @@
 
 
 def restore(state: State, router: Router) -> None:
-    """Have the decisions know it, once they have the list; names that they do not have are left out."""
+    """Restore the state into a router that has the list; names that it lacks are skipped."""
     pool = router.pool
     _put(router, OF_ROUTER, state.router)
     _put(pool, OF_POOL, state.pool)
     pool.prefix_counts = {int(prefix): heat for prefix, heat in state.heat.items()}
-    for id, told in state.replicas.items():
+    for id, values in state.replicas.items():
         replica = pool.replicas.get(id)
         if replica is not None:
-            _put(replica, OF_REPLICA, told)
+            _put(replica, OF_REPLICA, values)
     for cls, learnt in router.class_stats.items():
         _put(learnt, OF_CLASS, state.classes.get(str(cls), {}))
     for n, zone in enumerate(pool.zone_keys):
@@ -134,7 +134,7 @@
 
 
 def _put(thing: object, names: dict[str, str], told: dict[str, Any]) -> None:
-    """Take over values of the type and, for tables, the size that is there: others are another program's."""
+    """Copy values of the same type and list size: others belong to another program version."""
     for key, name in names.items():
         old, new = getattr(thing, name), told.get(key)
         if isinstance(old, float) and isinstance(new, int) and not isinstance(new, bool):
--- a/spoolbarrow/cli/agree.py
+++ b/spoolbarrow/cli/agree.py
@@ -1,4 +1,4 @@
-"""`spoolbarrow agree`: what versions routers act on, and a change that all of them take or none."""
+"""`spoolbarrow agree`: compares the versions routers act on, and changes settings on all or none."""
 
 from __future__ import annotations
 
@@ -8,22 +8,22 @@
 from msgspec import Struct
 
 from spoolbarrow.agree import COMPARED_ITEMS, Version, VersionedItem, digest, find_differences
-from spoolbarrow.cli import tell
+from spoolbarrow.cli import print_problem
 from spoolbarrow.cli.errors import NoAnswer, Refused
-from spoolbarrow.cli.http_client import request_json, understood
+from spoolbarrow.cli.http_client import convert_response, request_json
 
 T = TypeVar("T")
-DRAINED = digest(True)
+DRAINED_DIGEST = digest(True)
 routers = click.argument("routers", nargs=-1, required=True, metavar="HOST:PORT...")
 
 
 @click.group(name="agree")
 def command() -> None:
-    """What routers act on, asked at their control listeners."""
+    """Versions of settings that routers act on, read from their control listeners."""
 
 
-class Told(Struct):
-    """What a router acts on."""
+class VersionsResponse(Struct):
+    """The versions that a router acts on."""
 
     router: str
     now_ms: float
@@ -31,78 +31,84 @@
     versions: dict[VersionedItem, Version]
 
 
-class Checked(Struct):
-    """What a router would act on."""
+class CheckResponse(Struct):
+    """The version that a router's files contain."""
 
     router: str
     revision: int
     files: str
 
 
-class Adopted(Struct):
-    """That a router acts on what was checked."""
+class AdoptResponse(Struct):
+    """Confirms that a router acts on the checked files."""
 
     status: str
 
 
-class _No(Struct):
+class _ErrorBody(Struct):
     message: str = "no"
     remedy: str = ""
 
 
-class _Refusal(Struct):
-    error: _No
+class _ErrorResponse(Struct):
+    error: _ErrorBody
 
 
-def _ask(router: str, method: str, path: str, kind: type[T]) -> T:
-    """A router's answer; NoAnswer or Refused where it is none or no."""
-    status, told = request_json(router, method, f"/v1/{path}")
+def _request(router: str, method: str, path: str, kind: type[T]) -> T:
+    """A router's response; raises NoAnswer or Refused if there is none or it is an error."""
+    status, body = request_json(router, method, f"/v1/{path}")
     if status != 200:
-        fault = understood(router, told, _Refusal).error
-        raise Refused(router, fault.message, fault.remedy)
-    return understood(router, told, kind)
+        error = convert_response(router, body, _ErrorResponse).error
+        raise Refused(router, error.message, error.remedy)
+    return convert_response(router, body, kind)
 
 
-def _ask_all(routers: tuple[str, ...], method: str, path: str, kind: type[T]) -> tuple[dict[str, T], bool]:
-    """The answers by router; why others gave none is printed."""
-    found = {}
+def _request_all(
+    routers: tuple[str, ...], method: str, path: str, kind: type[T]
+) -> tuple[dict[str, T], bool]:
+    """The responses by router, and whether all responded; errors are printed."""
+    responses = {}
     for router in routers:
         try:
-            found[router] = _ask(router, method, path, kind)
+            responses[router] = _request(router, method, path, kind)
         except (NoAnswer, Refused) as error:
-            tell(error, err=False)
-    return found, len(found) == len(routers)
+            print_problem(error, err=False)
+    return responses, len(responses) == len(routers)
 
 
-def _short(version: Version) -> str:
+def _format_version(version: Version) -> str:
     return f"{version.number} {version.digest}" if version.number else version.digest
 
 
 def _status(routers: tuple[str, ...], within_s: float | None) -> int:
-    answers, whole = _ask_all(routers, "GET", "versions", Told)
-    if not answers:
+    responses, complete = _request_all(routers, "GET", "versions", VersionsResponse)
+    if not responses:
         return 1
-    told = {f"{its.router} ({router})": its.versions for router, its in answers.items()}
-    now = max(its.now_ms for its in answers.values())
-    within = min(its.within_s for its in answers.values()) if within_s is None else within_s
-    found = {one.item: one for one in find_differences(told)}
-    status = 0 if whole else 1
+    versions_by_router = {
+        f"{response.router} ({router})": response.versions for router, response in responses.items()
+    }
+    now = max(response.now_ms for response in responses.values())
+    within = min(response.within_s for response in responses.values()) if within_s is None else within_s
+    differing = {difference.item: difference for difference in find_differences(versions_by_router)}
+    status = 0 if complete else 1
     for item in COMPARED_ITEMS:
-        if item not in found:
-            version = next((versions[item] for versions in told.values() if item in versions), None)
+        if item not in differing:
+            version = next(
+                (versions[item] for versions in versions_by_router.values() if item in versions), None
+            )
             if version is None:
-                continue  # what is off at all of them is not told
-            click.echo(f"{item.value}: all {len(told)} act on {_short(version)}")
+                continue  # off at all routers
+            click.echo(f"{item.value}: all {len(versions_by_router)} act on {_format_version(version)}")
             continue
-        for_s = max(0.0, now - found[item].since_ms) / 1000.0
-        late = for_s > within
-        status = 1 if late else status
-        beyond = f", more than {within:g}" if late else ""
-        click.echo(f"{item.value}: contradict for {for_s:.1f} s{beyond}")
-        for contents, (number, names) in found[item].routers.items():
-            click.echo(f"  {_short(Version(number, contents, 0.0))}: {', '.join(names)}")
-    for name, versions in told.items():
-        if VersionedItem.DRAIN in versions and versions[VersionedItem.DRAIN].digest == DRAINED:
+        duration_s = max(0.0, now - differing[item].since_ms) / 1000.0
+        too_long = duration_s > within
+        status = 1 if too_long else status
+        excess = f", more than {within:g}" if too_long else ""
+        click.echo(f"{item.value}: contradict for {duration_s:.1f} s{excess}")
+        for contents, (number, names) in differing[item].routers.items():
+            click.echo(f"  {_format_version(Version(number, contents, 0.0))}: {', '.join(names)}")
+    for name, versions in versions_by_router.items():
+        if VersionedItem.DRAIN in versions and versions[VersionedItem.DRAIN].digest == DRAINED_DIGEST:
             click.echo(f"drained by hand: {name}")
     return status
 
@@ -111,43 +117,43 @@
 @routers
 @click.option("--within", type=click.FloatRange(min=0), help="Seconds of contradiction allowed.")
 def status(routers: tuple[str, ...], within: float | None) -> int:
-    """Print each item's version; exit status 1 where routers contradict for too long, or do not answer."""
+    """Print each item's version; exit status 1 if routers contradict for too long, or don't respond."""
     return _status(routers, within)
 
 
 def _check(routers: tuple[str, ...]) -> str:
-    """The digest of the files that all routers would act on; empty, reasons printed, where not all would."""
-    answers, whole = _ask_all(routers, "GET", "settings/check", Checked)
-    wanted: dict[str, list[str]] = {}
-    for router, told in answers.items():
-        wanted.setdefault(told.files, []).append(f"{told.router} ({router})")
-    if len(wanted) > 1:
+    """The digest of the files, if all routers would act on the same; else empty, with the reasons printed."""
+    responses, complete = _request_all(routers, "GET", "settings/check", CheckResponse)
+    by_digest: dict[str, list[str]] = {}
+    for router, response in responses.items():
+        by_digest.setdefault(response.files, []).append(f"{response.router} ({router})")
+    if len(by_digest) > 1:
         click.echo("the files differ:")
-        for contents, names in wanted.items():
+        for contents, names in by_digest.items():
             click.echo(f"  {contents}: {', '.join(names)}")
-    elif whole:
-        revision = next(iter(answers.values())).revision
-        click.echo(f"all {len(answers)} would act on revision {revision}, {next(iter(wanted))}")
-        return next(iter(wanted))
+    elif complete:
+        revision = next(iter(responses.values())).revision
+        click.echo(f"all {len(responses)} would act on revision {revision}, {next(iter(by_digest))}")
+        return next(iter(by_digest))
     return ""
 
 
 @command.command()
 @routers
 def check(routers: tuple[str, ...]) -> int:
-    """Have each router read its files as at SIGHUP and tell what it would act on; nothing is changed."""
+    """Have each router read its files as at SIGHUP and report what it would act on; nothing is changed."""
     return 0 if _check(routers) else 1
 
 
 @command.command()
 @routers
 def apply(routers: tuple[str, ...]) -> int:
-    """Check the files of all routers and, where all would act on the same, have each act on them."""
+    """Check the files of all routers and, if all would act on the same, have each apply them."""
     contents = _check(routers)
     if not contents:
         click.echo("nothing is changed")
         return 1
-    _, whole = _ask_all(routers, "POST", f"settings/adopt/{contents}", Adopted)
-    if not whole:
-        click.echo("not all have adopted it: say it again, or put the old files back under a higher revision")
-    return max(_status(routers, None), 0 if whole else 1)
+    _, complete = _request_all(routers, "POST", f"settings/adopt/{contents}", AdoptResponse)
+    if not complete:
+        click.echo("not all routers adopted it: repeat, or restore the old files with a higher revision")
+    return max(_status(routers, None), 0 if complete else 1)
--- a/spoolbarrow/cli/check.py
+++ b/spoolbarrow/cli/check.py
@@ -1,4 +1,4 @@
-"""`spoolbarrow check`: both configuration files, every fault with its key."""
+"""`spoolbarrow check`: validates both configuration files and prints each error with its key."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 from spoolbarrow import config as platform_config
 from spoolbarrow import operator
-from spoolbarrow.cli import tell
+from spoolbarrow.cli import print_problem
 
 
 @click.command()
@@ -18,31 +18,31 @@
 def command(config: Path | None, file: Path | None) -> int:
     """Check both configuration files as `serve` would read them.
 
-    Prints each fault with its key, and below it what would put it right; exit status 2 where there is one.
+    Prints each error with its key, and its remedy below; exit status 2 if there is any.
     """
     environment = dict(os.environ)
     if config is not None:
         environment["NODE_CONFIG"] = str(config)
     if file is not None:
         environment[operator.FILE_VARIABLE] = str(file)
-    told, faults_of_operator = operator.read(environment)
-    faults_of_config = _faults_of_config(environment)
-    if told.failover is not None and not faults_of_config:
+    operator_settings, operator_faults = operator.read(environment)
+    config_faults = _read_config_faults(environment)
+    if operator_settings.failover is not None and not config_faults:
         zones = platform_config.parse(platform_config.read(environment)).zones
-        faults_of_operator += operator.zone_faults(told.failover, zones)
-    found = [("config", faults_of_config), ("operator", faults_of_operator)]
-    for name, faults in found:
+        operator_faults += operator.zone_faults(operator_settings.failover, zones)
+    by_file = [("config", config_faults), ("operator", operator_faults)]
+    for name, faults in by_file:
         for fault in faults:
-            tell(fault, f"{name}: ", err=False)
-    if not operator.named(environment):
-        click.echo("operator: no file is named: what it sets is off")
-    if any(faults for _, faults in found):
+            print_problem(fault, f"{name}: ", err=False)
+    if not operator.is_configured(environment):
+        click.echo("operator: no file is named: its subsystems are off")
+    if any(faults for _, faults in by_file):
         return 2
     click.echo("no faults")
     return 0
 
 
-def _faults_of_config(environment: dict[str, str]) -> list[platform_config.ConfigError]:
+def _read_config_faults(environment: dict[str, str]) -> list[platform_config.ConfigError]:
     try:
         text = platform_config.read(environment)
     except platform_config.ConfigError as error:
--- a/spoolbarrow/cli/completion.py
+++ b/spoolbarrow/cli/completion.py
@@ -1,4 +1,4 @@
-"""`spoolbarrow completion`: what a shell must source to complete the command's words."""
+"""`spoolbarrow completion`: prints a script that a shell sources to complete commands."""
 
 from __future__ import annotations
 
@@ -12,6 +12,6 @@
 @click.argument("shell", type=click.Choice(["bash", "zsh", "fish"]))
 def command(shell: str) -> None:
     """Print a completion script: `eval "$(spoolbarrow completion bash)"`."""
-    made = get_completion_class(shell)
-    assert made is not None, "click knows each shell of the choice"
-    click.echo(made(main, {}, "spoolbarrow", "_SPOOLBARROW_COMPLETE").source())
+    completion_class = get_completion_class(shell)
+    assert completion_class is not None, "click supports each shell of the choice"
+    click.echo(completion_class(main, {}, "spoolbarrow", "_SPOOLBARROW_COMPLETE").source())
--- a/spoolbarrow/cli/errors.py
+++ b/spoolbarrow/cli/errors.py
@@ -1,4 +1,4 @@
-"""What the command line tells besides click's own errors."""
+"""Defines the errors of commands besides click's own."""
 
 from __future__ import annotations
 
@@ -6,43 +6,43 @@
 
 
 class BadArgument(Problem):
-    """An argument or option of a command can't be used."""
+    """An argument or option of a command is invalid."""
 
     status = 2
     where = "the argument or option"
-    remedy = "See what it takes by `--help` behind the command."
+    remedy = "See `--help` of the command for valid values."
 
 
 class FileUnusable(Problem):
-    """A file, directory or connection that a command needs can't be used."""
+    """A command can't use a file, directory or connection."""
 
     where = "the file or directory"
-    remedy = "Let this user read or write it, make room there, or name another."
+    remedy = "Give this user permission to read or write it, free some space, or name another."
 
 
 class NoAnswer(Problem):
-    """A router or store member that a command asks gives no answer."""
+    """A router or store member does not respond to a command."""
 
     where = "its address"
-    remedy = "See that it runs, that this is its `control` address, and that the network lets you reach it."
+    remedy = "Check that it runs, that this is its `control` address, and that the network lets you reach it."
 
 
 class Refused(Problem):
-    """A router or store member that a command asks answers no; its own remedy is told where it gives one."""
+    """A router or store member answers a command with an error; its own remedy is printed, if any."""
 
     where = "its address"
-    remedy = "Look in its log for what came before it."
+    remedy = "See the earlier lines of its log."
 
 
 class LabRunFailed(Problem):
-    """A day of the lab can't be played: a process or a socket of it failed."""
+    """A run of the lab failed because of a process or a socket."""
 
     where = "none"
-    remedy = "End what is left of earlier days, leave `--port` out, or play a smaller scenario."
+    remedy = "Stop processes left over from earlier runs, leave `--port` out, or run a smaller scenario."
 
 
 class NoResults(Problem):
-    """There is nothing to draw or compare."""
+    """There are no results to draw or compare."""
 
     where = "the directory"
-    remedy = "Play the experiment first: `spoolbarrow lab experiment FILE`."
+    remedy = "Run the experiment first: `spoolbarrow lab experiment FILE`."
--- a/spoolbarrow/cli/flows.py
+++ b/spoolbarrow/cli/flows.py
@@ -1,4 +1,4 @@
-"""`spoolbarrow flows`: collect flow records, read them, rank them, hold them against the log."""
+"""`spoolbarrow flows`: collects flow records, prints and ranks them, and checks them against the log."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from gevent.event import Event
 
 from spoolbarrow import operator
-from spoolbarrow.cli import tell
+from spoolbarrow.cli import print_problem
 from spoolbarrow.cli.errors import BadArgument
 from spoolbarrow.config import CannotListen
 from spoolbarrow.errors import MissingPackage
@@ -26,34 +26,38 @@
 from spoolbarrow.flows.collector import Listener, read_file, server_context
 from spoolbarrow.flows.decode import FlowError, Message
 
-ENTERPRISE = click.option(
+ENTERPRISE_OPTION = click.option(
     "--enterprise", default=32_473, show_default=True, help="The exporter's enterprise number."
 )
-FORM = click.option("--format", "form", type=click.Choice(["table", "json", "csv"]), default="table")
-FILES = click.argument("files", nargs=-1, required=True, type=click.Path(path_type=Path, exists=True))
-KIND = click.option("--kind", type=click.Choice([*tables.KINDS, "all"]), default="all", show_default=True)
-TEMPLATES_KEPT = 64  # messages with templates kept for the beginnings of new files, each exporter
-# What people read: the rest is in JSON and CSV.
-NOT_IN_TABLES = frozenset({"kind", "exporter", "class_index", "tenant_index", "engine_flow", "flow"})
-WIDE = 160  # columns of a table that is not written to a terminal
+FORMAT_OPTION = click.option("--format", "form", type=click.Choice(["table", "json", "csv"]), default="table")
+FILES_ARGUMENT = click.argument(
+    "files", nargs=-1, required=True, type=click.Path(path_type=Path, exists=True)
+)
+KIND_OPTION = click.option(
+    "--kind", type=click.Choice([*tables.KINDS, "all"]), default="all", show_default=True
+)
+MAX_TEMPLATE_MESSAGES = 64  # messages with templates, repeated at the start of new files, per exporter
+# Columns left out of tables for people; JSON and CSV have them.
+HIDDEN_COLUMNS = frozenset({"kind", "exporter", "class_index", "tenant_index", "engine_flow", "flow"})
+TABLE_WIDTH = 160  # columns of a table that does not go to a terminal
 
 
 @click.group()
 def command() -> None:
-    """Flow records: collect, read, rank and verify them."""
+    """Collect, read, rank and verify flow records."""
 
 
 @command.command()
 @click.argument("addresses", nargs=-1, required=True)
-@click.option("--directory", type=click.Path(path_type=Path, file_okay=False), help="Keep IPFIX files here.")
-@click.option("--file-bytes", default=64 << 20, show_default=True, help="A file is followed by another then.")
-@click.option("--ca", help="PEM: who may have signed exporters' certificates (tls://).")
-@click.option("--certificate", help="PEM: this collector's own.")
-@click.option("--key", help="PEM: its key.")
-@click.option("--records", default=0, help="End after so many records; 0: at SIGTERM.")
-@ENTERPRISE
-@FORM
-@KIND
+@click.option("--directory", type=click.Path(path_type=Path, file_okay=False), help="Store IPFIX files here.")
+@click.option("--file-bytes", default=64 << 20, show_default=True, help="Size at which a new file is begun.")
+@click.option("--ca", help="PEM: CAs trusted to sign exporters' certificates (tls://).")
+@click.option("--certificate", help="PEM: this collector's certificate.")
+@click.option("--key", help="PEM: its private key.")
+@click.option("--records", default=0, help="Stop after so many records; 0: at SIGTERM.")
+@ENTERPRISE_OPTION
+@FORMAT_OPTION
+@KIND_OPTION
 def collect(
     addresses: tuple[str, ...],
     directory: Path | None,
@@ -68,31 +72,31 @@
 ) -> int:
     """Collect at ADDRESSES (udp://IP:PORT, tcp://IP:PORT, tls://IP:PORT) until SIGTERM or SIGINT.
 
-    Prints each record, and keeps files with --directory. What could not be read is counted at the end, and
-    then the exit status is 1.
+    Prints each record, and stores files with --directory. Prints the numbers of lost records and malformed
+    messages at the end; with any, the exit status is 1.
     """
-    end, names, seen = Event(), tables.Names(), 0
-    writer = Printer(form, stream=True)
-    keeper = Keeper(directory, file_bytes) if directory is not None else None
-
-    def hear(exporter: str, message: Message, data: bytes) -> None:
-        nonlocal seen
-        if keeper is not None:
-            keeper.keep(exporter, message, data)
+    stop, names, count = Event(), tables.Names(), 0
+    writer = RowPrinter(form, stream=True)
+    store = MessageStore(directory, file_bytes) if directory is not None else None
+
+    def receive(exporter: str, message: Message, data: bytes) -> None:
+        nonlocal count
+        if store is not None:
+            store.write(exporter, message, data)
         for row in tables.rows([(exporter, message)], names):
-            if kind in ("all", row["kind"]) and not (records and seen >= records):
+            if kind in ("all", row["kind"]) and not (records and count >= records):
                 writer.row(row)
-                seen += 1
-        if records and seen >= records:
-            end.set()
+                count += 1
+        if records and count >= records:
+            stop.set()
 
-    gevent.signal_handler(signal.SIGTERM, end.set)
-    gevent.signal_handler(signal.SIGINT, end.set)
+    gevent.signal_handler(signal.SIGTERM, stop.set)
+    gevent.signal_handler(signal.SIGINT, stop.set)
     listeners: list[Listener] = []
     for text in addresses:
-        where = operator.parse_collector("ADDRESSES", text)
+        collector = operator.parse_collector("ADDRESSES", text)
         tls = None
-        if where.kind == "tls":
+        if collector.kind == "tls":
             if not (ca and certificate and key):
                 raise BadArgument(text, "tls:// needs --ca, --certificate and --key")
             try:
@@ -100,30 +104,30 @@
             except OSError as error:
                 raise BadArgument("--ca, --certificate, --key", str(error)) from error
         try:
-            listeners.append(Listener(where, enterprise, hear, tls))
+            listeners.append(Listener(collector, enterprise, receive, tls))
         except OSError as error:
             raise CannotListen(text, str(error)) from error
     click.echo(f"collecting at {' '.join(addresses)}", err=True)
-    end.wait()
+    stop.wait()
     for listener in listeners:
         listener.close()
     writer.end()
-    if keeper is not None:
-        keeper.close()
+    if store is not None:
+        store.close()
     malformed, lost = (sum(getattr(one, name) for one in listeners) for name in ("malformed", "lost"))
-    click.echo(f"{seen} records, {lost} lost by their numbers, {malformed} messages refused", err=True)
+    click.echo(f"{count} records, {lost} lost by sequence number, {malformed} messages malformed", err=True)
     return 1 if malformed or lost else 0
 
 
 @command.command()
-@FILES
-@ENTERPRISE
-@FORM
-@KIND
+@FILES_ARGUMENT
+@ENTERPRISE_OPTION
+@FORMAT_OPTION
+@KIND_OPTION
 def read(files: tuple[Path, ...], enterprise: int, form: str, kind: str) -> int:
-    """Print the records of IPFIX files, plain or zstd; exit status 1 where one is torn or malformed."""
-    reader = Reader(files, enterprise)
-    writer = Printer(form)
+    """Print the records of IPFIX files, plain or zstd; exit status 1 if one is torn or malformed."""
+    reader = RecordReader(files, enterprise)
+    writer = RowPrinter(form)
     for row in reader.rows():
         if kind in ("all", row["kind"]):
             writer.row(row)
@@ -132,14 +136,14 @@
 
 
 @command.command()
-@FILES
+@FILES_ARGUMENT
 @click.option("--by", type=click.Choice(tables.BY), default="tenant", show_default=True)
-@click.option("--start", type=click.DateTime(), help="Flows that ended from then on (UTC).")
-@click.option("--end", type=click.DateTime(), help="Flows that ended until then (UTC).")
-@click.option("--last", type=float, help="Instead: of the last so many seconds in the files.")
+@click.option("--start", type=click.DateTime(), help="Flows that ended at or after this time (UTC).")
+@click.option("--end", type=click.DateTime(), help="Flows that ended up to this time (UTC).")
+@click.option("--last", type=float, help="Instead: the last so many seconds in the files.")
 @click.option("--most", default=20, show_default=True, help="Lines.")
-@ENTERPRISE
-@FORM
+@ENTERPRISE_OPTION
+@FORMAT_OPTION
 def top(
     files: tuple[Path, ...],
     by: str,
@@ -150,27 +154,27 @@
     enterprise: int,
     form: str,
 ) -> int:
-    """Rank tenants, classes, engines or clients' addresses by what passed."""
-    reader = Reader(files, enterprise)
-    found = list(reader.rows())
+    """Rank tenants, classes, engines or client addresses by traffic."""
+    reader = RecordReader(files, enterprise)
+    rows = list(reader.rows())
     begin = start.timestamp() * 1000 if start else 0.0
     until = end.timestamp() * 1000 if end else float("inf")
     if last is not None:
-        begin = max((row["end_ms"] for row in found), default=0.0) - last * 1000
-    writer = Printer(form)
-    for rank in tables.top(found, by, begin, until)[:most]:
+        begin = max((row["end_ms"] for row in rows), default=0.0) - last * 1000
+    writer = RowPrinter(form)
+    for rank in tables.top(rows, by, begin, until)[:most]:
         writer.row({by: rank.name, **{name: getattr(rank, name) for name in rank._fields[1:]}})
     writer.end()
     return reader.status()
 
 
 @command.command()
-@FILES
+@FILES_ARGUMENT
 @click.option("--log", "log", required=True, type=click.File("rb"), help="The router's log, JSON lines.")
-@ENTERPRISE
+@ENTERPRISE_OPTION
 def verify(files: tuple[Path, ...], log: Any, enterprise: int) -> int:
-    """Hold request records against the router's log; name each difference, and exit with 1 for any."""
-    reader = Reader(files, enterprise)
+    """Check request records against the router's log; print each difference, and exit with 1 for any."""
+    reader = RecordReader(files, enterprise)
     differences = 0
     for text in tables.verify(reader.rows(), _log_lines(log)):
         differences += 1
@@ -182,15 +186,15 @@
 def _log_lines(log: Iterable[bytes]) -> Iterator[tables.Row]:
     for line in log:
         try:
-            told = orjson.loads(line)
+            entry = orjson.loads(line)
         except orjson.JSONDecodeError:
-            continue  # a line of another program, or one cut short by a crash
-        if isinstance(told, dict):
-            yield told
+            continue  # another program's line, or one truncated by a crash
+        if isinstance(entry, dict):
+            yield entry
 
 
-class Reader:
-    """The rows of several files; what is wrong with one is told, and the rest read."""
+class RecordReader:
+    """Reads the rows of several files; errors in one are printed, and the others read."""
 
     def __init__(self, files: Iterable[Path], enterprise: int) -> None:
         self._files, self._enterprise = files, enterprise
@@ -210,11 +214,11 @@
             yield from read_file(path, self._enterprise)
         except FlowError as error:
             self._faulty += 1
-            tell(error, f"{path}: ")
+            print_problem(error, f"{path}: ")
 
 
-class Printer:
-    """Rows as a table, JSON lines or CSV."""
+class RowPrinter:
+    """Prints rows as a table, JSON lines or CSV."""
 
     def __init__(self, form: str, stream: bool = False) -> None:
         self._form, self._stream = form, stream
@@ -222,25 +226,25 @@
         self._csv: dict[tuple[str, ...], Any] = {}
 
     def row(self, row: tables.Row) -> None:
-        """One more."""
+        """Print one row, or keep it for the table."""
         if self._form == "json":
             sys.stdout.buffer.write(orjson.dumps(row, option=orjson.OPT_APPEND_NEWLINE))
         elif self._form == "csv":
             columns = tuple(row)
-            if columns not in self._csv:  # connections and requests differ: each has a line of names
+            if columns not in self._csv:  # connections and requests differ in columns: one header line each
                 self._csv[columns] = csv.DictWriter(sys.stdout, columns, lineterminator="\n")
                 self._csv[columns].writeheader()
             self._csv[columns].writerow(row)
         elif self._stream:
-            told = " ".join(f"{name}={value}" for name, value in row.items() if value not in (None, ""))
-            sys.stdout.write(told + "\n")
+            text = " ".join(f"{name}={value}" for name, value in row.items() if value not in (None, ""))
+            sys.stdout.write(text + "\n")
         else:
             self._rows.append(row)
         if self._stream:
             sys.stdout.flush()
 
     def end(self) -> None:
-        """Write what waits."""
+        """Print the table and flush the output."""
         sys.stdout.flush()
         if not self._rows:
             return
@@ -249,10 +253,10 @@
             from rich.table import Table
         except ImportError as error:
             raise MissingPackage("tools", error) from error
-        console = Console(width=None if sys.stdout.isatty() else WIDE)
+        console = Console(width=None if sys.stdout.isatty() else TABLE_WIDTH)
         by_columns: dict[tuple[str, ...], Table] = {}
         for row in self._rows:
-            row = {name: value for name, value in row.items() if name not in NOT_IN_TABLES}
+            row = {name: value for name, value in row.items() if name not in HIDDEN_COLUMNS}
             table = by_columns.setdefault(tuple(row), Table(*row))
             table.add_row(*(_cell(name, value) for name, value in row.items()))
         for table in by_columns.values():
@@ -267,30 +271,30 @@
     return f"{value:.1f}" if isinstance(value, float) else str(value)
 
 
-class Keeper:
-    """Files of what is collected, one exporter each, that can be read by themselves."""
+class MessageStore:
+    """Stores collected messages in files, one per exporter, each readable without the others."""
 
-    def __init__(self, directory: Path, most_bytes: int) -> None:
+    def __init__(self, directory: Path, max_bytes: int) -> None:
         import zstandard
 
         directory.mkdir(parents=True, exist_ok=True)
-        self._directory, self._most = directory, most_bytes
-        self._packer = zstandard.ZstdCompressor(level=3)
+        self._directory, self._max_bytes = directory, max_bytes
+        self._compressor = zstandard.ZstdCompressor(level=3)
         self._files: dict[str, tuple[Any, Path]] = {}
         self._templates: dict[str, list[bytes]] = {}
         self._count = 0
 
-    def keep(self, exporter: str, message: Message, data: bytes) -> None:
+    def write(self, exporter: str, message: Message, data: bytes) -> None:
         """Write one message."""
-        known = self._templates.setdefault(exporter, [])
-        named = any("routerName" in record.values for record in message.records)
-        file, _ = self._files.get(exporter) or self._begin(exporter, known)
-        file.write(self._packer.compress(data))
+        templates = self._templates.setdefault(exporter, [])
+        has_names = any("routerName" in record.values for record in message.records)
+        file, _ = self._files.get(exporter) or self._begin(exporter, templates)
+        file.write(self._compressor.compress(data))
         file.flush()
-        if message.templates or named:
-            known.append(data)
-            del known[:-TEMPLATES_KEPT]
-        if file.tell() >= self._most:
+        if message.templates or has_names:
+            templates.append(data)
+            del templates[:-MAX_TEMPLATE_MESSAGES]
+        if file.tell() >= self._max_bytes:
             self._complete(exporter)
 
     def close(self) -> None:
@@ -298,15 +302,17 @@
         for exporter in list(self._files):
             self._complete(exporter)
 
-    def _begin(self, exporter: str, known: list[bytes]) -> tuple[Any, Path]:
+    def _begin(self, exporter: str, templates: list[bytes]) -> tuple[Any, Path]:
         self._count += 1
         host, _, port = exporter.rpartition(":")
-        safe = ipaddress.ip_address(host).exploded.replace(":", ".")
-        stamp = time.strftime("%Y%m%dT%H%M%S", time.gmtime())
-        path = self._directory / f"{stamp}-{os.getpid()}-{self._count:05d}-{safe}-{port}.ipfix.zst.part"
+        host_text = ipaddress.ip_address(host).exploded.replace(":", ".")
+        timestamp = time.strftime("%Y%m%dT%H%M%S", time.gmtime())
+        path = (
+            self._directory / f"{timestamp}-{os.getpid()}-{self._count:05d}-{host_text}-{port}.ipfix.zst.part"
+        )
         file = path.open("wb")
-        for data in known:
-            file.write(self._packer.compress(data))
+        for data in templates:
+            file.write(self._compressor.compress(data))
         self._files[exporter] = (file, path)
         return file, path
 
--- a/spoolbarrow/cli/http_client.py
+++ b/spoolbarrow/cli/http_client.py
@@ -1,4 +1,4 @@
-"""Calls that commands make to the listeners of routers and store members, each on a connection of its own."""
+"""HTTP client of commands for the listeners of routers and store members, with a new connection per call."""
 
 from __future__ import annotations
 
@@ -10,34 +10,34 @@
 
 from spoolbarrow.cli.errors import NoAnswer
 
-CALL_S = 5.0
+CALL_TIMEOUT_S = 5.0
 T = TypeVar("T")
 
 
 class Answer(NamedTuple):
-    """A status of HTTP, and the object that came with it."""
+    """An HTTP status and the JSON object of the response."""
 
     status: int
     body: dict[str, Any]
 
 
 def request_json(address: str, method: str, path: str, body: bytes = b"") -> Answer:
-    """What HOST:PORT answers; NoAnswer where nothing comes within CALL_S that can be read."""
+    """The response of HOST:PORT; raises NoAnswer without a valid one within CALL_TIMEOUT_S."""
     try:
-        connection = http.client.HTTPConnection(address, timeout=CALL_S)
+        connection = http.client.HTTPConnection(address, timeout=CALL_TIMEOUT_S)
         connection.request(method, path, body or None)
-        answer = connection.getresponse()
-        told = json.loads(answer.read())
+        response = connection.getresponse()
+        decoded = json.loads(response.read())
     except (OSError, ValueError, http.client.HTTPException) as error:
         raise NoAnswer(address, f"no answer: {error}") from error
-    if not isinstance(told, dict):
-        raise NoAnswer(address, "no answer: not an object of JSON")
-    return Answer(answer.status, told)
+    if not isinstance(decoded, dict):
+        raise NoAnswer(address, "no answer: not a JSON object")
+    return Answer(response.status, decoded)
 
 
-def understood(address: str, told: dict[str, Any], kind: type[T]) -> T:
-    """What an answer tells; NoAnswer where it is another program's, or lacks something."""
+def convert_response(address: str, body: dict[str, Any], kind: type[T]) -> T:
+    """Convert a response; raises NoAnswer if it is another program's, or lacks a field."""
     try:
-        return msgspec.convert(told, kind)
+        return msgspec.convert(body, kind)
     except msgspec.ValidationError as error:
-        raise NoAnswer(address, f"no answer that can be used: {error}") from error
+        raise NoAnswer(address, f"no answer: not as expected: {error}") from error
--- a/spoolbarrow/cli/lab.py
+++ b/spoolbarrow/cli/lab.py
@@ -1,4 +1,4 @@
-"""`spoolbarrow lab`: a model of the fleet, played in virtual time."""
+"""`spoolbarrow lab`: runs scenarios with a model of the fleet, in virtual time or on sockets."""
 
 from __future__ import annotations
 
@@ -13,28 +13,30 @@
 from spoolbarrow.errors import MissingPackage
 from spoolbarrow.lab.scenario import Scenario, change, convert, load_raw
 
-SCENARIO = click.argument("scenario", type=click.Path(path_type=Path, exists=True, dir_okay=False))
-SETS = click.option("--set", "sets", multiple=True, metavar="KEY=VALUE", help="As `engines=100`.")
+SCENARIO_ARGUMENT = click.argument("scenario", type=click.Path(path_type=Path, exists=True, dir_okay=False))
+SET_OPTION = click.option(
+    "--set", "sets", multiple=True, metavar="KEY=VALUE", help="For example `engines=100`."
+)
 
 
 @click.group()
 def command() -> None:
-    """The lab: play scenarios with the model of engines, discovery, clients and troubles."""
+    """The lab: run scenarios with a model of engines, discovery, clients and faults."""
 
 
 def read(path: Path, sets: tuple[str, ...]) -> Scenario:
-    """The scenario of a file with changes; a faulty one ends the command with status 2."""
+    """The scenario of a file with changes; if it is invalid, the command ends with status 2."""
     raw = load_raw(path)
-    for one in sets:
-        key, equals, text = one.partition("=")
+    for assignment in sets:
+        key, equals, text = assignment.partition("=")
         if not equals:
-            raise BadArgument(f"--set {one}", "wants KEY=VALUE")
-        change(raw, key, value_of(text))
+            raise BadArgument(f"--set {assignment}", "must be KEY=VALUE")
+        change(raw, key, parse_value(text))
     return convert(raw)
 
 
-def value_of(text: str) -> Any:
-    """A TOML value; what is none is taken as a string."""
+def parse_value(text: str) -> Any:
+    """Parse a TOML value; anything else is a string."""
     try:
         return tomllib.loads(f"v = {text}")["v"]
     except tomllib.TOMLDecodeError:
@@ -42,15 +44,15 @@
 
 
 @command.command()
-@SCENARIO
-@SETS
+@SCENARIO_ARGUMENT
+@SET_OPTION
 @click.option("--policy", default="spoolbarrow", show_default=True)
 @click.option("--seed", default=1, show_default=True)
-@click.option("--json", "as_json", is_flag=True, help="The whole report, on one line.")
+@click.option("--json", "as_json", is_flag=True, help="Print the whole report, on one line.")
 def simulate(scenario: Path, sets: tuple[str, ...], policy: str, seed: int, as_json: bool) -> int:
-    """Play SCENARIO in virtual time with the real decisions, or another policy.
+    """Run SCENARIO in virtual time with the real decisions, or another policy.
 
-    The same seed gives the same report, but for its last member `run`, which tells of this machine.
+    The same seed gives the same report, except for its last member `run`, which describes this machine.
     """
     from spoolbarrow.lab.policies import POLICIES
     from spoolbarrow.lab.simulate import simulate as play
@@ -58,18 +60,18 @@
     if policy not in POLICIES:
         raise BadArgument("--policy", f"one of {', '.join(POLICIES)}")
     report = play(read(scenario, sets), policy, seed)
-    tell(report, as_json)
+    print_report(report, as_json)
     return 1 if report["rules_broken"] else 0
 
 
 @command.command()
-@SCENARIO
-@SETS
+@SCENARIO_ARGUMENT
+@SET_OPTION
 @click.option("--on", type=click.Choice(["simulator", "sockets"]), default="simulator", show_default=True)
 @click.option("--seed", default=1, show_default=True)
 @click.option("--processes", default=2, show_default=True, help="For the engines, and as many for the load.")
-@click.option("--keep", type=click.Path(path_type=Path, file_okay=False), help="Routers' logs go there.")
-@click.option("--json", "as_json", is_flag=True, help="The whole report, on one line.")
+@click.option("--keep", type=click.Path(path_type=Path, file_okay=False), help="Directory for routers' logs.")
+@click.option("--json", "as_json", is_flag=True, help="Print the whole report, on one line.")
 def run(
     scenario: Path,
     sets: tuple[str, ...],
@@ -79,16 +81,16 @@
     keep: Path | None,
     as_json: bool,
 ) -> int:
-    """Play SCENARIO with the real decisions; on sockets with the real program, in real time.
+    """Run SCENARIO with the real decisions; on sockets with the real program, in real time.
 
     \b
-    Exit status: 1 where a rule was broken.
+    Exit status: 1 if a rule was broken.
     """
-    day = read(scenario, sets)
+    loaded = read(scenario, sets)
     if on == "simulator":
         from spoolbarrow.lab.simulate import simulate as play
 
-        report = play(day, "spoolbarrow", seed)
+        report = play(loaded, "spoolbarrow", seed)
     else:
         try:
             from spoolbarrow.lab import sockets
@@ -97,30 +99,30 @@
         if keep is not None:
             keep.mkdir(parents=True, exist_ok=True)
         try:
-            report = sockets.play(day, seed, processes, progress, keep)
+            report = sockets.play(loaded, seed, processes, show_progress, keep)
         except OSError as error:
             raise LabRunFailed("", str(error)) from error
-    tell(report, as_json)
+    print_report(report, as_json)
     return 1 if report["rules_broken"] else 0
 
 
 @command.command()
-@SCENARIO
-@SETS
+@SCENARIO_ARGUMENT
+@SET_OPTION
 @click.option("--seed", default=1, show_default=True)
 @click.option("--processes", default=2, show_default=True)
 @click.option(
-    "--port", default=0, help="Of the first router's discovery, the next ones follow; default: free ones."
+    "--port", default=0, help="Port of the first router's discovery, others follow; default: free ports."
 )
 @click.option(
-    "--engine-port", default=0, help="Of the first engine's listeners, one a router, the next follow."
+    "--engine-port", default=0, help="First engine's first port, one for each router; others follow."
 )
 def emulate(
     scenario: Path, sets: tuple[str, ...], seed: int, processes: int, port: int, engine_port: int
 ) -> int:
-    """Put SCENARIO's engines and discovery on loopback, for any router, until interrupted.
+    """Serve SCENARIO's engines and discovery on loopback, for any router, until interrupted.
 
-    Prints discovery's address for each router. Its day, with its troubles, begins at once.
+    Prints discovery's address for each router. The scenario, with its faults, starts at once.
     """
     import gevent
 
@@ -134,7 +136,7 @@
         for n, address in enumerate(fleet.listing.addresses):
             click.echo(f"router {n}: discovery at {address}")
         fleet.begin()
-        click.echo("the day has begun; Ctrl-C ends it")
+        click.echo("the scenario has started; Ctrl-C ends it")
         try:
             while True:
                 gevent.sleep(1.0)
@@ -143,22 +145,22 @@
 
 
 @command.command()
-@SCENARIO
-@SETS
+@SCENARIO_ARGUMENT
+@SET_OPTION
 @click.argument("targets", nargs=-1, required=True, metavar="IP:PORT...")
 @click.option("--seed", default=1, show_default=True)
 @click.option("--processes", default=2, show_default=True)
-@click.option("--token-bytes", default=4, show_default=True, help="Prompt text sent for a token.")
+@click.option("--token-bytes", default=4, show_default=True, help="Bytes of prompt text per token.")
 @click.option("--csv", "table", type=click.Path(path_type=Path), help="Write a line for each request.")
-@click.option("--json", "as_json", is_flag=True, help="The whole report, on one line.")
+@click.option("--json", "as_json", is_flag=True, help="Print the whole report, on one line.")
 def load(
     scenario: Path, sets: tuple[str, ...], targets: tuple[str, ...], seed: int, processes: int,
     token_bytes: int, table: Path | None, as_json: bool,
 ) -> int:  # fmt: skip
-    """Send SCENARIO's requests to routers at IP:PORT, each when it is due.
+    """Send SCENARIO's requests to routers at IP:PORT, each at its time.
 
     \b
-    Exit status: 1 where the load could not keep its own schedule.
+    Exit status: 1 if the load could not keep its own schedule.
     """
     import time
 
@@ -170,34 +172,34 @@
     except ImportError as error:
         raise MissingPackage("lab", error) from error
 
-    day = read(scenario, sets)
-    where = [parse_address("IP:PORT", one) for one in targets]
+    loaded = read(scenario, sets)
+    addresses = [parse_address("IP:PORT", target) for target in targets]
     try:
-        with Load(day, seed, where, processes, token_bytes) as running:
+        with Load(loaded, seed, addresses, processes, token_bytes) as running:
             running.begin(time.monotonic() + 0.1)
-            progress(running)
+            show_progress(running)
             records, figures = running.wait()
     except OSError as error:
         raise LabRunFailed("", str(error)) from error
-    report = account(day, records, []) | {"load": figures, "seed": seed}
+    report = account(loaded, records, []) | {"load": figures, "seed": seed}
     if table is not None:
-        table.write_text(to_csv(day, records))
-    tell(report, as_json)
+        table.write_text(to_csv(loaded, records))
+    print_report(report, as_json)
     return 0 if figures["kept_its_schedule"] else 1
 
 
-def progress(running: Any) -> None:
-    """A table of the load's processes, each second on a terminal, until the load has ended."""
+def show_progress(running: Any) -> None:
+    """Show a table of the load's processes, updated each second on a terminal, until the load has ended."""
     import gevent
     from rich.console import Console
     from rich.live import Live
     from rich.table import Table
 
     def table() -> Table:
-        made = Table("process", "sent", "done", "open", "sent late")
-        for n, one in enumerate(running.progress):
-            made.add_row(str(n), *(str(one.get(key, 0)) for key in ("sent", "done", "open", "late")))
-        return made
+        rendered = Table("process", "sent", "done", "open", "sent late")
+        for n, process in enumerate(running.progress):
+            rendered.add_row(str(n), *(str(process.get(key, 0)) for key in ("sent", "done", "open", "late")))
+        return rendered
 
     console = Console(stderr=True)
     with Live(table(), console=console, transient=True, auto_refresh=False) as live:
@@ -210,11 +212,11 @@
 @command.command()
 @click.argument("file", type=click.Path(path_type=Path, exists=True, dir_okay=False))
 @click.option(
-    "--into", type=click.Path(path_type=Path, file_okay=False), help="Default: beside FILE, by its name."
+    "--into", type=click.Path(path_type=Path, file_okay=False), help="Default: beside FILE, with its name."
 )
-@click.option("--workers", default=0, help="Processes; default: one a core.")
+@click.option("--workers", default=0, help="Processes; default: one per core.")
 def experiment(file: Path, into: Path | None, workers: int) -> int:
-    """Play the runs of FILE that its table lacks; after a kill, the same command goes on."""
+    """Run the runs of FILE that are missing in its table; after a kill, the same command continues."""
     import os
 
     try:
@@ -223,15 +225,15 @@
         from spoolbarrow.lab import experiment as lab
     except ImportError as error:
         raise MissingPackage("lab", error) from error
-    found = lab.read(file)
+    definition = lab.read(file)
     with Progress(transient=True) as bar:
-        task = bar.add_task(found.name)
-        place = into or file.parent / found.name
-        played = lab.play(
-            found, file.parent, place, workers or os.cpu_count() or 1,
+        task = bar.add_task(definition.name)
+        directory = into or file.parent / definition.name
+        completed = lab.play(
+            definition, file.parent, directory, workers or os.cpu_count() or 1,
             lambda done, of: bar.update(task, completed=done, total=of),
         )  # fmt: skip
-    click.echo(f"{played} runs played; the table is {place / lab.TABLE}")
+    click.echo(f"{completed} runs completed; the table is {directory / lab.TABLE}")
     return 0
 
 
@@ -240,11 +242,11 @@
 @click.argument("b")
 @click.option("--figure", "figures", multiple=True, default=("worth",), show_default=True)
 def compare(a: str, b: str, figures: tuple[str, ...]) -> int:
-    """Hold the runs of B against those of A: each a DIRECTORY, or DIRECTORY:column=value,...
+    """Compare the runs of B with those of A: each a DIRECTORY, or DIRECTORY:column=value,...
 
     \b
-    Runs are paired by scenario, settings, constants, policy and seed, but for the columns named.
-    Exit status: 1 where B is worse in some figure.
+    Runs are paired by scenario, settings, constants, policy and seed, except for the columns named.
+    Exit status: 1 if B is worse in some figure.
     """
     try:
         from spoolbarrow.lab.compare import compare as hold
@@ -252,12 +254,13 @@
         raise MissingPackage("lab", error) from error
     worse = False
     for figure in figures:
-        found = hold(a, b, figure)
-        interval = f"{found.difference:+.4f} (95%: {found.low:+.4f} to {found.high:+.4f})"
+        result = hold(a, b, figure)
+        interval = f"{result.difference:+.4f} (95%: {result.low:+.4f} to {result.high:+.4f})"
         click.echo(
-            f"{figure}: {found.of_a:.4f}, {found.of_b:.4f}: {interval}, {found.pairs} pairs: {found.verdict}"
+            f"{figure}: {result.of_a:.4f}, {result.of_b:.4f}: {interval}, "
+            f"{result.pairs} pairs: {result.verdict}"
         )
-        worse |= found.verdict == "B is worse"
+        worse |= result.verdict == "B is worse"
     return int(worse)
 
 
@@ -265,7 +268,7 @@
 @click.argument("directory", type=click.Path(path_type=Path, exists=True, file_okay=False))
 @click.option("--into", type=click.Path(path_type=Path, file_okay=False), help="Default: DIRECTORY.")
 def plot(directory: Path, into: Path | None) -> int:
-    """Draw the charts of the table in DIRECTORY, and a page that holds them."""
+    """Draw the charts of the table in DIRECTORY, and a page that contains them."""
     try:
         from spoolbarrow.lab import charts
         from spoolbarrow.lab.experiment import Table
@@ -279,20 +282,20 @@
     return 0
 
 
-def tell(report: dict[str, Any], as_json: bool) -> None:
+def print_report(report: dict[str, Any], as_json: bool) -> None:
     """Print a report."""
-    click.echo(orjson.dumps(report).decode() if as_json else text(report))
+    click.echo(orjson.dumps(report).decode() if as_json else format_report(report))
 
 
-def text(report: dict[str, Any]) -> str:
-    """A report for people."""
+def format_report(report: dict[str, Any]) -> str:
+    """Format a report as text."""
     size = f", {report['engines']} engines, {report['routers']} routers" if "engines" in report else ""
     policy = f", {report['policy']}" if "policy" in report else ""
     lines = [f"{report['scenario']}: {report['requests']} requests{size}{policy}, seed {report['seed']}"]
     line = f"worth {report['worth']:.3f}, refused {report['refused_share']:.2%}"
-    named = {"attempts_a_request": "attempts a request", "probes_a_request": "probes a request"}
-    named |= {"wasted_share": "share of work wasted", "spread": "spread"}
-    for key, name in named.items():
+    labels = {"attempts_a_request": "attempts a request", "probes_a_request": "probes a request"}
+    labels |= {"wasted_share": "share of work wasted", "spread": "spread"}
+    for key, name in labels.items():
         if key in report:
             line += f", {name} {report[key]:.3f}"
     lines.append(line)
@@ -301,23 +304,23 @@
         causes = (f"{name} {share:.3f}" for name, share in report["worth_lost"].items())
         lines.append("worth lost by cause: " + ", ".join(causes))
     for group in ("classes", "tenants"):
-        for name, found in report[group].items():
-            first = f"{found['first_token_ms_p50']:.0f} ms, p99 {found['first_token_ms_p99']:.0f} ms"
+        for name, entry in report[group].items():
+            first = f"{entry['first_token_ms_p50']:.0f} ms, p99 {entry['first_token_ms_p99']:.0f} ms"
             lines.append(
-                f"  {name}: {found['requests']}, worth {found['worth']:.3f}, "
-                f"refused {found['refused_share']:.2%}, first token p50 {first}"
+                f"  {name}: {entry['requests']}, worth {entry['worth']:.3f}, "
+                f"refused {entry['refused_share']:.2%}, first token p50 {first}"
             )
     for window in report["worst_windows"]:
         lines.append(f"  from {window['begin_s']:.0f} s: worth {window['worth']:.3f} of {window['requests']}")
-    for trouble in report["troubles"]:
-        span = f"at {trouble['begin_s']:.1f} s for {trouble['length_s']:.1f} s, {trouble['victims']} hit"
-        within, outside = trouble["worth_within"], trouble["worth_outside"]
-        lines.append(f"  {trouble['name']} {span}: worth {within:.3f} within, {outside:.3f} outside")
+    for fault in report["troubles"]:
+        span = f"at {fault['begin_s']:.1f} s for {fault['length_s']:.1f} s, {fault['victims']} hit"
+        within, outside = fault["worth_within"], fault["worth_outside"]
+        lines.append(f"  {fault['name']} {span}: worth {within:.3f} within, {outside:.3f} outside")
     for rule, count in report.get("rules_broken", {}).items():
         lines.append(f"  RULE BROKEN {count} times: {rule}")
     for key in ("load", "run"):
         if key in report:
             lines.append(f"{key}: " + ", ".join(f"{name} {value}" for name, value in report[key].items()))
     if "load" in report and not report["load"]["kept_its_schedule"]:
-        lines.append("THE LOAD WAS TOO SLOW to keep its schedule: these figures are not to be used")
+        lines.append("THE LOAD WAS TOO SLOW to keep its schedule: don't use these figures")
     return "\n".join(lines)
--- a/spoolbarrow/cli/serve.py
+++ b/spoolbarrow/cli/serve.py
@@ -1,4 +1,4 @@
-"""`spoolbarrow serve`: flags into the environment, then this process becomes the serving program."""
+"""`spoolbarrow serve`: passes options on in the environment and executes the serving program."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 import click
 
-FLAGS = {
+VARIABLES = {
     "config": "NODE_CONFIG",
     "operator": "SPOOLBARROW_OPERATOR",
     "log_level": "SPOOLBARROW_LOG_LEVEL",
@@ -19,15 +19,15 @@
 @click.command()
 @click.option("--config", type=click.Path(path_type=Path), help="The platform's configuration (NODE_CONFIG).")
 @click.option("--operator", type=click.Path(path_type=Path), help="The operator's own file.")
-@click.option("--log-level", type=click.Choice(["debug", "info", "warning", "error"]), help="What is logged.")
-@click.option("--log-format", type=click.Choice(["json", "text"]), help="For programs, or for people.")
-def command(**flags: object) -> None:
-    """Serve until SIGTERM, then finish what was taken.
+@click.option("--log-level", type=click.Choice(["debug", "info", "warning", "error"]), help="Log level.")
+@click.option("--log-format", type=click.Choice(["json", "text"]), help="For programs or for people.")
+def command(**options: object) -> None:
+    """Serve until SIGTERM, then finish the requests in progress.
 
     \b
-    Exit status: 0 after SIGTERM or SIGINT; 2 where a configuration is faulty or its address can't be had.
+    Exit status: 0 after SIGTERM or SIGINT; 2 if a configuration is invalid or its address unavailable.
     """
     environment = dict(os.environ)
-    environment.update({FLAGS[name]: str(value) for name, value in flags.items() if value is not None})
-    # Not a call: what the command line needed is not to stay in the serving process.
+    environment.update({VARIABLES[name]: str(value) for name, value in options.items() if value is not None})
+    # Executed rather than called: modules of the command line must not stay in the serving process.
     os.execve(sys.executable, [sys.executable, "-m", "spoolbarrow"], environment)
--- a/spoolbarrow/cli/store.py
+++ b/spoolbarrow/cli/store.py
@@ -1,4 +1,4 @@
-"""`spoolbarrow store`: one member of the replicated store, and calls to members."""
+"""`spoolbarrow store`: serves as a member of the replicated store, and reads and writes its documents."""
 
 from __future__ import annotations
 
@@ -11,58 +11,58 @@
 from msgspec import Struct
 
 from spoolbarrow import config
-from spoolbarrow.cli import tell
+from spoolbarrow.cli import print_problem
 from spoolbarrow.cli.errors import BadArgument, NoAnswer, Refused
-from spoolbarrow.cli.http_client import request_json, understood
+from spoolbarrow.cli.http_client import convert_response, request_json
 
 T = TypeVar("T")
-members = click.option(
+members_option = click.option(
     "--at",
     "asked",
     multiple=True,
     required=True,
     metavar="HOST:PORT",
-    help="A member's control address; the first that answers, or leads, is asked.",
+    help="A member's control address; the first that responds, or leads, is used.",
 )
 
 
 class MemberRefused(Refused):
-    """A store member answers no."""
+    """A store member responds with an error."""
 
-    def __init__(self, member: str, told: dict[str, Any]) -> None:
-        super().__init__(member, str(told.get("error", "no")), str(told.get("remedy", "")))
-        self.done_nothing = "leader" in told  # another may be asked: this one neither leads nor did anything
+    def __init__(self, member: str, body: dict[str, Any]) -> None:
+        super().__init__(member, str(body.get("error", "no")), str(body.get("remedy", "")))
+        self.can_retry = "leader" in body  # ask another: this one is not the leader and changed nothing
 
 
 @click.group(name="store")
 def command() -> None:
-    """Documents that three or more members keep, each change on all of them or on none."""
+    """A store of documents with three or more members; each change is made on all of them or none."""
 
 
 @command.command()
-@click.option("--name", required=True, help="This member's.")
+@click.option("--name", required=True, help="This member's name.")
 @click.option(
     "--member",
     "named",
     multiple=True,
     required=True,
     metavar="NAME=HOST:PORT",
-    help="Each member with where it listens for the others; the same names for all.",
+    help="Each member and its address for the other members; the same for all members.",
 )
-@click.option("--listen", required=True, metavar="HOST:PORT", help="For the other members.")
-@click.option("--control", required=True, metavar="HOST:PORT", help="For callers.")
+@click.option("--listen", required=True, metavar="HOST:PORT", help="Address for the other members.")
+@click.option("--control", required=True, metavar="HOST:PORT", help="Address for callers.")
 @click.option("--directory", required=True, type=click.Path(path_type=Path, exists=True))
-@click.option("--most-pages", default=0, help="Pages of 4 KiB that the file may take; 0: any.")
+@click.option("--most-pages", default=0, help="Greatest number of 4 KiB pages of the file; 0: no limit.")
 def serve(
     name: str, named: tuple[str, ...], listen: str, control: str, directory: Path, most_pages: int
 ) -> int:
-    """Serve as a member until SIGTERM. Nothing here is encrypted: only for a network that is trusted."""
+    """Serve as a member until SIGTERM. Connections are not encrypted: use it in trusted networks only."""
     addresses = {}
-    for one in named:
-        who, mark, where = one.partition("=")
-        if not who or not mark or who in addresses:
-            raise BadArgument("--member", f"{one!r} is not NAME=HOST:PORT, or its name comes twice")
-        addresses[who] = config.parse_address("--member", where)
+    for text in named:
+        member_name, separator, address = text.partition("=")
+        if not member_name or not separator or member_name in addresses:
+            raise BadArgument("--member", f"{text!r} is not NAME=HOST:PORT, or its name is a duplicate")
+        addresses[member_name] = config.parse_address("--member", address)
     if name not in addresses:
         raise BadArgument("--name", f"{name} is no --member")
     import gevent
@@ -72,10 +72,10 @@
     from spoolbarrow.store.member import Member
     from spoolbarrow.store.raft import Settings
 
-    told_to_end = Event()
+    stop_requested = Event()
     for number in (signal.SIGTERM, signal.SIGINT):
-        gevent.signal_handler(number, told_to_end.set)
-    made = Member(
+        gevent.signal_handler(number, stop_requested.set)
+    running = Member(
         name,
         addresses,
         config.parse_address("--listen", listen),
@@ -86,15 +86,15 @@
     )
     default_log.start()
     log("store_started", member=name, listen=listen, control=control)
-    told_to_end.wait()
-    made.close()
+    stop_requested.wait()
+    running.close()
     log("store_ended", member=name)
     default_log.stop()
     return 0
 
 
 class Status(Struct):
-    """What a member says of itself."""
+    """A member's own status."""
 
     member: str
     role: str
@@ -115,67 +115,69 @@
     revision: int
 
 
-def ask(member: str, method: str, path: str, kind: type[T], body: bytes = b"") -> T:
-    """A member's answer; NoAnswer where none came, MemberRefused where it is no."""
-    status, told = request_json(member, method, path, body)
+def request(member: str, method: str, path: str, kind: type[T], body: bytes = b"") -> T:
+    """A member's response; raises NoAnswer if there is none, MemberRefused if it is an error."""
+    status, decoded = request_json(member, method, path, body)
     if status != 200:
-        raise MemberRefused(member, told)
-    return understood(member, told, kind)
+        raise MemberRefused(member, decoded)
+    return convert_response(member, decoded, kind)
 
 
 @command.command()
-@members
+@members_option
 def status(asked: tuple[str, ...]) -> int:
-    """Print what each member says of itself; exit status 1 where one does not answer, or none leads."""
-    found = []
+    """Print each member's status; exit status 1 if one does not respond, or none is the leader."""
+    responses = []
     for member in asked:
         try:
-            told = ask(member, "GET", "/v1/status", Status)
+            response = request(member, "GET", "/v1/status", Status)
         except (NoAnswer, Refused) as error:
-            tell(error, err=False)
+            print_problem(error, err=False)
             continue
-        found.append(told)
-        line = f"{told.member} ({member}): {told.role}, term {told.term}, applied {told.applied}"
-        click.echo(line + (f", {told.fault}" if told.fault else ""))
-    whole = len(found) == len(asked) and not any(told.fault for told in found)
-    return 0 if whole and any(told.role == "leader" for told in found) else 1
+        responses.append(response)
+        line = (
+            f"{response.member} ({member}): {response.role}, term {response.term}, applied {response.applied}"
+        )
+        click.echo(line + (f", {response.fault}" if response.fault else ""))
+    healthy = len(responses) == len(asked) and not any(response.fault for response in responses)
+    return 0 if healthy and any(response.role == "leader" for response in responses) else 1
 
 
 @command.command()
-@members
+@members_option
 @click.argument("key")
 def get(asked: tuple[str, ...], key: str) -> int:
-    """Print a document as the first member that answers has it, which may be an older one."""
+    """Print a document as the first responding member has it, which may be an older revision."""
     for member in asked:
         try:
-            told = ask(member, "GET", f"/v1/store/{quote(key, safe='')}", Read)
+            response = request(member, "GET", f"/v1/store/{quote(key, safe='')}", Read)
         except (NoAnswer, Refused) as error:
-            tell(error)
+            print_problem(error)
             continue
-        click.echo(told.value, nl=False)
+        click.echo(response.value, nl=False)
         return 0
     return 1
 
 
 @command.command()
-@members
-@click.option("--expect", type=int, help="The revision that the document must have; 0: none yet.")
+@members_option
+@click.option("--expect", type=int, help="The revision that the document must have; 0: it must not exist.")
 @click.argument("key")
 @click.argument("file", type=click.File("rb"))
 def put(asked: tuple[str, ...], expect: int | None, key: str, file: Any) -> int:
-    """Write a document from a file through whoever leads; prints its revision."""
+    """Write a document from a file through the leader; prints its revision."""
     body = file.read()
     query = "" if expect is None else f"?expect={expect}"
     for member in asked:
         try:
-            told = ask(member, "PUT", f"/v1/store/{quote(key, safe='')}{query}", Written, body)
+            response = request(member, "PUT", f"/v1/store/{quote(key, safe='')}{query}", Written, body)
         except NoAnswer as error:
-            tell(error)
+            print_problem(error)
         except MemberRefused as error:
-            tell(error)
-            if not error.done_nothing:
-                return 1  # refused, or unknown: saying it elsewhere could do it twice
+            print_problem(error)
+            if not error.can_retry:
+                return 1  # refused, or unknown: a second call to another member could write twice
         else:
-            click.echo(told.revision)
+            click.echo(response.revision)
             return 0
     return 1
--- a/spoolbarrow/cli/version.py
+++ b/spoolbarrow/cli/version.py
@@ -1,4 +1,4 @@
-"""`spoolbarrow version`."""
+"""`spoolbarrow version`: prints the versions of the program and of Python."""
 
 from __future__ import annotations
 
--- a/spoolbarrow/config.py
+++ b/spoolbarrow/config.py
@@ -1,8 +1,8 @@
-"""The configuration: the one place where it is read, checked and given defaults.
+"""Reads and validates the platform's configuration and fills in its defaults.
 
-`NODE_CONFIG` names a JSON file of the form in README.md; a fault names its key. What the decisions need of
-`settings` is decoded by `wire.decode_settings`, so that both programs read it alike; the names and limits
-that only sockets need are decoded here.
+`NODE_CONFIG` names a JSON file in the format of README.md; errors name the key at fault. The part of
+`settings` that the routing decisions use is decoded by `wire.decode_settings`, so that the router and the
+simulator's adapter read it alike; names and limits that only the networking code uses are decoded here.
 """
 
 from __future__ import annotations
@@ -23,60 +23,59 @@
 from spoolbarrow.fleet.pacing import LIST_DEADLINE_MS, SILENT_SPREAD_MS
 
 Address = tuple[str, int]
-MISSING = "Object missing required field "  # msgspec's words
-CONTROL = "NODE_CONTROL"  # the same as the key `control`, which goes before it
-INHERITED_FD_VARIABLE = (
-    "NODE_INHERITED_FD"  # the number of a listening socket that was passed on at the start
-)
-NAME_A_FILE = "Have NODE_CONFIG (or `--config`) name a file that this user can read."
-MOST = 1e10  # of any figure that is told: a hundred days in ms, what no machine has in bytes or descriptors
-MIN_SOCKETS = 64  # below this the fixed needs leave nothing for clients
-# Descriptors that neither clients nor endpoints get, however many there are: standard input, output, error,
-# the event loop's (8); the listener, and the next one where its address changes (2); discovery, watched and
-# asked by several calls at once (9); clients that are told there is no room (10); files that are read (3).
+MISSING_FIELD = "Object missing required field "  # prefix of msgspec's message
+CONTROL_VARIABLE = "NODE_CONTROL"  # overridden by the key `control`
+INHERITED_FD_VARIABLE = "NODE_INHERITED_FD"  # file descriptor of a listening socket passed on at the start
+FILE_REMEDY = "Set NODE_CONFIG (or `--config`) to a file that this user can read."
+MAX_VALUE = 1e10  # upper bound: a hundred days in ms, more than any machine has in bytes or descriptors
+MIN_SOCKETS = 64  # with fewer, the reserved descriptors leave nothing for clients
+# Descriptors that are used by neither client nor endpoint connections, whatever their number: standard input,
+# output, error and the event loop's (8); the listener, and its replacement when the address changes (2);
+# discovery, with a watch and several concurrent calls (9); clients being refused for lack of room (10); files
+# being read (3).
 RESERVED_DESCRIPTORS = 32
-CONTROL_DESCRIPTORS = 20  # and, where operators call: their listener, the next one, and their calls
-AT_START = 8  # those of RESERVED_DESCRIPTORS that may be open when the program starts; any beyond count against the rest
+CONTROL_DESCRIPTORS = 20  # also with a control listener: it, its replacement and its connections
+STARTUP_DESCRIPTORS = 8  # those that may be open at the start; any more reduce the connections
 
 
 class ConfigError(Problem, ValueError):
-    """A configuration can't be used."""
+    """A configuration is invalid."""
 
     status = 2
-    where = "the faulty key, or the variable or flag that names the file"
-    remedy = "Put the key that is named right: README.md and docs/operators/ have what it takes."
+    where = "the key at fault, or the variable or flag that names the file"
+    remedy = "Correct the named key: README.md and docs/operators/ describe the valid values."
 
 
 class CannotListen(ConfigError):
-    """An address can't be listened on."""
+    """The process can't listen on an address."""
 
     where = "the key or flag that names the address"
-    remedy = "End what holds the address (`ss -ltnp` tells who), or name a free one of this machine."
+    remedy = "Stop the process that holds the address (`ss -ltnp` shows it), or choose a free one."
 
 
 class CannotWrite(ConfigError):
-    """A directory that is to be written to can't be."""
+    """A directory can't be written to."""
 
     where = "the key that names the directory"
-    remedy = "Make the directory and let this user write there."
+    remedy = "Create the directory and give this user write permission."
 
 
 class NeedsPackage(ConfigError):
-    """Something is switched on whose package is not installed."""
+    """A feature is enabled whose package is not installed."""
 
-    where = "the key that switches it on"
-    remedy = "Install the package that is named, or remove the key."
+    where = "the key that enables it"
+    remedy = "Install the named package, or remove the key."
 
 
 class TooFewDescriptors(ConfigError):
-    """The process may hold fewer descriptors than it needs, or was started with many open."""
+    """The process is allowed too few descriptors, or was started with too many open."""
 
     where = "limits.sockets"
-    remedy = "Raise the process's limit (`ulimit -n`), and pass it no descriptors that it has no use for."
+    remedy = "Raise the process's limit (`ulimit -n`), and don't pass it descriptors that it does not use."
 
 
 class ListEntry(Struct):
-    """One endpoint as discovery tells it."""
+    """One endpoint in discovery's list."""
 
     name: str
     address: str
@@ -89,7 +88,7 @@
 
 
 class HostList(Struct):
-    """What discovery tells at once: the whole list (a snapshot) or the entries that changed."""
+    """A message from discovery: the whole list (a snapshot) or the entries that changed."""
 
     index: int = 0
     snapshot: bool = False
@@ -97,45 +96,45 @@
 
 
 class Options(Struct, forbid_unknown_fields=True):
-    """What an operator may set beyond what the platform tells, under `options`."""
-
-    probe_timeout_ms: float = 250.0  # a probe unanswered so long has failed
-    piece_ms: float = 1000.0  # an endpoint's head or chunk that has begun is whole by then, or spoilt
-    stream_silence_ms: float = 3000.0  # a stream that stops for so long is broken
-    answer_margin_ms: float = 15.0  # an answer leaves so long before its client gives up
-    # Together under 6 s, with what lies between them (docs/design.md, "The list's clock").
-    watch_silence_ms: float = 2500.0  # a watch says something every 2 s: after this it is broken
-    call_timeout_ms: float = 3200.0  # discovery's head of an answer must have come by then
-    list_calls_per_s: float = inf  # whole lists that discovery can give to all routers; inf: nobody told
-    head_timeout_ms: float = 2000.0  # the first request must be whole so long after connecting, another
-    # one so long after its first byte
-    keep_alive_ms: float = 2500.0  # a client's idle connection is kept so long
-    linger_ms: float = 2000.0  # a client that was told to go may still be sending so long
-    stall_ms: float = 30_000.0  # a client that takes nothing of its answer so long has gone
-    drain_accept_ms: float = 500.0  # after SIGTERM, connections are accepted so long
-    drain_keep_ms: float = 2000.0  # and clients may use the ones they have so long
-    drain_move_ms: float = 2800.0  # streams still running then go on elsewhere, if clients ask
-    drain_answer_ms: float = 3200.0  # what has no answer by then gets one: SIGKILL may follow
+    """Options that an operator may set in the configuration, under `options`."""
+
+    probe_timeout_ms: float = 250.0  # time-out of a probe
+    piece_ms: float = 1000.0  # time-out of an endpoint's response head or chunk, from its first byte
+    stream_silence_ms: float = 3000.0  # longest pause in a stream before it counts as broken
+    answer_margin_ms: float = 15.0  # a response is sent this long before its client's deadline
+    # Both together with the pauses between them must stay under 6 s (docs/design.md, "The list's clock").
+    watch_silence_ms: float = 2500.0  # a watch sends something every 2 s: after this silence it is broken
+    call_timeout_ms: float = 3200.0  # time-out of the response head of a call to discovery
+    list_calls_per_s: float = inf  # whole lists that discovery can serve to all routers; inf: no limit known
+    head_timeout_ms: float = 2000.0  # time-out of a connection's first request, from connecting, and of later
+    # requests, from their first byte
+    keep_alive_ms: float = 2500.0  # how long a client's idle connection is kept
+    linger_ms: float = 2000.0  # how long a client may still send after its connection is being closed
+    stall_ms: float = 30_000.0  # a client that reads nothing of its response for so long is disconnected
+    drain_accept_ms: float = 500.0  # how long connections are accepted after SIGTERM
+    drain_keep_ms: float = 2000.0  # how long after SIGTERM clients may reuse their connections
+    drain_move_ms: float = 2800.0  # then running streams are moved elsewhere, if clients resume them
+    drain_answer_ms: float = 3200.0  # then all unanswered requests are answered: SIGKILL may follow
     max_head: int = 16_384  # bytes
     max_body: int = 262_144  # bytes
 
 
 class MachineLimits(Struct):
-    """What the platform allows this program."""
+    """Resources that the platform grants to this program."""
 
     cores: float = 1.0
     memory_mb: float = 192.0
     sockets: int = 1024
 
 
-_Longer = Annotated[float, Meta(gt=0, le=MOST)]
-_NotNegative = Annotated[float, Meta(ge=0, le=MOST)]
+_Positive = Annotated[float, Meta(gt=0, le=MAX_VALUE)]
+_NotNegative = Annotated[float, Meta(ge=0, le=MAX_VALUE)]
 _Count = Annotated[int, Meta(ge=1)]
 
 
 class _Class(Struct):
-    AimMs: _Longer
-    DeadlineMs: _Longer
+    AimMs: _Positive
+    DeadlineMs: _Positive
     Name: str = ""
     Importance: _NotNegative = 0.0
     RepeatWindowMs: _NotNegative = 0.0
@@ -149,8 +148,8 @@
 
 
 class _Limits(Struct):
-    ConnIdleMs: _Longer = 30_000.0
-    ConnectTimeoutMs: _Longer = 200.0
+    ConnIdleMs: _Positive = 30_000.0
+    ConnectTimeoutMs: _Positive = 200.0
     MaxAttempts: _Count = 1
     MaxOpen: _Count = 1
     MaxRetryAfterMs: _NotNegative = 0.0
@@ -174,8 +173,8 @@
     TokenAimMs: list[_NotNegative] = []
 
 
-class _Names(Struct):
-    """What sockets need of the settings beyond what the decisions do, and the bounds of what both read."""
+class _NetSettings(Struct):
+    """The settings that only networking uses, and the bounds of those that the decisions use, too."""
 
     Classes: Annotated[list[_Class], Meta(min_length=1)]
     Tenants: list[_Tenant] = []
@@ -189,7 +188,7 @@
 
 
 class _Outer(Struct):
-    settings: _Names  # decoded under its key, so that a fault names the whole way
+    settings: _NetSettings  # decoded under its key, so that an error names the full path
 
 
 class _File(Struct):
@@ -205,7 +204,7 @@
 
 
 class Config(Struct, frozen=True, kw_only=True):
-    """Everything the router uses of its configuration."""
+    """The complete validated configuration of a router."""
 
     name: str
     listen: Address
@@ -221,94 +220,95 @@
     endpoint_idle_ms: float
     connect_timeout_ms: float
     limits: MachineLimits
-    resumes_streams: bool  # clients ask for the rest of a stream that broke
-    probes_fetch_load: bool  # probes bring a load report
-    max_inbound: int  # clients' connections
+    resumes_streams: bool  # clients resume a broken stream
+    probes_fetch_load: bool  # probes return a load report
+    max_inbound: int  # client connections
     max_outbound: int  # connections to endpoints
-    max_held_bytes: int  # bytes of request bodies held at once
-    control: Address | None = None  # where operators call; None: nowhere
+    max_held_bytes: int  # bytes of request bodies held in memory at a time
+    control: Address | None = None  # address of the control listener; None: no listener
 
 
 def parse_address(key: str, text: str) -> Address:
-    """Host and port of `host:port`."""
+    """Parse `host:port`."""
     host, colon, port = text.rpartition(":")
     if not (host and colon and port.isascii() and port.isdigit() and 0 < int(port) < 65536):
         raise ConfigError(f"{key}: {text!r} is not HOST:PORT")
     return host, int(port)
 
 
-def _positive(place: str, values: Struct) -> None:
+def _check_numbers(place: str, values: Struct) -> None:
     for key in values.__struct_fields__:
         value = getattr(values, key)
         if value <= 0:
             raise ConfigError(f"{place}.{key}: must be positive")
-        if isfinite(value) and value > MOST:
-            raise ConfigError(f"{place}.{key}: over {MOST:g}")
+        if isfinite(value) and value > MAX_VALUE:
+            raise ConfigError(f"{place}.{key}: over {MAX_VALUE:g}")
 
 
-def _fits_clock(options: Options) -> None:
-    """Guards against time-outs with which the list comes too late by themselves (`fleet/pacing.py`)."""
+def _check_list_timeouts(options: Options) -> None:
+    """Reject time-outs that alone make the list too late (`fleet/pacing.py`)."""
     silence, call = options.watch_silence_ms, options.call_timeout_ms
     if silence + SILENT_SPREAD_MS + call <= LIST_DEADLINE_MS:
         return
-    plain = Options()
-    key = "watch_silence_ms" if call <= plain.call_timeout_ms else "call_timeout_ms"
+    defaults = Options()
+    key = "watch_silence_ms" if call <= defaults.call_timeout_ms else "call_timeout_ms"
     raise ConfigError(
         f"options.{key}",
-        f"{silence:g} ms of silence, {SILENT_SPREAD_MS:g} and a call of {call:g} are over {LIST_DEADLINE_MS:g}",
-        f"Let `watch_silence_ms` and `call_timeout_ms` be {LIST_DEADLINE_MS - SILENT_SPREAD_MS:g} together at most.",
+        f"{silence:g} ms of silence, {SILENT_SPREAD_MS:g} and a call of {call:g} exceed {LIST_DEADLINE_MS:g}",
+        "Keep `watch_silence_ms` and `call_timeout_ms` at "
+        f"{LIST_DEADLINE_MS - SILENT_SPREAD_MS:g} together at most.",
     )
 
 
-def _index(names: list[str]) -> dict[str, int]:
+def _index_by_name(names: list[str]) -> dict[str, int]:
     return {name: number for number, name in enumerate(names)}
 
 
-def _unlike(names: dict[str, str]) -> None:
-    """Guards what goes by names, each told with its key: two of one name could not be told apart."""
-    told: set[str] = set()
+def _reject_duplicates(names: dict[str, str]) -> None:
+    """Reject duplicate names, given with their keys: items are identified by name."""
+    seen: set[str] = set()
     for key, name in names.items():
-        if name in told:
-            raise ConfigError(f"{key}: {name!r} is another's name already")
-        told.add(name)
+        if name in seen:
+            raise ConfigError(f"{key}: {name!r} is named twice")
+        seen.add(name)
 
 
-def _settings(raw: dict[str, Any]) -> tuple[i.Settings, _Names]:
-    """What the decisions and the sockets take of the platform's settings."""
+def _decode_settings(raw: dict[str, Any]) -> tuple[i.Settings, _NetSettings]:
+    """Decode the platform's settings for the decisions and for the networking code."""
     outer = {"settings": raw}
     try:
         settings = wire.decode_settings(raw)
     except i.SettingsError:
-        msgspec.convert(outer, _Outer)  # names the key, where it is one alone
+        msgspec.convert(outer, _Outer)  # names the key, if there is a single one
         raise
     return settings, msgspec.convert(outer, _Outer).settings
 
 
 def parse(text: bytes) -> Config:
-    """The checked configuration of a file's text."""
+    """Decode and validate the text of a configuration file."""
     try:
         file = msgspec.json.decode(text, type=_File)
-        settings, names = _settings(file.settings)
+        settings, names = _decode_settings(file.settings)
     except (msgspec.DecodeError, wire.WireError) as error:
-        raise ConfigError(_place(str(error))) from error
+        raise ConfigError(_locate(str(error))) from error
     except i.SettingsError as error:
         raise ConfigError("settings", str(error), error.remedy) from error
     except ValueError as error:
         raise ConfigError("settings", str(error)) from error
-    _positive("limits", file.limits)
-    _positive("options", file.options)
-    _fits_clock(file.options)
+    _check_numbers("limits", file.limits)
+    _check_numbers("options", file.options)
+    _check_list_timeouts(file.options)
     if file.limits.sockets < MIN_SOCKETS:
-        raise ConfigError(f"limits.sockets: at least {MIN_SOCKETS} are needed")
+        raise ConfigError(f"limits.sockets: must be at least {MIN_SOCKETS}")
     try:
         seed = int(file.seed, 16)
     except ValueError:
-        raise ConfigError(f"seed: {file.seed!r} is not hex") from None
+        raise ConfigError(f"seed: {file.seed!r} is not hexadecimal") from None
     if isfinite(file.options.list_calls_per_s):
         settings = replace(settings, list_rate=file.options.list_calls_per_s)
-    _unlike({f"settings.Classes[{n}].Name": one.Name for n, one in enumerate(names.Classes)})
-    _unlike({f"settings.Tenants[{n}].Name": one.Name for n, one in enumerate(names.Tenants)})
-    _unlike({f"settings.Zones[{n}]": name for n, name in enumerate(names.Zones)})
+    _reject_duplicates({f"settings.Classes[{n}].Name": one.Name for n, one in enumerate(names.Classes)})
+    _reject_duplicates({f"settings.Tenants[{n}].Name": one.Name for n, one in enumerate(names.Tenants)})
+    _reject_duplicates({f"settings.Zones[{n}]": name for n, name in enumerate(names.Zones)})
     inbound, outbound = split_connections(file.limits.sockets, bool(file.control))
     return Config(
         name=file.name,
@@ -318,10 +318,10 @@
         settings=settings,
         known=file.known,
         options=file.options,
-        classes=_index([c.Name for c in names.Classes]),
-        tenants=_index([t.Name for t in names.Tenants]),
-        zones=_index(names.Zones),
-        kinds=_index(names.Skus),
+        classes=_index_by_name([c.Name for c in names.Classes]),
+        tenants=_index_by_name([t.Name for t in names.Tenants]),
+        zones=_index_by_name(names.Zones),
+        kinds=_index_by_name(names.Skus),
         endpoint_idle_ms=names.Limits.ConnIdleMs,
         connect_timeout_ms=names.Limits.ConnectTimeoutMs,
         limits=file.limits,
@@ -335,98 +335,98 @@
 
 
 def reserved_descriptors(control: bool) -> int:
-    """Descriptors that no connection of clients or to endpoints may take; `control`: operators call."""
+    """Number of descriptors reserved from connections; `control`: whether there is a control listener."""
     return RESERVED_DESCRIPTORS + CONTROL_DESCRIPTORS * control
 
 
 def split_connections(descriptors: int, control: bool) -> tuple[int, int]:
-    """How many connections clients may hold, and how many there may be to endpoints.
+    """Split descriptors into the number of client connections and of endpoint connections.
 
-    Each side has its half, so that neither can take what the other needs; a side has 4 at least.
+    Each side gets half, so that neither can use up what the other needs, and 4 at least.
     """
-    spare = max(8, descriptors - reserved_descriptors(control))
-    return spare // 2, spare - spare // 2
+    available = max(8, descriptors - reserved_descriptors(control))
+    return available // 2, available - available // 2
 
 
 def fit_descriptors(config: Config, allowed: int, held: int) -> Config:
-    """The configuration for a process that may hold `allowed` descriptors and held `held` as it started.
+    """Fit the connection limits to a process that may hold `allowed` descriptors and started with `held`.
 
-    ConfigError where that leaves too few.
+    Raises ConfigError if too few remain.
     """
-    own = min(config.limits.sockets, allowed) - max(0, held - AT_START)
-    if own < MIN_SOCKETS:
-        raise TooFewDescriptors("limits.sockets", f"{own} left, {MIN_SOCKETS} are needed")
-    inbound, outbound = split_connections(own, config.control is not None)
+    usable = min(config.limits.sockets, allowed) - max(0, held - STARTUP_DESCRIPTORS)
+    if usable < MIN_SOCKETS:
+        raise TooFewDescriptors("limits.sockets", f"{usable} left, {MIN_SOCKETS} needed")
+    inbound, outbound = split_connections(usable, config.control is not None)
     return replace(config, max_inbound=inbound, max_outbound=outbound)
 
 
-def _place(error: str) -> str:
-    """msgspec's message with its place in front: `settings.Classes[0].AimMs: Expected ...`."""
-    of_settings = error.startswith("Params")  # the simulator's word for them
+def _locate(error: str) -> str:
+    """Put the key first in msgspec's message: `settings.Classes[0].AimMs: Expected ...`."""
+    in_settings = error.startswith("Params")  # the simulator's name for settings
     text, _, place = error.removeprefix("Params: ").partition(" - at `")
     place = place.rstrip("`").removeprefix("$").removeprefix(".")
     if text.startswith("Params."):
         place, _, text = text.removeprefix("Params.").partition(": ")
-    elif text.startswith(MISSING):
-        place, text = f"{place}.{text[len(MISSING) :].strip('`')}".removeprefix("."), "missing"
-    if of_settings:
+    elif text.startswith(MISSING_FIELD):
+        place, text = f"{place}.{text[len(MISSING_FIELD) :].strip('`')}".removeprefix("."), "missing"
+    if in_settings:
         place = f"settings.{place}".removesuffix(".")
     return f"{place or 'NODE_CONFIG'}: {text}"
 
 
 def read(environment: Mapping[str, str] = os.environ) -> bytes:
-    """The text of the file that the environment names; ConfigError where there is none."""
+    """The text of the file named in the environment; raises ConfigError if it can't be read."""
     path = environment.get("NODE_CONFIG")
     if not path:
-        raise ConfigError("NODE_CONFIG: not set", remedy=NAME_A_FILE)
+        raise ConfigError("NODE_CONFIG: not set", remedy=FILE_REMEDY)
     try:
         return Path(path).read_bytes()
     except OSError as error:
-        raise ConfigError(f"NODE_CONFIG: {path}: {error.strerror}", remedy=NAME_A_FILE) from error
+        raise ConfigError(f"NODE_CONFIG: {path}: {error.strerror}", remedy=FILE_REMEDY) from error
 
 
 def load(environment: Mapping[str, str] = os.environ) -> Config:
-    """The configuration that the environment names."""
+    """Load the configuration named in the environment."""
     config = parse(read(environment))
-    if config.control is None and environment.get(CONTROL):
+    if config.control is None and environment.get(CONTROL_VARIABLE):
         inbound, outbound = split_connections(config.limits.sockets, True)
-        control = parse_address(CONTROL, environment[CONTROL])
+        control = parse_address(CONTROL_VARIABLE, environment[CONTROL_VARIABLE])
         return replace(config, control=control, max_inbound=inbound, max_outbound=outbound)
     return config
 
 
-def find_faults(raw: Any, wanted: Any, place: str = "") -> list[ConfigError]:
-    """Every fault of decoded values against a Struct, each with its key."""
-    table = _table_of(wanted)
+def find_faults(raw: Any, expected: Any, place: str = "") -> list[ConfigError]:
+    """All errors of decoded values against a Struct, each with its key."""
+    table = _struct_of(expected)
     if table is None or not isinstance(raw, dict):
         try:
-            msgspec.convert(raw, wanted)
+            msgspec.convert(raw, expected)
         except msgspec.ValidationError as error:
             text, _, inner = str(error).partition(" - at `$")
             return [ConfigError(f"{place}{inner.rstrip('`')}", text)]
         return []
     strict = table.__struct_config__.forbid_unknown_fields
     fields = {field.name: field for field in msgspec.structs.fields(table)}
-    way = f"{place}." if place else ""
-    faults = [ConfigError(way + name, "unknown key") for name in raw if strict and name not in fields]
+    prefix = f"{place}." if place else ""
+    faults = [ConfigError(prefix + name, "unknown key") for name in raw if strict and name not in fields]
     for name, field in fields.items():
         if name in raw:
-            faults += find_faults(raw[name], field.type, way + name)
+            faults += find_faults(raw[name], field.type, prefix + name)
         elif field.required:
-            faults.append(ConfigError(way + name, "missing"))
+            faults.append(ConfigError(prefix + name, "missing"))
     return faults
 
 
-def _table_of(wanted: Any) -> type[Struct] | None:
-    """The Struct that a type stands for, also where it is optional."""
-    for one in get_args(wanted) or (wanted,):
-        if isinstance(one, type) and issubclass(one, Struct):
-            return one
+def _struct_of(expected: Any) -> type[Struct] | None:
+    """The Struct of a type, also of an optional one."""
+    for candidate in get_args(expected) or (expected,):
+        if isinstance(candidate, type) and issubclass(candidate, Struct):
+            return candidate
     return None
 
 
 def faults(text: bytes) -> list[ConfigError]:
-    """Every fault of a file's text that can be told apart; where its form holds, the first in its meaning."""
+    """All errors in a file's text; if its structure is valid, the first error of its values."""
     try:
         raw = msgspec.json.decode(text)
     except msgspec.DecodeError as error:
--- a/spoolbarrow/errors.py
+++ b/spoolbarrow/errors.py
@@ -1,7 +1,7 @@
-"""The base of all errors that reach an operator: what happened, where, and what can be done about it.
+"""Defines the base class of all errors that reach an operator: what happened, where, and how to resolve it.
 
-An error of this program is of a type of its own below `Problem`; no bare `ValueError`, `RuntimeError` or
-tuple crosses a package's border for one. `docs/operators/errors.md` lists the types, as they say it here.
+Each error of this program has its own subclass of `Problem`; no bare `ValueError`, `RuntimeError` or tuple is
+used for one across packages. `docs/operators/errors.md` is generated from these classes.
 """
 
 from __future__ import annotations
@@ -10,40 +10,40 @@
 
 
 class Problem(Exception):
-    """What happened at which place (a key, a file, an address), and what an operator can do.
+    """What happened at which place (a key, a file, an address), and what an operator can do about it.
 
-    `status` is the exit status of a command that ends with it: 2 where its command line or a configuration is
-    faulty, 1 where it failed. `where` says what kind of thing `place` names. `remedy` is one sentence; a
-    type's own stands in where an error gives none.
+    `status` is the exit status of a command that ends with this error: 2 for an invalid command line or
+    configuration, 1 for a failure. `where` describes what `place` names. `remedy` is one sentence; the
+    class's own is used if an error gives none.
     """
 
     status: ClassVar[int] = 1
     where: ClassVar[str] = ""
-    remedy: str = "Look in the log for what came before it."
-
-    def __init__(self, place: str, what: str = "", remedy: str = "") -> None:
-        """A text alone is `PLACE: WHAT`; one without a colon names no place."""
-        if not what:
-            named, mark, rest = place.partition(": ")
-            place, what = (named, rest) if mark else ("", place)
-        super().__init__(f"{place}: {what}" if place else what)
-        self.place, self.what = place, what
+    remedy: str = "See the earlier lines of the log."
+
+    def __init__(self, place: str, detail: str = "", remedy: str = "") -> None:
+        """A single text is `PLACE: DETAIL`; without a colon it names no place."""
+        if not detail:
+            head, colon, rest = place.partition(": ")
+            place, detail = (head, rest) if colon else ("", place)
+        super().__init__(f"{place}: {detail}" if place else detail)
+        self.place, self.detail = place, detail
         if remedy:
             self.remedy = remedy
 
 
 class InternalError(Problem):
-    """A fault of this program, which nothing foresaw."""
+    """An unforeseen error in this program."""
 
-    where = "the part that ran into it"
-    remedy = "Report the line with its trace; what was under way has had its answer, and serving goes on."
+    where = "the part of the program that raised it"
+    remedy = "Report the line with its trace; requests in progress have been answered, and serving continues."
 
 
 class MissingPackage(Problem):
     """A command needs a package that is not installed."""
 
     where = "the package"
-    remedy = "Install the program with the extra that is named: `pip install 'spoolbarrow[EXTRA]'`."
+    remedy = "Install the program with the named extra: `pip install 'spoolbarrow[EXTRA]'`."
 
     def __init__(self, extra: str, error: ImportError) -> None:
         super().__init__(f"{error.name or 'packages'}", f"needs the packages of the extra `{extra}`: {error}")
--- a/spoolbarrow/operator.py
+++ b/spoolbarrow/operator.py
@@ -1,8 +1,9 @@
-"""The operator's own file: the one place where it is read, checked and given defaults.
+"""Reads and validates the operator's own file and fills in its defaults.
 
 `SPOOLBARROW_OPERATOR` (or `serve --operator`) names a TOML file such as `deploy/operator.toml`. It sets what
-the platform's configuration does not: subsystems of this program, each in a table of its own. Without a file,
-and without a table, its subsystem is off. Environment variables override single values (`ENVIRONMENT`).
+the platform's configuration does not: subsystems of this program, each in a table of its own. A subsystem
+without a table, or without a file, is off. Environment variables override single values
+(`ENVIRONMENT_VARIABLES`).
 """
 
 from __future__ import annotations
@@ -21,65 +22,65 @@
 from spoolbarrow.config import ConfigError, find_faults, parse_address
 
 FILE_VARIABLE = "SPOOLBARROW_OPERATOR"
-ENVIRONMENT = {
+ENVIRONMENT_VARIABLES = {
     "SPOOLBARROW_LOG_LEVEL": ("log", "level"),
     "SPOOLBARROW_LOG_FORMAT": ("log", "format"),
     "SPOOLBARROW_FLOWS_COLLECTORS": ("flows", "collectors"),  # separated by blanks
 }
-NAME_A_FILE = f"Have {FILE_VARIABLE} (or `--operator`) name a file that this user can read."
-WRITE_TOML = "Put the line that is named right: the file is TOML, as deploy/operator.toml."
-LISTS = frozenset({("flows", "collectors")})
+FILE_REMEDY = f"Set {FILE_VARIABLE} (or `--operator`) to a file that this user can read."
+TOML_REMEDY = "Correct the named line: the file is TOML, like deploy/operator.toml."
+LIST_KEYS = frozenset({("flows", "collectors")})
 
 Share = Annotated[float, Meta(ge=0, le=1)]
 Positive = Annotated[float, Meta(gt=0)]
-Whole = Annotated[int, Meta(ge=1)]
+PositiveInt = Annotated[int, Meta(ge=1)]
 Unsigned32 = Annotated[int, Meta(ge=0, lt=1 << 32)]
 
 
 class LogTable(Struct, forbid_unknown_fields=True, frozen=True):
-    """`[log]`: what is written, and in which form."""
+    """`[log]`: log level and format."""
 
     level: Annotated[str, Meta(pattern="^(debug|info|warning|error)$")] = "info"
     format: Annotated[str, Meta(pattern="^(json|text)$")] = "json"
 
 
 class TlsTable(Struct, forbid_unknown_fields=True, frozen=True):
-    """`[flows.tls]`: what a TLS session with a collector needs; files are read again at SIGHUP."""
+    """`[flows.tls]`: TLS credentials for sessions with collectors; the files are read again at SIGHUP."""
 
-    ca: str  # PEM: who may have signed the collector's certificate
+    ca: str  # PEM: CAs trusted to sign the collector's certificate
     certificate: str  # PEM: this exporter's own
     key: str  # PEM
     server_name: str = ""  # in the collector's certificate; empty: the host of its address
 
 
 class FlowsTable(Struct, forbid_unknown_fields=True, frozen=True):
-    """`[flows]`: flow records and where they go."""
+    """`[flows]`: export of flow records."""
 
     collectors: Annotated[list[str], Meta(min_length=1)]
-    send_to: Annotated[str, Meta(pattern="^(all|first)$")] = "all"  # first: the others stand by
+    send_to: Annotated[str, Meta(pattern="^(all|first)$")] = "all"  # first: the others are standbys
     format: Annotated[str, Meta(pattern="^(ipfix|netflow9)$")] = "ipfix"
-    active_timeout_ms: Positive = 60_000.0  # a connection that lasts is told of so often
-    idle_timeout_ms: Positive = 15_000.0  # one over which nothing passed for so long is told of as idle
-    template_refresh_ms: Positive = 60_000.0  # over UDP, templates and options are sent again so often
-    flush_ms: Positive = 500.0  # a record waits so long at most for others to go with it
+    active_timeout_ms: Positive = 60_000.0  # interval of records for a long connection
+    idle_timeout_ms: Positive = 15_000.0  # a connection without traffic for so long is reported as idle
+    template_refresh_ms: Positive = 60_000.0  # interval of resending templates and options over UDP
+    flush_ms: Positive = 500.0  # longest wait of a record for others in its message
     mtu: Annotated[int, Meta(ge=512, le=65_535)] = 1400  # bytes of a message over UDP
-    queue_records: Whole = 20_000  # waiting for a collector, each
+    queue_records: PositiveInt = 20_000  # waiting records of each collector
     queue_bytes: Annotated[int, Meta(ge=65_536)] = 2 << 20
-    sample_share: Annotated[float, Meta(gt=0, le=1)] = 1.0  # of conversations, each whole
+    sample_share: Annotated[float, Meta(gt=0, le=1)] = 1.0  # of conversations, each sampled as a whole
     domain_id: Unsigned32 = 1
     enterprise: Annotated[int, Meta(ge=1, lt=1 << 32)] = 32_473  # RFC 5612: for documentation
     connect_timeout_ms: Positive = 2000.0
-    write_timeout_ms: Positive = 5000.0  # a collector that takes nothing so long has fallen behind
-    retry_least_ms: Positive = 200.0  # between attempts to reach a collector, doubled each time
+    write_timeout_ms: Positive = 5000.0  # a collector that accepts nothing for so long is disconnected
+    retry_least_ms: Positive = 200.0  # first delay between attempts to reach a collector, doubled each time
     retry_most_ms: Positive = 30_000.0
     file_bytes: Annotated[int, Meta(ge=4096)] = 16 << 20  # an IPFIX file is closed at this size
     file_ms: Positive = 300_000.0  # or at this age
-    file_keep: Whole = 48  # and the oldest of more files removed
+    file_keep: PositiveInt = 48  # number of files kept; the oldest are removed
     tls: TlsTable | None = None
 
 
 class ShareTable(Struct, forbid_unknown_fields=True, frozen=True):
-    """`[[shadow.shares]]`: another share for a class, a tenant, or both."""
+    """`[[shadow.shares]]`: a different share for a class, a tenant, or both."""
 
     share: Share
     cls: str = msgspec.field(default="", name="class")
@@ -87,64 +88,64 @@
 
 
 class ShadowTable(Struct, forbid_unknown_fields=True, frozen=True):
-    """`[shadow]`: what is copied to the candidate pool, and how much at most."""
+    """`[shadow]`: which requests are copied to the candidate pool, and the limits of copying."""
 
-    share: Share  # of sessions; 0 ends every copy
+    share: Share  # of sessions; 0 stops all copies
     candidates: list[str] = []  # IP:PORT
-    candidate_type: str = ""  # engines of this type in discovery are candidates, and serve nothing live
-    candidate_group: Annotated[int, Meta(ge=-1)] = -1  # likewise those of this group; -1: none
+    candidate_type: str = ""  # engines of this type in discovery are candidates, and get no live requests
+    candidate_group: Annotated[int, Meta(ge=-1)] = -1  # the same for this group; -1: none
     shares: list[ShareTable] = []
-    classes: list[str] = []  # none: all that may be repeated
+    classes: list[str] = []  # empty: all whose requests may be repeated
     not_classes: list[str] = []
-    tenants: list[str] = []  # none: all
+    tenants: list[str] = []  # empty: all
     not_tenants: list[str] = []
     begin: datetime | None = None
     end: datetime | None = None
-    salt: str = ""  # the same at every router: they then choose alike
+    salt: str = ""  # the same at every router: they then choose the same sessions
     header: Annotated[str, Meta(pattern="^[A-Za-z0-9-]+$")] = "X-Shadow"
-    in_flight: Whole = 8
-    engine_in_flight: Whole = 4
+    in_flight: PositiveInt = 8
+    engine_in_flight: PositiveInt = 4
     requests_per_s: Positive = 10.0
     prompt_tokens_per_s: Positive = 100_000.0
     answer_tokens_per_s: Positive = 10_000.0
-    held_bytes: Whole = 1 << 20
-    answer_bytes: Whole = 1 << 20  # a longer answer of a candidate is cut off
+    held_bytes: PositiveInt = 1 << 20
+    answer_bytes: PositiveInt = 1 << 20  # a longer response of a candidate is cut off
     deadline_ms: Positive = 15_000.0
     slow_first_ms: Positive = 5_000.0
-    bad_copies: Whole = 5
+    bad_copies: PositiveInt = 5
     open_ms: Positive = 2_000.0
     most_open_ms: Positive = 60_000.0
-    directory: str = ""  # of the pairs; none: nothing is kept
+    directory: str = ""  # for the pairs; empty: none are kept
     file_bytes: Annotated[int, Meta(ge=4096)] = 16 << 20
     file_ms: Positive = 300_000.0
-    file_keep: Whole = 48
-    key_file: str = ""  # of the digests; none: a key for this run alone
-    text_for: list[str] = []  # tenants whose answers' text may be kept
+    file_keep: PositiveInt = 48
+    key_file: str = ""  # key of the digests; empty: a random key for this run
+    text_for: list[str] = []  # tenants whose response text may be stored
 
 
 class DoorTable(Struct, forbid_unknown_fields=True, frozen=True):
-    """`[door]`: shares at the front door, retries, come-back times."""
+    """`[door]`: admission by fair shares, retry budgets, scheduled retries."""
 
-    client_header: Annotated[str, Meta(pattern="^[A-Za-z0-9-]*$")] = ""  # names a tenant's client
-    address_bits: Annotated[int, Meta(ge=1, le=32)] = 32  # of an IPv4 address, where the header does not
-    weights: dict[str, Positive] = {}  # by tenant; of one not named: its quota or portion
-    retry_share: Share = 0.1  # of first tries, while the fleet is nearly full
+    client_header: Annotated[str, Meta(pattern="^[A-Za-z0-9-]*$")] = ""  # header that names a tenant's client
+    address_bits: Annotated[int, Meta(ge=1, le=32)] = 32  # IPv4 prefix length, if the header is missing
+    weights: dict[str, Positive] = {}  # by tenant; for others: quota or portion
+    retry_share: Share = 0.1  # of first attempts, while the fleet is nearly full
     retry_window_ms: Positive = 10_000.0
-    promised_share: Share = 0.5  # of the capacity, to callers who come at their time
+    promised_share: Share = 0.5  # of the capacity, for callers that return at their scheduled time
     slot_ms: Positive = 50.0
-    grace_ms: Positive = 500.0  # a caller may come so late
-    most_callers: Whole = 2000  # with a time to come back at
-    tickets: bool = False  # shown to callers without a session
-    heavy_clients: Whole = 256  # with accounts of their own
-    bucket_width: Annotated[int, Meta(ge=1, le=65_536)] = 128  # of four rows
-    max_wait_ms: Annotated[float, Meta(ge=0)] = 0.0  # 0: nobody waits
-    most_waiting: Whole = 256
+    grace_ms: Positive = 500.0  # how late such a caller may come
+    most_callers: PositiveInt = 2000  # callers with a scheduled time
+    tickets: bool = False  # given to callers without a session
+    heavy_clients: PositiveInt = 256  # clients with counters of their own
+    bucket_width: Annotated[int, Meta(ge=1, le=65_536)] = 128  # buckets in each of four rows
+    max_wait_ms: Annotated[float, Meta(ge=0)] = 0.0  # 0: requests don't wait
+    most_waiting: PositiveInt = 256
 
 
 class FailoverTable(Struct, forbid_unknown_fields=True, frozen=True):
-    """`[failover]`: verdicts on zones and regions (docs/operators/failover.md); times in milliseconds."""
+    """`[failover]`: health of zones and regions (docs/operators/failover.md); times in milliseconds."""
 
-    regions: dict[str, Annotated[list[str], Meta(min_length=1)]] = {}  # region: its zones
+    regions: dict[str, Annotated[list[str], Meta(min_length=1)]] = {}  # zones by region
     window_ms: Positive = 2000.0
     confirm_ms: Positive = 1000.0
     hold_ms: Positive = 2000.0
@@ -152,66 +153,66 @@
     ramp_ms: Positive = 5000.0
     ramp_start: Share = 0.1
     fail_share: Annotated[float, Meta(gt=0, le=1)] = 0.5
-    min_failing: Whole = 2
-    check_ms: Positive = 500.0  # a zone in doubt, or failed, is asked so often
-    check_timeout_ms: Positive = 1000.0  # and each of its endpoints waited for so long
-    check_most: Whole = 3  # endpoints of a zone asked at a time
-    period_ms: Annotated[float, Meta(ge=10)] = 100.0  # how often the evidence is weighed
+    min_failing: PositiveInt = 2
+    check_ms: Positive = 500.0  # interval of checks of a suspected or failed zone
+    check_timeout_ms: Positive = 1000.0  # time-out of each check
+    check_most: PositiveInt = 3  # endpoints of a zone checked at a time
+    period_ms: Annotated[float, Meta(ge=10)] = 100.0  # interval of evaluating the evidence
 
 
 class AgreeTable(Struct, forbid_unknown_fields=True, frozen=True):
-    """`[agree]`: versions of what routers share (docs/operators/agreement.md)."""
+    """`[agree]`: versions of shared settings across routers (docs/operators/agreement.md)."""
 
-    revision: Annotated[int, Meta(ge=1)]  # of both files: higher with each change
-    within_s: Positive = 10.0  # routers may contradict each other so long
-    period_ms: Annotated[float, Meta(ge=10)] = 500.0  # how often the list is looked at
+    revision: Annotated[int, Meta(ge=1)]  # of both files: increased with each change
+    within_s: Positive = 10.0  # how long routers may disagree
+    period_ms: Annotated[float, Meta(ge=10)] = 500.0  # interval of checking the list
 
 
 class FleetTable(Struct, forbid_unknown_fields=True, frozen=True):
-    """`[fleet]`: the store's members, and what is decided in common (docs/operators/fleet.md)."""
+    """`[fleet]`: the store's members, and the decisions made fleet-wide (docs/operators/fleet.md)."""
 
     members: Annotated[list[str], Meta(min_length=1, max_length=9)]  # HOST:PORT of their control listeners
-    parts: list[str] = []  # what is decided for all, by name: FLEET_PARTS
-    within_s: Positive = 10.0  # past this without word, the safer of the two versions known
-    ttl_s: Positive = 10.0  # of a decision without word; a lease lives half as long
-    period_ms: Annotated[float, Meta(ge=50)] = 1000.0  # how often the store is asked
-    evidence_ms: Annotated[float, Meta(ge=50)] = 5000.0  # how often summaries are written
-    call_ms: Annotated[float, Meta(ge=50)] = 1000.0  # a member's whole answer must have come by then
-    only_read: list[str] = []  # engine types that can do nothing else: the split names them, and moves none
+    parts: list[str] = []  # names of fleet-wide decisions: FLEET_PARTS
+    within_s: Positive = 10.0  # without news for longer, the safer of the two known versions applies
+    ttl_s: Positive = 10.0  # lifetime of a decision without renewal; a lease lives half as long
+    period_ms: Annotated[float, Meta(ge=50)] = 1000.0  # interval of polling the store
+    evidence_ms: Annotated[float, Meta(ge=50)] = 5000.0  # interval of writing summaries
+    call_ms: Annotated[float, Meta(ge=50)] = 1000.0  # time-out of a member's whole response
+    only_read: list[str] = []  # engine types that only prefill: the split lists them and moves none
     only_write: list[str] = []
 
 
-FLEET_PARTS = {  # by name: module and class, loaded where it is on
+FLEET_PARTS = {  # module and class by name, imported if it is on
     "roll": "spoolbarrow.fleet.membership:Membership",
     "pools": "spoolbarrow.net.pool_split:PoolSplit",
 }
 
 
 def fleet_faults(table: FleetTable) -> list[ConfigError]:
-    """What `[fleet]` says that can't be: each fault with its key."""
-    found = []
+    """All errors in `[fleet]`, each with its key."""
+    faults = []
     for n, text in enumerate(table.members):
         try:
             parse_address(f"fleet.members[{n}]", text)
         except ConfigError as error:
-            found.append(error)
+            faults.append(error)
         if text in table.members[:n]:
-            found.append(ConfigError(f"fleet.members[{n}]", f"{text} is named twice"))
+            faults.append(ConfigError(f"fleet.members[{n}]", f"{text} is named twice"))
     for n, name in enumerate(table.parts):
         if name not in FLEET_PARTS or name in table.parts[:n]:
-            why = f"{name!r} is none of {', '.join(FLEET_PARTS)}, or named twice"
-            found.append(ConfigError(f"fleet.parts[{n}]", why))
+            reason = f"{name!r} is none of {', '.join(FLEET_PARTS)}, or named twice"
+            faults.append(ConfigError(f"fleet.parts[{n}]", reason))
     for n, name in enumerate(table.only_write):
         if name in table.only_read:
-            found.append(ConfigError(f"fleet.only_write[{n}]", f"{name!r} stands in fleet.only_read, too"))
+            faults.append(ConfigError(f"fleet.only_write[{n}]", f"{name!r} is also in fleet.only_read"))
     if table.ttl_s * 1000 < 8 * table.period_ms:
-        why = "less than eight times fleet.period_ms: leases would end between looks"
-        found.append(ConfigError("fleet.ttl_s", why))
-    return found
+        reason = "less than eight times fleet.period_ms: leases would expire between polls"
+        faults.append(ConfigError("fleet.ttl_s", reason))
+    return faults
 
 
 class Operator(Struct, forbid_unknown_fields=True, frozen=True):
-    """The whole file."""
+    """The operator's whole file."""
 
     log: LogTable = LogTable()
     flows: FlowsTable | None = None
@@ -223,7 +224,7 @@
 
 
 class Collector(Struct, frozen=True):
-    """Where flow records go: `kind` is udp, tcp or tls with an address, or file with a directory."""
+    """A destination of flow records: `kind` is udp, tcp or tls with an address, or file with a directory."""
 
     kind: str
     host: str = ""
@@ -231,7 +232,7 @@
     directory: str = ""
 
     def __str__(self) -> str:
-        """As the file names it."""
+        """As written in the operator's file."""
         if self.kind == "file":
             return f"file:{self.directory}"
         host = f"[{self.host}]" if ":" in self.host else self.host
@@ -239,50 +240,50 @@
 
 
 def index_of(names: Mapping[str, int], name: str, key: str) -> int:
-    """A tenant's or class's number by its name; ConfigError, naming the key, where there is none of it."""
+    """The index of a tenant or class by its name; raises ConfigError with the key if there is none."""
     if name not in names:
         raise ConfigError(f"{key}: {name!r} is none of {', '.join(names)}")
     return names[name]
 
 
 def parse_collector(key: str, text: str) -> Collector:
-    """The collector that a text names; ConfigError where it names none.
+    """Parse a collector; raises ConfigError if the text is invalid.
 
-    Addresses are numbers: to look a name up could hold the program up, and may not be possible.
+    Hosts must be IP addresses: resolving a name could block the program, and may be impossible.
     """
     if text.startswith("file:") and len(text) > len("file:"):
         return Collector("file", directory=text.removeprefix("file:"))
-    kind, mark, place = text.partition("://")
+    kind, separator, place = text.partition("://")
     host, _, port = place.rpartition(":")
-    bare = host[1:-1] if host.startswith("[") and host.endswith("]") else host
+    unbracketed = host[1:-1] if host.startswith("[") and host.endswith("]") else host
     try:
-        ip = ipaddress.ip_address(bare)
+        ip = ipaddress.ip_address(unbracketed)
     except ValueError:
         ip = None
-    listens = port.isascii() and port.isdigit() and 0 < int(port) < 65536
-    if kind not in ("udp", "tcp", "tls") or not mark or ip is None or not listens:
-        form = "udp://IP:PORT, tcp://IP:PORT, tls://IP:PORT or file:DIRECTORY"
-        raise ConfigError(f"{key}: {text!r} is not {form}")
+    valid_port = port.isascii() and port.isdigit() and 0 < int(port) < 65536
+    if kind not in ("udp", "tcp", "tls") or not separator or ip is None or not valid_port:
+        expected = "udp://IP:PORT, tcp://IP:PORT, tls://IP:PORT or file:DIRECTORY"
+        raise ConfigError(f"{key}: {text!r} is not {expected}")
     return Collector(kind, str(ip), int(port))
 
 
 def parse_collectors(flows: FlowsTable) -> list[Collector]:
-    """The collectors of a table, in its order; ConfigError names the one at fault."""
-    found = [parse_collector(f"flows.collectors[{n}]", text) for n, text in enumerate(flows.collectors)]
-    for n, one in enumerate(found):
-        if one in found[:n]:
-            raise ConfigError(f"flows.collectors[{n}]: {one} is named twice")
-        if one.kind == "tls" and flows.tls is None:
-            raise ConfigError(f"flows.tls: missing, but {one} needs it")
-        if flows.format == "netflow9" and one.kind != "udp":
-            raise ConfigError(f"flows.collectors[{n}]: netflow9 goes over udp only")
+    """The collectors of a table, in its order; raises ConfigError with the key at fault."""
+    parsed = [parse_collector(f"flows.collectors[{n}]", text) for n, text in enumerate(flows.collectors)]
+    for n, collector in enumerate(parsed):
+        if collector in parsed[:n]:
+            raise ConfigError(f"flows.collectors[{n}]: {collector} is named twice")
+        if collector.kind == "tls" and flows.tls is None:
+            raise ConfigError(f"flows.tls: missing, but {collector} needs it")
+        if flows.format == "netflow9" and collector.kind != "udp":
+            raise ConfigError(f"flows.collectors[{n}]: netflow9 works over udp only")
     if flows.retry_most_ms < flows.retry_least_ms:
         raise ConfigError("flows.retry_most_ms: less than flows.retry_least_ms")
-    return found
+    return parsed
 
 
 def zone_faults(table: FailoverTable, zones: Collection[str]) -> list[ConfigError]:
-    """What `[failover]` names that the platform's settings do not have: one fault a zone, with its key."""
+    """One error for each zone in `[failover]` that the platform's settings lack, with its key."""
     return [
         ConfigError(f"failover.regions.{region}", f"{zone} is no zone of the settings")
         for region, members in table.regions.items()
@@ -292,21 +293,21 @@
 
 
 def read(environment: Mapping[str, str] = os.environ) -> tuple[Operator, list[ConfigError]]:
-    """The operator's settings and all faults in them; with a fault, the settings are the defaults."""
+    """The operator's settings and all errors in them; with errors, the settings are the defaults."""
     raw: dict[str, Any] = {}
     path = environment.get(FILE_VARIABLE)
     if path:
         try:
             raw = tomllib.loads(Path(path).read_text("utf-8"))
         except OSError as error:
-            return Operator(), [ConfigError(FILE_VARIABLE, f"{path}: {error.strerror}", NAME_A_FILE)]
+            return Operator(), [ConfigError(FILE_VARIABLE, f"{path}: {error.strerror}", FILE_REMEDY)]
         except (tomllib.TOMLDecodeError, UnicodeDecodeError) as error:
-            return Operator(), [ConfigError(FILE_VARIABLE, f"{path}: {error}", WRITE_TOML)]
-    for variable, (table, key) in ENVIRONMENT.items():
-        if (told := environment.get(variable)) is not None:
+            return Operator(), [ConfigError(FILE_VARIABLE, f"{path}: {error}", TOML_REMEDY)]
+    for variable, (table, key) in ENVIRONMENT_VARIABLES.items():
+        if (value := environment.get(variable)) is not None:
             inner = raw.setdefault(table, {})
             if isinstance(inner, dict):
-                inner[key] = told.split() if (table, key) in LISTS else told
+                inner[key] = value.split() if (table, key) in LIST_KEYS else value
     faults = find_faults(raw, Operator)
     if faults:
         return Operator(), faults
@@ -324,7 +325,7 @@
 
 
 def load(environment: Mapping[str, str] = os.environ) -> Operator:
-    """The operator's settings; ConfigError where they can't be used."""
+    """The operator's settings; raises ConfigError if they are invalid."""
     operator, faults = read(environment)
     if len(faults) > 1:
         raise ConfigError("; ".join(map(str, faults)))
@@ -333,6 +334,6 @@
     return operator
 
 
-def named(environment: Mapping[str, str] = os.environ) -> bool:
-    """Whether there is anything of the operator's to read."""
-    return bool(environment.get(FILE_VARIABLE)) or any(name in environment for name in ENVIRONMENT)
+def is_configured(environment: Mapping[str, str] = os.environ) -> bool:
+    """Whether the operator's file or an environment variable sets anything."""
+    return bool(environment.get(FILE_VARIABLE)) or any(name in environment for name in ENVIRONMENT_VARIABLES)
--- a/spoolbarrow/reload.py
+++ b/spoolbarrow/reload.py
@@ -1,6 +1,6 @@
-"""The configuration files: read at the start and again on request, and acted on whole or not at all.
+"""Reads both configuration files at the start and at each reload, and applies them completely or not at all.
 
-Owns the order of changes: a start, a reload and the beginning of a drain never run inside each other.
+Serializes changes: a start, a reload and the beginning of a drain never overlap.
 """
 
 from __future__ import annotations
@@ -25,24 +25,24 @@
     from spoolbarrow.agree import VersionedItem
     from spoolbarrow.operator import Operator
 
-OPERATOR = "SPOOLBARROW_"  # what begins so in the environment is the operator's
+OPERATOR_PREFIX = "SPOOLBARROW_"  # prefix of environment variables of the operator's settings
 
 
 class RouterDraining(Problem):
-    """Files are to be adopted by a router that is ending."""
+    """A router that is shutting down is asked to adopt its files."""
 
-    remedy = "Say it to the process that takes its place, which reads the files as they are when it starts."
+    remedy = "Send the call to the process that replaces it, which reads the current files when it starts."
 
 
 class FilesChanged(config.ConfigError):
-    """Files are to be adopted that have changed since they were checked."""
+    """Files to be adopted have changed since they were checked."""
 
-    remedy = "Say `spoolbarrow agree apply` again once the files are as they are meant to be."
+    remedy = "Run `spoolbarrow agree apply` again once the files are final."
 
 
-def operators() -> Operator | None:
-    """The operator's settings, where there are any; ConfigError where they can't be used."""
-    if not any(name.startswith(OPERATOR) for name in os.environ):
+def load_operator() -> Operator | None:
+    """The operator's settings, if there are any; raises ConfigError if they are invalid."""
+    if not any(name.startswith(OPERATOR_PREFIX) for name in os.environ):
         return None
     from spoolbarrow import operator
 
@@ -50,56 +50,58 @@
 
 
 class DescriptorLimit:
-    """What this process may hold: its own limit counts where it is lower than the platform's."""
+    """The descriptor limit of this process: the lower of its own and the platform's."""
 
     def __init__(self) -> None:
-        # The look itself takes one.
-        self._held = len(os.listdir("/proc/self/fd")) - 1
+        # Listing the directory itself takes one.
+        self._open_at_start = len(os.listdir("/proc/self/fd")) - 1
 
     def fit(self, settings: config.Config) -> config.Config:
-        """A configuration as this process can keep it; ConfigError where it can't.
+        """Fit a configuration to this process; raises ConfigError if that is impossible.
 
-        A soft limit below the platform's is raised as far as the process may: it is a shell's habit.
+        A soft limit below the platform's is raised as far as the process may: shells set low soft limits.
         """
         soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
-        wanted = settings.limits.sockets if hard < 0 else min(hard, settings.limits.sockets)
-        if 0 <= soft < wanted:
-            resource.setrlimit(resource.RLIMIT_NOFILE, (wanted, hard))
-            soft = wanted
-        return config.fit_descriptors(settings, settings.limits.sockets if soft < 0 else soft, self._held)
+        limit = settings.limits.sockets if hard < 0 else min(hard, settings.limits.sockets)
+        if 0 <= soft < limit:
+            resource.setrlimit(resource.RLIMIT_NOFILE, (limit, hard))
+            soft = limit
+        return config.fit_descriptors(
+            settings, settings.limits.sockets if soft < 0 else soft, self._open_at_start
+        )
 
 
 class FilesRead(Struct, frozen=True):
-    """Both files as they are now."""
+    """Both files as last read."""
 
-    read: config.Config  # as the file says
-    settings: config.Config  # as it fits this process
+    read: config.Config  # as written in the file
+    settings: config.Config  # as fitted to this process
     prepared: Prepared
 
 
 class Reloader:
-    """Has the router go by its files."""
+    """Applies the configuration files to the running router."""
 
     def __init__(
-        self, host: Host, inbound: Inbound, operations: Coordinator | None, descriptors: DescriptorLimit
+        self, host: Host, inbound: Inbound, coordinator: Coordinator | None, descriptors: DescriptorLimit
     ) -> None:
-        self._host, self._inbound, self._operations = host, inbound, operations
+        self._host, self._inbound, self._coordinator = host, inbound, coordinator
         self._descriptors = descriptors
-        self.subsystems = Subsystems(host, inbound, operations, self)
-        # Held while the program starts, goes by other files, or begins to end: one of these at a time.
-        self.changing = BoundedSemaphore(1)
+        self.subsystems = Subsystems(host, inbound, coordinator, self)
+        # Held during the start, a reload, and the beginning of a drain: one of these at a time.
+        self.change_lock = BoundedSemaphore(1)
 
-    def _read(self) -> FilesRead:
-        read, operator = self._descriptors.fit(config.load()), operators()
-        settings = read if self._operations is None else self._operations.fit(read)
+    def _read_files(self) -> FilesRead:
+        read, operator = self._descriptors.fit(config.load()), load_operator()
+        settings = read if self._coordinator is None else self._coordinator.fit(read)
         return FilesRead(read, settings, self.subsystems.prepare(operator, settings))
 
     def check(self) -> tuple[dict[VersionedItem, str], int]:
-        """The digests of what the files say now, and their revision; ConfigError where they can't be used."""
-        return self._contents(self._read())
+        """The digests of the current files, and their revision; raises ConfigError if they are invalid."""
+        return self._digests(self._read_files())
 
     @staticmethod
-    def _contents(files: FilesRead) -> tuple[dict[VersionedItem, str], int]:
+    def _digests(files: FilesRead) -> tuple[dict[VersionedItem, str], int]:
         operator = files.prepared.operator
         from spoolbarrow.net.version_monitor import file_digests
 
@@ -109,53 +111,53 @@
         return file_digests(files.settings, operator), operator.agree.revision
 
     def reload(self, wanted: str = "") -> Problem | None:
-        """Go by the configuration files as they are now, where they have the digest `wanted` or any will do.
+        """Apply the configuration files as they are now, if their digest is `wanted`, or any if it is empty.
 
-        A faulty or late one changes nothing: why is logged and returned. One that comes while the program
-        starts or another is carried out waits, and reads the files after that. It is carried out whole, also
-        where its caller, who may be one of the operators' listener that it closes, is ended meanwhile.
+        Invalid files, or a call while draining, change nothing: the reason is logged and returned. A call
+        during the start or another reload waits, and reads the files after that. It is completed even if its
+        caller is killed meanwhile, who may be a connection of the control listener that the reload closes.
         """
         problem: Problem | None = gevent.spawn(self._reload, wanted).get()
         return problem
 
     def _reload(self, wanted: str) -> Problem | None:
-        with self.changing:
+        with self.change_lock:
             if self._inbound.drainer.state.process_ending():
                 log("reload_ignored", why="draining")
                 return RouterDraining("", "draining")
             try:
-                self._act_on_files(wanted)
+                self._apply_files(wanted)
             except config.ConfigError as error:
                 log_problem("reload_failed", error)
                 return error
             return None
 
-    def _act_on_files(self, wanted: str) -> None:
-        """ConfigError, and nothing is changed, where the files can't be used."""
-        operations = self._operations
-        files = self._read()
+    def _apply_files(self, wanted: str) -> None:
+        """Raises ConfigError, changing nothing, if the files are invalid."""
+        coordinator = self._coordinator
+        files = self._read_files()
         read, settings = files.read, files.settings
         if wanted:
             from spoolbarrow import agree
 
-            if agree.files_digest(self._contents(files)[0]) != wanted:
-                raise FilesChanged("agree: the files are not what was checked")
-        calls = None if operations is None else operations.prepare(read)
+            if agree.files_digest(self._digests(files)[0]) != wanted:
+                raise FilesChanged("agree: the files have changed since the check")
+        listener = None if coordinator is None else coordinator.prepare(read)
         try:
-            self._inbound.apply(settings)  # the last that can fail
+            self._inbound.apply(settings)  # the last step that can fail
         except OSError as error:
-            if calls is not None:
-                calls.close()
+            if listener is not None:
+                listener.close()
             raise config.CannotListen("listen", str(error)) from error
-        # No other greenlet runs between the reading of the files and this: the room was shared out there, and
-        # another process of this router may come or go at any time.
+        # No other greenlet runs between reading the files and this call: the connection limits were split
+        # between processes then, and another process of this router may start or end at any time.
         self._host.apply(settings)
-        if operations is not None:
-            operations.apply(read, calls)
+        if coordinator is not None:
+            coordinator.apply(read, listener)
         self.subsystems.apply(files.prepared)
         log("reloaded", name=settings.name, listen=f"{settings.listen[0]}:{settings.listen[1]}")
 
     def drain(self) -> None:
-        """The router begins to end; files that are being acted on are so whole first."""
-        with self.changing:
+        """Begin shutting down; a reload in progress is completed first."""
+        with self.change_lock:
             self.subsystems.drain()
--- a/spoolbarrow/serve.py
+++ b/spoolbarrow/serve.py
@@ -1,4 +1,4 @@
-"""One real router: start, signals, exit status."""
+"""Runs one serving router process: startup, signal handling and exit status."""
 
 from __future__ import annotations
 
@@ -14,76 +14,76 @@
 from spoolbarrow.net.host import Host
 from spoolbarrow.net.inbound import Inbound
 from spoolbarrow.net.log import default_log, log, log_problem
-from spoolbarrow.reload import DescriptorLimit, Reloader, operators
+from spoolbarrow.reload import DescriptorLimit, Reloader, load_operator
 
 if TYPE_CHECKING:
     from spoolbarrow.admin.coordinator import Coordinator
 
-TIDY_S = 2.0
+GC_INTERVAL_S = 2.0
 
 
-def start(host: Host, inbound: Inbound, operations: Coordinator | None) -> None:
-    """Listen and begin to decide; CannotListen where an address can't be had."""
+def start(host: Host, inbound: Inbound, coordinator: Coordinator | None) -> None:
+    """Start listening and deciding; raises CannotListen if an address is unavailable."""
     try:
-        if operations is None:
+        if coordinator is None:
             inbound.start()
             host.start()
         else:
-            inbound.start(operations.inherited_socket, operations.is_oldest())
-            operations.start(host, inbound)
+            inbound.start(coordinator.inherited_socket, coordinator.is_oldest())
+            coordinator.start(host, inbound)
     except OSError as error:
         raise config.CannotListen("listen", str(error)) from error
 
 
 def main() -> int:
-    """Serve until SIGTERM, then finish what was taken."""
-    signal.signal(signal.SIGHUP, signal.SIG_IGN)  # it must not end a program that is not up yet
-    operations: Coordinator | None = None
+    """Serve until SIGTERM, then finish the requests in progress."""
+    signal.signal(signal.SIGHUP, signal.SIG_IGN)  # must not end a program that is still starting
+    coordinator: Coordinator | None = None
     descriptors = DescriptorLimit()
     try:
-        settings, operator = descriptors.fit(config.load()), operators()
+        settings, operator = descriptors.fit(config.load()), load_operator()
         if settings.control is not None or config.INHERITED_FD_VARIABLE in os.environ:
             from spoolbarrow.admin.coordinator import Coordinator
 
-            operations = Coordinator(settings)
-            settings = operations.fit(settings)
+            coordinator = Coordinator(settings)
+            settings = coordinator.fit(settings)
     except config.ConfigError as error:
         log_problem("bad_config", error)
         return error.status
-    told_to_end = Event()
-    gevent.signal_handler(signal.SIGTERM, told_to_end.set)
-    gevent.signal_handler(signal.SIGINT, told_to_end.set)
-    host = Host(settings, operations.clock() if operations is not None else None)
+    stop_requested = Event()
+    gevent.signal_handler(signal.SIGTERM, stop_requested.set)
+    gevent.signal_handler(signal.SIGINT, stop_requested.set)
+    host = Host(settings, coordinator.clock() if coordinator is not None else None)
     inbound = Inbound(settings, host)
-    reloader = Reloader(host, inbound, operations, descriptors)
+    reloader = Reloader(host, inbound, coordinator, descriptors)
     subsystems = reloader.subsystems
     try:
         subsystems.apply(subsystems.prepare(operator, settings))
     except config.ConfigError as error:
         log_problem("bad_config", error)
         return error.status
-    # Before it listens: what sends SIGHUP may know of no other sign that the program is up.
+    # Before listening: a sender of SIGHUP may have no other sign that the program is up.
     gevent.signal_handler(signal.SIGHUP, reloader.reload)
     try:
-        with reloader.changing:
-            start(host, inbound, operations)
+        with reloader.change_lock:
+            start(host, inbound, coordinator)
     except config.CannotListen as error:
         log_problem("bad_config", error)
         return error.status
     default_log.start()
-    gc.freeze()  # what is loaded by now lives as long as the process
+    gc.freeze()  # objects loaded so far live as long as the process
     gc.enable()
     log("started", name=settings.name, listen=f"{settings.listen[0]}:{settings.listen[1]}")
-    while not told_to_end.wait(TIDY_S):
-        # Connections, parsers and requests refer to each other in rings. Left to its own thresholds, the
-        # collector comes to the old ones so seldom that a busy minute's worth of them piles up.
+    while not stop_requested.wait(GC_INTERVAL_S):
+        # Connections, parsers and requests form reference cycles. With its default thresholds, the collector
+        # reaches the old generation so rarely that a busy minute's worth of them accumulates.
         gc.collect()
     log("draining", open=host.open_requests())
     reloader.drain()
-    inbound.drain(operations.drain() if operations is not None else None)
+    inbound.drain(coordinator.drain() if coordinator is not None else None)
     host.stop()
-    if operations is not None:
-        operations.close()
+    if coordinator is not None:
+        coordinator.close()
     subsystems.close()
     log("ended")
     default_log.stop()
--- a/spoolbarrow/subsystems.py
+++ b/spoolbarrow/subsystems.py
@@ -1,7 +1,7 @@
-"""What the operator's file switches on and off; nothing of what is off is imported.
+"""Starts, reconfigures and stops the operator file's subsystems; those that are off are not imported.
 
-Each subsystem has the same life: its settings are prepared, which may fail and changes nothing; then it is
-started, changed or stopped. `Subsystems` holds them and their order.
+Each subsystem has the same life cycle: its settings are prepared, which may fail and changes nothing; then it
+is started, reconfigured or stopped. `Subsystems` holds all of them and defines their order.
 """
 
 from __future__ import annotations
@@ -35,10 +35,10 @@
 
 
 class Running(Protocol[SettingsT]):
-    """A subsystem that is on."""
+    """A running subsystem."""
 
     def apply(self, prepared: SettingsT, /) -> None:
-        """Go by other settings."""
+        """Apply changed settings."""
 
 
 RunningT = TypeVar("RunningT", bound=Running)  # type: ignore[type-arg]
@@ -46,14 +46,14 @@
 
 
 class Switch(Generic[PreparedT, RunningT]):
-    """One subsystem, on or off."""
+    """One subsystem that can be started, reconfigured and stopped."""
 
     def __init__(self, start: Callable[[PreparedT], RunningT], stop: Callable[[RunningT], object]) -> None:
         self._start, self._stop = start, stop
         self.running: RunningT | None = None
 
     def apply(self, prepared: PreparedT | None) -> None:
-        """Be on by these settings; None: be off."""
+        """Start or reconfigure with these settings; None: stop."""
         if prepared is None:
             self.stop()
         elif self.running is None:
@@ -62,14 +62,14 @@
             self.running.apply(prepared)
 
     def stop(self) -> None:
-        """Be off."""
+        """Stop, if running."""
         running, self.running = self.running, None
         if running is not None:
             self._stop(running)
 
 
 class Prepared(Struct, frozen=True):
-    """Settings that can be applied; a subsystem without any is off."""
+    """Validated settings ready to be applied; a subsystem without settings is off."""
 
     operator: Operator | None = None
     flows: exporter.Prepared | None = None
@@ -84,19 +84,19 @@
     """All subsystems of one router."""
 
     def __init__(
-        self, host: Host, inbound: Inbound, operations: Coordinator | None, files: ConfigFiles
+        self, host: Host, inbound: Inbound, coordinator: Coordinator | None, files: ConfigFiles
     ) -> None:
-        self._host, self._inbound, self._operations, self._files = host, inbound, operations, files
+        self._host, self._inbound, self._coordinator, self._files = host, inbound, coordinator, files
         self._operator: Operator | None = None
-        self._flows = Switch(self._start_flows, lambda one: gevent.spawn(one.close))  # collectors may be slow
+        self._flows = Switch(self._start_flows, lambda part: gevent.spawn(part.close))  # may be slow
         self._shadow = Switch(self._start_shadow, _stop_shadow)
-        self._door = Switch(self._start_door, lambda one: one.stop())
-        self._failover = Switch(self._start_failover, lambda one: one.stop())
-        self._agreement = Switch(self._start_agreement, lambda one: one.stop())
-        self._fleet = Switch(self._start_fleet, lambda one: one.stop())
+        self._door = Switch(self._start_door, lambda part: part.stop())
+        self._failover = Switch(self._start_failover, lambda part: part.stop())
+        self._agreement = Switch(self._start_agreement, lambda part: part.stop())
+        self._fleet = Switch(self._start_fleet, lambda part: part.stop())
 
     def prepare(self, operator: Operator | None, settings: Config) -> Prepared:
-        """Everything about new settings that can fail; ConfigError where it does, and nothing is changed."""
+        """Do all that can fail for new settings; raises ConfigError and changes nothing if it does."""
         if operator is None:
             return Prepared()
         prepared = Prepared(
@@ -113,7 +113,7 @@
         return prepared
 
     def apply(self, prepared: Prepared) -> None:
-        """Go by settings that were prepared; what is not set is as without a file."""
+        """Apply prepared settings; anything not set takes its default."""
         self._operator = operator = prepared.operator
         if operator is None:
             default_log.configure()
@@ -124,23 +124,23 @@
         self._door.apply(prepared.door)
         self._failover.apply(prepared.failover)
         self._agreement.apply(prepared.agree)
-        if self._operations is not None:
-            self._operations.agreement = self._agreement.running
-        # Last: the others have seen the tenants as the files have them.
+        if self._coordinator is not None:
+            self._coordinator.agreement = self._agreement.running
+        # Last: the other subsystems have used the tenants as given in the files.
         self._fleet.apply(prepared.fleet)
 
     @property
     def failover(self) -> ZoneMonitor | None:
-        """Failover's watch, where it is on."""
+        """The zone watch of failover, if it is on."""
         return self._failover.running
 
     def drain(self) -> None:
-        """The router begins to end: copies do at once, so that live requests have the whole grace."""
+        """Begin shutting down: copying stops at once, so that live requests have the whole grace period."""
         if self._shadow.running is not None:
             self._shadow.running.stop()
 
     def close(self) -> None:
-        """End what is on, after `drain`."""
+        """Stop what is still running, after `drain`."""
         if self._shadow.running is not None:
             self._shadow.running.close()
         if self._flows.running is not None:
@@ -177,7 +177,7 @@
         return StoreFollower(self._host, table, self._shares_changed)
 
     def _shares_changed(self) -> None:
-        """Tenants have other shares than their file says: the door goes by them, too."""
+        """Tenants' shares differ from their file: reconfigure the door with them."""
         if self._operator is not None:
             self._door.apply(_prepare_door(self._operator, self._host.config))
 
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,8 +1,9 @@
-"""Tests that are known to be red: `KNOWN-RED.txt` at the repository's root, three lines at most, or no file.
+"""Handles tests that are known to fail: `KNOWN-RED.txt` in the repository's root, three lines at most, or no
+file.
 
 A line is `TEST_ID | cause | issue`. Such a test is run, may fail, and is printed with its line at the end of
-every run. Whatever else the file says fails the run: a line of another form, a fourth one, an id that no test
-has, and a test that passes: its line is to go.
+every run. Any other content fails the run: a line in another form, a fourth one, an id without a test, and a
+test that passes: its line must be removed.
 """
 
 from __future__ import annotations
@@ -11,36 +12,36 @@
 
 import pytest
 
-FILE, MOST = "KNOWN-RED.txt", 3
-FORM = "TEST_ID | cause | issue"
-KNOWN = pytest.StashKey[dict[str, str]]()
+FILE, MAX_LINES = "KNOWN-RED.txt", 3
+LINE_FORMAT = "TEST_ID | cause | issue"
+KNOWN_FAILURES = pytest.StashKey[dict[str, str]]()
 
 
-def read(text: str) -> dict[str, str]:
-    """Each line by its test's id; pytest.UsageError where one can't be used."""
+def parse_known_failures(text: str) -> dict[str, str]:
+    """The lines by test id; raises pytest.UsageError for an invalid one."""
     known: dict[str, str] = {}
     for number, line in enumerate(text.splitlines(), 1):
         parts = [part.strip() for part in line.rsplit(" | ", 2)]
         if len(parts) != 3 or not all(parts) or "::" not in parts[0]:
-            raise pytest.UsageError(f"{FILE}: line {number} is not `{FORM}`: {line!r}")
+            raise pytest.UsageError(f"{FILE}: line {number} is not `{LINE_FORMAT}`: {line!r}")
         if parts[0] in known:
             raise pytest.UsageError(f"{FILE}: line {number} names {parts[0]} again")
         known[parts[0]] = line.strip()
-    if len(known) > MOST:
-        raise pytest.UsageError(f"{FILE}: {len(known)} lines, {MOST} are allowed: mend one first")
+    if len(known) > MAX_LINES:
+        raise pytest.UsageError(f"{FILE}: {len(known)} lines, {MAX_LINES} are allowed: fix one first")
     return known
 
 
 def pytest_configure(config: pytest.Config) -> None:
     file = config.rootpath / FILE
-    config.stash[KNOWN] = read(file.read_text()) if file.exists() else {}
+    config.stash[KNOWN_FAILURES] = parse_known_failures(file.read_text()) if file.exists() else {}
 
 
 @pytest.hookimpl(tryfirst=True)
 def pytest_collection_modifyitems(config: pytest.Config, items: list[pytest.Item]) -> None:
-    """Before any are deselected: a listed test that should be among them and is not has no such id."""
+    """Before deselection: a listed test that should be collected and is not has an unknown id."""
     items_by_id = {item.nodeid: item for item in items}
-    for name, line in config.stash[KNOWN].items():
+    for name, line in config.stash[KNOWN_FAILURES].items():
         item = items_by_id.get(name)
         if item is not None:
             item.add_marker(pytest.mark.xfail(reason=f"{FILE}: {line}", strict=True))
@@ -49,13 +50,13 @@
 
 
 def _collected(config: pytest.Config, file: Path) -> bool:
-    """Whether all of a file's tests were asked for, or there is no such file."""
-    asked = [config.invocation_params.dir / arg for arg in config.args if "::" not in arg]
-    return not file.exists() or any(one == file or one in file.parents for one in asked)
+    """Whether all tests of a file were requested, or there is no such file."""
+    requested = [config.invocation_params.dir / arg for arg in config.args if "::" not in arg]
+    return not file.exists() or any(path == file or path in file.parents for path in requested)
 
 
 def pytest_terminal_summary(terminalreporter: pytest.TerminalReporter, config: pytest.Config) -> None:
-    known = config.stash[KNOWN]
+    known = config.stash[KNOWN_FAILURES]
     if known:
         terminalreporter.section(f"known to be red ({FILE})")
         for line in known.values():
