--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -1,4 +1,4 @@
-"""The operators' listener: what each call is answered and does, and figures held against what peers saw."""
+"""The control listener: the response and effect of each call, and metrics compared with the peers' view."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 from spoolbarrow.admin import calls, control
 from spoolbarrow.admin.calls import Call, Verb
 from spoolbarrow.admin.commands import OperatorCommands
-from spoolbarrow.admin.control import Control
+from spoolbarrow.admin.control import ControlListener
 from spoolbarrow.admin.metrics import Metrics
 from spoolbarrow.config import HostList
 from spoolbarrow.net import destinations, drain_schedule, drainer
@@ -48,19 +48,19 @@
 )
 
 ROOT = Path(__file__).resolve().parent.parent
-FATES = ("passed", "dropped", "bad_gateway")
-UP = b"GET /up HTTP/1.1\r\n\r\n"
+RESULTS = ("passed", "dropped", "bad_gateway")
+UP_REQUEST = b"GET /up HTTP/1.1\r\n\r\n"
 
 
 @contextmanager
-def operated(*scripts: Script, **changes: Any) -> Iterator[Any]:
-    """A router with an operators' listener: (stage, control, call, engines...)."""
+def running_control(*scripts: Script, **changes: Any) -> Iterator[Any]:
+    """A router with a control listener: (stage, control, call, engines...)."""
     with running_router(*scripts, **changes) as (scene, *engines):
         address = (LISTEN, free_port())
-        listener = Control(
+        listener = ControlListener(
             scene.host, scene.inbound, OperatorCommands(scene.host, scene.inbound), lambda: None
         )
-        listener.move(control.listen(address))
+        listener.serve_on(control.listen(address))
 
         def call(path: str, method: str = "POST") -> ResponseParser:
             return Client(address[1]).send(f"{method} /v1/{path} HTTP/1.1\r\n\r\n".encode()).answer()
@@ -71,13 +71,13 @@
             listener.close()
 
 
-def figures(call: Any) -> dict[str, int]:
+def read_metrics(call: Any) -> dict[str, int]:
     text = b"".join(call("metrics", "GET").take_body()).decode()
     return {name: int(value) for name, _, value in (line.partition("=") for line in text.splitlines())}
 
 
 @pytest.mark.parametrize(
-    ("method", "target", "told"),
+    ("method", "target", "expected"),
     [
         (b"GET", b"/v1/readyz", Call(Verb.READY)),
         (b"GET", b"/v1/metrics?x=1", Call(Verb.METRICS)),
@@ -93,18 +93,18 @@
         (b"GET", b"/", 404),
     ],
 )
-def test_calls_are_read_by_path_and_method(method: bytes, target: bytes, told: Call | int) -> None:
+def test_calls_are_parsed_by_path_and_method(method: bytes, target: bytes, expected: Call | int) -> None:
     message = Message(method=method, target=target)
-    if isinstance(told, Call):
-        assert calls.read(message) == told
+    if isinstance(expected, Call):
+        assert calls.parse(message) == expected
     else:
         with pytest.raises(calls.CallFault) as raised:
-            calls.read(message)
-        assert raised.value.answer == told
+            calls.parse(message)
+        assert raised.value.answer == expected
 
 
 @pytest.mark.parametrize(
-    ("said", "status"),
+    ("sent", "status"),
     [
         (b"nonsense\r\n\r\n", 400),
         (b"GET /v1/readyz HTTP/1.1\r\nX: " + b"x" * 9000 + b"\r\n\r\n", 431),
@@ -115,140 +115,144 @@
         (b"GET /v1/readyz HTTP/1.1\r\n\r\n", 200),
     ],
 )
-def test_each_call_is_answered_and_ends_its_connection(said: bytes, status: int) -> None:
-    with operated(serve_all) as (_, listener, _call, _):
-        caller = Client(listener._listener.getsockname()[1]).send(said)
+def test_each_call_gets_a_response_and_closes_its_connection(sent: bytes, status: int) -> None:
+    with running_control(serve_all) as (_, listener, _call, _):
+        caller = Client(listener._listener.getsockname()[1]).send(sent)
         answer = caller.answer()
         assert answer.status == status and caller.ended()
-        told = msgspec.json.decode(b"".join(answer.take_body()))
-        assert status == 200 or (told["error"]["code"], bool(told["error"]["remedy"])) == (status, True)
+        body = msgspec.json.decode(b"".join(answer.take_body()))
+        assert status == 200 or (body["error"]["code"], bool(body["error"]["remedy"])) == (status, True)
 
 
-def test_a_call_that_has_come_is_answered_though_silent_callers_come_in_a_burst_behind_it() -> None:
-    with operated(serve_all) as (_, listener, *_rest):
-        where = listener._listener.getsockname()
-        asking = plain.create_connection(where, 20)  # all wait in the backlog, none accepted yet
-        asking.sendall(b"GET /v1/readyz HTTP/1.1\r\n\r\n")
-        silent = [plain.create_connection(where, 20) for _ in range(2 * control.CALLERS)]
-        wait_until(lambda: select.select([asking], [], [], 0)[0])  # an answer, or its end
-        assert asking.recv(4096).startswith(b"HTTP/1.1 200")
-        for one in (asking, *silent):
-            one.close()
+def test_a_received_call_is_answered_despite_a_burst_of_idle_connections() -> None:
+    with running_control(serve_all) as (_, listener, *_rest):
+        address = listener._listener.getsockname()
+        caller = plain.create_connection(address, 20)  # all wait in the backlog, none accepted yet
+        caller.sendall(b"GET /v1/readyz HTTP/1.1\r\n\r\n")
+        idle = [plain.create_connection(address, 20) for _ in range(2 * control.MAX_CONNECTIONS)]
+        wait_until(lambda: select.select([caller], [], [], 0)[0])  # a response, or the connection's end
+        assert caller.recv(4096).startswith(b"HTTP/1.1 200")
+        for sock in (caller, *idle):
+            sock.close()
 
 
-def test_silent_callers_hold_nobody_up_and_the_oldest_gives_way(monkeypatch: pytest.MonkeyPatch) -> None:
-    with operated(serve_all) as (_, listener, call, _):
+def test_idle_connections_block_nobody_and_the_oldest_is_closed(monkeypatch: pytest.MonkeyPatch) -> None:
+    with running_control(serve_all) as (_, listener, call, _):
         port = listener._listener.getsockname()[1]
-        silent = [Client(port).send(b"GET /v1/re"[:n]) for n in range(control.CALLERS)]
-        wait_until(lambda: len(listener._silent) == control.CALLERS)
+        idle = [Client(port).send(b"GET /v1/re"[:n]) for n in range(control.MAX_CONNECTIONS)]
+        wait_until(lambda: len(listener._connections) == control.MAX_CONNECTIONS)
         assert call("readyz", "GET").status == 200
-        assert silent[0].ended()
-        assert len(listener._silent) <= control.CALLERS
-    monkeypatch.setattr(control, "CALL_S", 0.05)
-    with operated(serve_all) as (_, listener, call, _):
+        assert idle[0].ended()
+        assert len(listener._connections) <= control.MAX_CONNECTIONS
+    monkeypatch.setattr(control, "CALL_TIMEOUT_S", 0.05)
+    with running_control(serve_all) as (_, listener, call, _):
         assert Client(listener._listener.getsockname()[1]).send(b"GET").answer().status == 408
 
 
-def test_a_fault_behind_a_call_is_told_and_reaches_nothing_else(monkeypatch: pytest.MonkeyPatch) -> None:
-    with operated(serve_all) as (scene, _, call, _):
+def test_an_error_in_a_call_is_answered_with_500_and_affects_nothing_else(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    with running_control(serve_all) as (scene, _, call, _):
         with monkeypatch.context() as broken:
             broken.setattr(scene.host, "endpoint_counts", lambda: 1 / 0)
             assert call("metrics", "GET").status == 500
         assert call("metrics", "GET").status == 200 and scene.client().send(ask()).answer().status == 200
 
 
-def test_every_class_is_told_from_the_start_and_words_unknown_count_nowhere() -> None:
-    made = Metrics(["chat", "deep"])
-    made.answered("deep", "left")
-    made.answered("nobody", "served")
-    assert made.write(1, 2, 3, 4, DrainCounts(5, 6, 7)).splitlines() == [
-        *(f"router.handled.{c}.{f}=0" for c in ("chat", "deep") for f in FATES),
+def test_every_class_is_listed_from_the_start_and_unknown_results_are_ignored() -> None:
+    metrics = Metrics(["chat", "deep"])
+    metrics.count_result("deep", "left")
+    metrics.count_result("nobody", "served")
+    assert metrics.format(1, 2, 3, 4, DrainCounts(5, 6, 7)).splitlines() == [
+        *(f"router.handled.{c}.{f}=0" for c in ("chat", "deep") for f in RESULTS),
         *("router.upstream_tries=0", "router.in_progress=1"),
         *("router.known_engines=2", "router.skipped_engines=3", "router.client_connections=4"),
         *("router.drains.taken=5", "router.drains.refused=6", "router.drains.closed=7"),
     ]
 
 
-def test_figures_are_what_the_peers_saw() -> None:
-    """Served, turned away, failed, broken, malformed, left, cut off before they were whole: each once."""
-    seen: list[str] = []
+def test_metrics_match_what_the_peers_saw() -> None:
+    """Served, refused, failed, broken, malformed, disconnected, cut off before complete: each once."""
+    bodies: list[str] = []
 
-    def by_word(sock: socket.socket, message: Message) -> bool | None:
-        seen.append(word := message.body.decode())
-        if word == "full":
+    def by_body(sock: socket.socket, message: Message) -> bool | None:
+        bodies.append(body := message.body.decode())
+        if body == "full":
             sock.sendall(UNPROCESSED_503)
-        elif word == "break":
+        elif body == "break":
             sock.sendall(STREAM_HEAD + chunk(EVENTS[0]))
-        elif word == "serve":
+        elif body == "serve":
             serve_all(sock, message)
-        return word == "break" or None
-
-    with operated(by_word) as (scene, _, call, engine):
-        start = figures(call)
-        assert start["router.handled.chat.passed"] == 0 and start["router.known_engines"] == 1
-        asked = {"serve": 200, "full": 503, "wait": 504}
-        for word, status in asked.items():
-            left = 200 if word == "wait" else 5000
-            asking = scene.client().send(ask(word.encode(), left, X_Correlation_Id=word))
-            assert asking.answer().status == status
+        return body == "break" or None
+
+    with running_control(by_body) as (scene, _, call, engine):
+        initial = read_metrics(call)
+        assert initial["router.handled.chat.passed"] == 0 and initial["router.known_engines"] == 1
+        statuses = {"serve": 200, "full": 503, "wait": 504}
+        for body, status in statuses.items():
+            left = 200 if body == "wait" else 5000
+            client = scene.client().send(ask(body.encode(), left, X_Correlation_Id=body))
+            assert client.answer().status == status
         with pytest.raises(ConnectionResetError):
             scene.client().send(ask(b"break", X_Correlation_Id="b")).answer()
         assert scene.client().send(ask(X_Facts="odd")).answer().status == 400
         leaving = scene.client().send(ask(b"leave", X_Correlation_Id="l"))
-        wait_until(lambda: "leave" in seen)
-        assert figures(call)["router.in_progress"] == 1
+        wait_until(lambda: "leave" in bodies)
+        assert read_metrics(call)["router.in_progress"] == 1
         leaving.sock.close()
         wait_until(lambda: scene.host.open_requests() == 0)
-        told = figures(call)
-        assert told["router.handled.chat.passed"] == 1 and told["router.handled.chat.dropped"] == 1
-        assert told["router.handled.chat.bad_gateway"] == 3  # at its deadline, broken, malformed
-        assert told["router.upstream_tries"] == len(engine.requests) and told["router.in_progress"] == 0
-        engine.listener.close()  # nothing is written whole to one that refuses connections
+        metrics = read_metrics(call)
+        assert metrics["router.handled.chat.passed"] == 1 and metrics["router.handled.chat.dropped"] == 1
+        assert metrics["router.handled.chat.bad_gateway"] == 3  # deadline exceeded, broken, malformed
+        assert metrics["router.upstream_tries"] == len(engine.requests) and metrics["router.in_progress"] == 0
+        engine.listener.close()  # no request is written completely to an engine that refuses connections
         engine.close()
         scene.client().send(ask(X_Correlation_Id="c")).answer()
-        assert figures(call)["router.upstream_tries"] == told["router.upstream_tries"]
+        assert read_metrics(call)["router.upstream_tries"] == metrics["router.upstream_tries"]
 
 
-def test_engines_avoided_by_hand_and_by_choice_are_told_once_each() -> None:
-    with operated(serve_all, serve_all, serve_all) as (scene, _, call, *_):
+def test_engines_both_suspended_and_suspected_are_counted_once() -> None:
+    with running_control(serve_all, serve_all, serve_all) as (scene, _, call, *_):
         wait_until(lambda: len(scene.host._router.pool.replicas) == 3)
         scene.host._router.pool.replicas["e0"].suspect_until = scene.host.now() + 60_000
         call("engines/e0/suspend")
         call("engines/e1/suspend")
-        told = figures(call)
-        assert (told["router.known_engines"], told["router.skipped_engines"]) == (3, 2)
+        metrics = read_metrics(call)
+        assert (metrics["router.known_engines"], metrics["router.skipped_engines"]) == (3, 2)
 
 
 # Suspended engines
 
 
-def news(scene: Any, *entries: dict[str, Any], whole: bool = False) -> None:
+def deliver_list(scene: Any, *entries: dict[str, Any], whole: bool = False) -> None:
     raw = {"index": 9, "snapshot": whole, "endpoints": list(entries)}
     scene.host.destinations._discovery._accept_list(msgspec.convert(raw, HostList))
 
 
-def test_nothing_goes_to_a_suspended_engine_whatever_discovery_says() -> None:
-    with operated(serve_all, serve_all) as (scene, _, call, first, second):
+def test_nothing_is_sent_to_a_suspended_engine_whatever_discovery_reports() -> None:
+    with running_control(serve_all, serve_all) as (scene, _, call, first, second):
         assert [call("engines/e0/suspend").status for _ in range(2)] == [200, 200]
         listed = endpoint_entry("e0", first.port, since_ms=5.0)
-        for number, said in enumerate(([listed], [endpoint_entry("e0", 0, status="terminated")], [listed])):
-            news(scene, *said)
+        for number, entries in enumerate(
+            ([listed], [endpoint_entry("e0", 0, status="terminated")], [listed])
+        ):
+            deliver_list(scene, *entries)
             for again in range(4):
                 scene.client().send(ask(X_Correlation_Id=f"{number}-{again}")).answer()
-        news(scene, listed, endpoint_entry("e1", second.port), whole=True)
+        deliver_list(scene, listed, endpoint_entry("e1", second.port), whole=True)
         scene.client().send(ask(X_Correlation_Id="whole")).answer()
         assert not first.requests and len(second.requests) == 13
-        assert call("engines/e0/resume").status == 200  # once for both
+        assert call("engines/e0/resume").status == 200  # once for both suspensions
         wait_until(lambda: scene.host._router.pool.replicas["e0"].serving)
-        assert scene.host._router.pool.replicas["e0"].started_at > 5.0  # it may have been restarted: cold
+        assert scene.host._router.pool.replicas["e0"].started_at > 5.0  # it may have restarted cold
         call("engines/e1/suspend")
         wait_until(lambda: not scene.host._router.pool.replicas["e1"].serving)
         scene.host._router.pool.replicas["e0"].started_at = 0.0
         assert scene.client().send(ask(X_Correlation_Id="back")).answer().status == 200 and first.requests
 
 
-def test_an_engine_suspended_while_a_connection_came_up_gets_neither_prompt_nor_probe() -> None:
-    with operated(serve_all) as (scene, _, call, engine):
+def test_an_engine_suspended_during_a_connect_gets_neither_request_nor_probe() -> None:
+    with running_control(serve_all) as (scene, _, call, engine):
         take = scene.host._endpoints._pool.acquire
 
         def slow_take(endpoint: str) -> Any:
@@ -269,15 +273,15 @@
 
 def test_the_table_of_suspensions_is_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(destinations, "MAX_SUSPENDED", 1)
-    with operated(serve_all, serve_all) as (_, _, call, *_):
+    with running_control(serve_all, serve_all) as (_, _, call, *_):
         assert [call(f"engines/e{n}/suspend").status for n in (0, 0, 1)] == [200, 200, 503]
         assert call("engines/e0/resume").status == 200 and call("engines/e1/suspend").status == 200
 
 
-# A router that is drained by hand
+# A router drained by an operator
 
 
-def test_a_drained_router_sends_clients_away_and_takes_them_back(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_drained_router_refuses_clients_until_it_is_activated(monkeypatch: pytest.MonkeyPatch) -> None:
     go_on = Event()
 
     def long(sock: socket.socket, message: Message) -> None:
@@ -289,29 +293,34 @@
 
     monkeypatch.setattr(drain_schedule, "CALL_CLOSE_IDLE_MS", 100.0)
     monkeypatch.setattr(drainer, "NEWCOMER_MS", 100.0)
-    with operated(long) as (scene, _, call, _):
+    with running_control(long) as (scene, _, call, _):
         idle, silent, streaming = scene.client(), scene.client(), scene.client()
         assert idle.send(ask()).answer().status == 200
         streaming.send(ask(b"long", X_Correlation_Id="long"))
         wait_until(lambda: scene.events_of(i.StreamStarted))
         assert [call("router/drain").status for _ in range(2)] == [200, 200]
-        late = scene.client().send(UP).answer()
+        late = scene.client().send(UP_REQUEST).answer()
         assert late.status == 503 and late.fields[b"connection"] == b"close"
         assert scene.client().send(ask(X_Correlation_Id="late")).answer().fields[b"connection"] == b"close"
         assert idle.ended() and silent.ended()
-        assert call("readyz", "GET").status == 200  # it can serve: only clients are sent away
+        assert call("readyz", "GET").status == 200  # it can serve: only clients are drained
         go_on.set()
         assert streaming.answer().take_body() and streaming.ended()
         wait_until(lambda: not scene.inbound._clients)
         assert [call("router/activate").status for _ in range(2)] == [200, 200]
         back = scene.client()
-        assert back.send(UP).answer().status == 200
+        assert back.send(UP_REQUEST).answer().status == 200
         gevent.sleep(0.3)
         assert back.send(ask(X_Correlation_Id="back")).answer().status == 200
 
 
-def test_the_last_drain_goes_on_beside_one_by_hand() -> None:
-    with operated(serve_all, options={"drain_accept_ms": 10.0, "drain_keep_ms": 10.0}) as (scene, _, call, _):
+def test_shutdown_drains_even_during_an_operators_drain() -> None:
+    with running_control(serve_all, options={"drain_accept_ms": 10.0, "drain_keep_ms": 10.0}) as (
+        scene,
+        _,
+        call,
+        _,
+    ):
         scene.client().send(ask()).answer()
         call("router/drain")
         scene.inbound.drain()
@@ -323,7 +332,7 @@
 # The configuration
 
 
-def test_a_faulty_control_is_a_fault_that_names_its_key(tmp_path: Path) -> None:
+def test_an_invalid_control_address_is_an_error_that_names_its_key(tmp_path: Path) -> None:
     file = tmp_path / "config.json"
     environment = {"NODE_CONFIG": str(file)}
     file.write_bytes(msgspec.json.encode(make_config([])))
@@ -337,7 +346,7 @@
         config.parse(msgspec.json.encode(make_config([], control="127.0.0.1")))
 
 
-def test_control_moves_at_sighup_and_one_that_cannot_be_had_changes_nothing(tmp_path: Path) -> None:
+def test_sighup_moves_the_control_listener_and_an_unavailable_address_changes_nothing(tmp_path: Path) -> None:
     taken = socket.socket()
     taken.bind((LISTEN, 0))
     taken.listen()
@@ -378,7 +387,7 @@
     taken.close()
 
 
-def test_what_is_off_is_not_imported() -> None:
+def test_disabled_features_are_not_imported() -> None:
     code = (
         "import sys, spoolbarrow.serve; "
         "print([m for m in sys.modules if 'admin' in m or 'handover' in m or 'connection_handover' in m])"
@@ -387,15 +396,15 @@
     assert done.stdout.strip() == "[]"
 
 
-def test_zones_tell_failover_off_and_then_its_verdicts() -> None:
+def test_zones_reports_failover_off_and_then_its_verdicts() -> None:
     from spoolbarrow.net.failover import ZoneMonitor
     from spoolbarrow.operator import FailoverTable
 
-    with operated(serve_all) as (scene, _, call, _engine):
+    with running_control(serve_all) as (scene, _, call, _engine):
         assert msgspec.json.decode(b"".join(call("zones", "GET").take_body())) == {"failover": "off"}
         watch = ZoneMonitor(scene.host, FailoverTable(period_ms=600_000.0))
         watch.evaluate(scene.host.now())
-        told = msgspec.json.decode(b"".join(call("zones", "GET").take_body()))
-        assert told["failover"] == "on" and told["zones"]["a"]["state"] == "healthy"
+        body = msgspec.json.decode(b"".join(call("zones", "GET").take_body()))
+        assert body["failover"] == "on" and body["zones"]["a"]["state"] == "healthy"
         watch.stop()
         assert msgspec.json.decode(b"".join(call("zones", "GET").take_body())) == {"failover": "off"}
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -1,4 +1,4 @@
-"""The command line and the operator's file, as an operator meets them."""
+"""The command line and the operator's file."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 
 @pytest.mark.parametrize("name", COMMANDS)
-def test_each_command_explains_itself(name: str) -> None:
+def test_each_command_has_a_help_text(name: str) -> None:
     status, output = invoke(name, "--help")
     assert status == 0 and output.startswith("Usage:")
     assert name in invoke("--help")[1]
@@ -45,7 +45,7 @@
     assert "_SPOOLBARROW_COMPLETE" in invoke("completion", "bash")[1]
 
 
-def test_check_prints_every_fault_of_both_files_with_its_key(tmp_path: Path) -> None:
+def test_check_prints_every_error_of_both_files_with_its_key(tmp_path: Path) -> None:
     raw = make_config([], limits={"sockets": "many", "memory_mb": "much"}, options={"odd_ms": 1})
     (tmp_path / "config.json").write_bytes(msgspec.json.encode(raw))
     write_operator_file(tmp_path / "operator.toml", '[log]\nlevel = "loud"\nsize = 3\n[odd]\n')
@@ -53,12 +53,12 @@
         "check", "--config", str(tmp_path / "config.json"), "--operator", str(tmp_path / "operator.toml")
     )
     lines = output.splitlines()
-    said = [line.partition(": ")[2].partition(":")[0] for line in lines[::2]]
+    keys = [line.partition(": ")[2].partition(":")[0] for line in lines[::2]]
     assert status == 2 and all(line == f"  {config.ConfigError.remedy}" for line in lines[1::2])
-    assert said == ["limits.memory_mb", "limits.sockets", "options.odd_ms", "odd", "log.size", "log.level"]
+    assert keys == ["limits.memory_mb", "limits.sockets", "options.odd_ms", "odd", "log.size", "log.level"]
 
 
-def test_check_of_sound_files(tmp_path: Path) -> None:
+def test_check_of_valid_files(tmp_path: Path) -> None:
     (tmp_path / "config.json").write_bytes(msgspec.json.encode(make_config([])))
     status, output = invoke(
         "check", "--config", str(tmp_path / "config.json"), "--operator", str(ROOT / "deploy/operator.toml")
@@ -67,7 +67,7 @@
 
 
 @pytest.mark.parametrize("text", ["[log", "log = 3", '[log]\nlevel = "\xff"', "[log]\nlevel = 1"])
-def test_a_faulty_operators_file_is_an_error_of_one_line(text: str, tmp_path: Path) -> None:
+def test_an_invalid_operator_file_is_a_single_line_error(text: str, tmp_path: Path) -> None:
     with pytest.raises(config.ConfigError) as fault:
         operator.load(write_operator_file(tmp_path / "o.toml", text))
     assert str(fault.value).startswith(("SPOOLBARROW_OPERATOR: ", "log")) and "\n" not in str(fault.value)
@@ -75,14 +75,14 @@
 
 @pytest.mark.parametrize("command", [("store", "status", "--at"), ("agree", "status"), ("agree", "apply")])
 @pytest.mark.parametrize("text", [b"[]", b"{}", b'{"member":1}', b"<html>", b'{"error":"x"}'])
-def test_another_programs_answer_is_told_as_none(
+def test_another_programs_response_is_reported_as_no_answer(
     command: tuple[str, ...], text: bytes, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    def other(sock: socket.socket, message: Message) -> object:
+    def respond(sock: socket.socket, message: Message) -> object:
         sock.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(text), text))
         return True
 
-    party = ScriptedServer(other)
+    party = ScriptedServer(respond)
     with ThreadPoolExecutor(1) as pool:
         done = pool.submit(run, [*command, f"{LISTEN}:{party.port}"])
         wait_until(done.done)
@@ -92,7 +92,7 @@
 
 
 @pytest.mark.parametrize(
-    ("arguments", "status", "said", "remedy"),
+    ("arguments", "status", "message", "remedy"),
     [
         (("store", "status", "--at", "127.0.0.1:1"), 1, "127.0.0.1:1: no answer: ", NoAnswer.remedy),
         (("agree", "check", "127.0.0.1:1"), 1, "127.0.0.1:1: no answer: ", NoAnswer.remedy),
@@ -105,15 +105,15 @@
           "--directory", "."), 2, "Error: --name: a is no --member", BadArgument.remedy),
     ],
 )  # fmt: skip
-def test_what_is_wrong_has_its_remedy_on_a_second_line(
-    arguments: tuple[str, ...], status: int, said: str, remedy: str, capsys: pytest.CaptureFixture[str],
+def test_each_error_has_its_remedy_on_a_second_line(
+    arguments: tuple[str, ...], status: int, message: str, remedy: str, capsys: pytest.CaptureFixture[str],
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:  # fmt: skip
     monkeypatch.chdir(ROOT)
     assert run(list(arguments)) == status
-    told = capsys.readouterr()
-    first, second = (told.err or told.out).splitlines()[:2]
-    assert first.startswith(said) and second.startswith("  ") and second.strip().endswith(".")
+    captured = capsys.readouterr()
+    first, second = (captured.err or captured.out).splitlines()[:2]
+    assert first.startswith(message) and second.startswith("  ") and second.strip().endswith(".")
     assert not remedy or second.strip() == remedy
 
 
@@ -121,10 +121,10 @@
     environment = write_operator_file(tmp_path / "o.toml", '[log]\nlevel = "error"\nformat = "text"\n')
     assert operator.load(environment).log == operator.LogTable("error", "text")
     assert operator.load({**environment, "SPOOLBARROW_LOG_LEVEL": "debug"}).log.level == "debug"
-    assert operator.load({}) == operator.Operator() and not operator.named({})
+    assert operator.load({}) == operator.Operator() and not operator.is_configured({})
 
 
-def test_serve_takes_flags_loads_no_command_line_and_reads_the_operators_file_again(tmp_path: Path) -> None:
+def test_serve_takes_options_drops_the_command_line_and_rereads_the_operator_file(tmp_path: Path) -> None:
     raw = make_config([])
     (tmp_path / "config.json").write_bytes(msgspec.json.encode(raw))
     file = tmp_path / "operator.toml"
@@ -138,9 +138,9 @@
             wait_until(lambda: not socket.socket().connect_ex((LISTEN, port)))
             while "started" not in (line := router.stderr.readline()):
                 assert line
-            assert line.split()[1:3] == ["info", "started"] and "name=n0" in line  # as for people
-            maps = Path(f"/proc/{router.pid}/cmdline").read_bytes().split(b"\0")
-            assert maps[1:3] == [b"-m", b"spoolbarrow"] and b"serve" not in maps
+            assert line.split()[1:3] == ["info", "started"] and "name=n0" in line  # the text format
+            command_line = Path(f"/proc/{router.pid}/cmdline").read_bytes().split(b"\0")
+            assert command_line[1:3] == [b"-m", b"spoolbarrow"] and b"serve" not in command_line
             file.write_text("[log]\nlevel = 3\n")
             router.send_signal(signal.SIGHUP)
             while "reload_failed" not in (line := router.stderr.readline()):
@@ -162,8 +162,8 @@
         "{'click', 'tomllib', 'spoolbarrow.operator', 'spoolbarrow.failover', 'spoolbarrow.net.failover', "
         "'spoolbarrow.agree', 'spoolbarrow.net.version_monitor', 'spoolbarrow.store', 'gevent.pywsgi', "
         "'http.client', 'spoolbarrow.fleet.documents', "
-        "'spoolbarrow.net.store_follower', 'spoolbarrow.net.store_client', 'spoolbarrow.net.shared_documents', "
-        "'spoolbarrow.net.fleet_part', 'spoolbarrow.net.fleet_writer', "
+        "'spoolbarrow.net.store_follower', 'spoolbarrow.net.store_client', "
+        "'spoolbarrow.net.shared_documents', 'spoolbarrow.net.fleet_part', 'spoolbarrow.net.fleet_writer', "
         "'spoolbarrow.net.pool_split', 'spoolbarrow.pools', 'spoolbarrow.sessions'}"
     )
     code = f"import spoolbarrow.serve, sys; print({unwanted} & set(sys.modules))"
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -1,4 +1,4 @@
-"""Faults of the configuration name their key; garbage never passes."""
+"""Errors in the configuration name their key; invalid text is never accepted."""
 
 from __future__ import annotations
 
@@ -14,17 +14,17 @@
 from tests.router_harness import endpoint_entry, make_config
 
 
-def put(raw: dict[str, Any], path: str, value: object) -> dict[str, Any]:
-    *way, last = path.split(".")
-    at: Any = raw
-    for key in way:
-        at = at.setdefault(key, {}) if isinstance(at, dict) else at[int(key)]
-    at[last] = value
+def set_path(raw: dict[str, Any], path: str, value: object) -> dict[str, Any]:
+    *parents, last = path.split(".")
+    container: Any = raw
+    for key in parents:
+        container = container.setdefault(key, {}) if isinstance(container, dict) else container[int(key)]
+    container[last] = value
     return raw
 
 
 @pytest.mark.parametrize(
-    ("path", "value", "named"),
+    ("path", "value", "key"),
     [
         ("listen", "nowhere", "listen"),
         ("listen", "h:99999", "listen"),
@@ -37,7 +37,7 @@
         ("known.endpoints", [{"name": "e"}], "known.endpoints[0].address"),
         ("options.probe_timeout_ms", -1, "options.probe_timeout_ms"),
         ("options.proble_timeout_ms", 1, "options"),
-        ("options.watch_silence_ms", 2_551, "options.watch_silence_ms"),  # with the rest over 6 s
+        ("options.watch_silence_ms", 2_551, "options.watch_silence_ms"),  # over 6 s with the others
         ("options.call_timeout_ms", 3_251, "options.call_timeout_ms"),
         ("settings.Classes.0.AimMs", "soon", "settings.Classes[0].AimMs"),
         ("settings.Classes.0.Effect", "odd", "settings.Classes.Effect"),
@@ -47,29 +47,29 @@
         ("settings.Fees.Waste", "dear", "settings.Fees.Waste"),
     ],
 )
-def test_a_fault_names_its_key(path: str, value: object, named: str) -> None:
-    raw = put(make_config([endpoint_entry("e", 1)]), path, value)
-    with pytest.raises(config.ConfigError) as fault:
+def test_an_error_names_its_key(path: str, value: object, key: str) -> None:
+    raw = set_path(make_config([endpoint_entry("e", 1)]), path, value)
+    with pytest.raises(config.ConfigError) as raised:
         config.parse(msgspec.json.encode(raw))
-    assert str(fault.value).startswith(named + ":")
+    assert str(raised.value).startswith(key + ":")
 
 
-def test_limits_share_out_the_machine() -> None:
-    made = config.parse(msgspec.json.encode(make_config([], limits={"sockets": 1024, "memory_mb": 64})))
-    assert made.max_inbound + made.max_outbound < 1024 - 16
-    assert made.max_held_bytes == 16 << 20
-    assert (made.tenants, made.seed) == ({"acme": 0, "other": 1}, 0x8C1F)
+def test_limits_split_the_machines_resources() -> None:
+    parsed = config.parse(msgspec.json.encode(make_config([], limits={"sockets": 1024, "memory_mb": 64})))
+    assert parsed.max_inbound + parsed.max_outbound < 1024 - 16
+    assert parsed.max_held_bytes == 16 << 20
+    assert (parsed.tenants, parsed.seed) == ({"acme": 0, "other": 1}, 0x8C1F)
 
 
-def test_a_missing_file_is_told_by_its_variable(tmp_path: Path) -> None:
+def test_a_missing_file_is_reported_under_its_variable(tmp_path: Path) -> None:
     for environment in ({}, {"NODE_CONFIG": str(tmp_path / "none.json")}):
         with pytest.raises(config.ConfigError, match=r"^NODE_CONFIG: "):
             config.load(environment)
 
 
-def test_the_example_is_a_configuration() -> None:
-    made = config.parse((Path(__file__).parent.parent / "examples" / "config.json").read_bytes())
-    assert made.listen == ("127.0.0.1", 7070) and made.settings.subscribe
+def test_the_example_is_a_valid_configuration() -> None:
+    parsed = config.parse((Path(__file__).parent.parent / "examples" / "config.json").read_bytes())
+    assert parsed.listen == ("127.0.0.1", 7070) and parsed.settings.subscribe
 
 
 @settings(derandomize=True, deadline=None, max_examples=200)
--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -1,4 +1,4 @@
-"""Who imports whom: no circles, in annotations neither, and nobody in net/ knows what only watches."""
+"""Checks imports between modules: no cycles, even for annotations, and net/ never imports its observers."""
 
 from __future__ import annotations
 
@@ -9,56 +9,56 @@
 import spoolbarrow
 
 ROOT = Path(spoolbarrow.__file__).parent
-WAY = ("serve.py", "reload.py", "subsystems.py", "handover.py", "router.py", "interface.py")
+REQUEST_PATH = ("serve.py", "reload.py", "subsystems.py", "handover.py", "router.py", "interface.py")
 OBSERVERS = {
     "version_monitor",
     "failover",
     "connection_handover",
     "pool_split",
-}  # of net/: they come in from above
+}  # in net/, attached from above
 
 
-def imports() -> dict[str, set[str]]:
-    """Every module of the program with those of them that it names, at run time or for its types alone."""
+def import_graph() -> dict[str, set[str]]:
+    """Every module of the program with the modules it imports, at run time or for annotations only."""
     paths = {
         ".".join(path.relative_to(ROOT.parent).with_suffix("").parts).removesuffix(".__init__"): path
         for path in ROOT.rglob("*.py")
     }
-    found: dict[str, set[str]] = {name: set() for name in paths}
+    graph: dict[str, set[str]] = {name: set() for name in paths}
     for name, path in paths.items():
         for node in ast.walk(ast.parse(path.read_text())):
             if isinstance(node, ast.ImportFrom) and node.module:
-                whole = [f"{node.module}.{one.name}" for one in node.names]
-                found[name] |= {one if one in paths else node.module for one in whole} & paths.keys()
+                full_names = [f"{node.module}.{one.name}" for one in node.names]
+                graph[name] |= {one if one in paths else node.module for one in full_names} & paths.keys()
             elif isinstance(node, ast.Import):
-                found[name] |= {one.name for one in node.names} & paths.keys()
-    return found
+                graph[name] |= {one.name for one in node.names} & paths.keys()
+    return graph
 
 
-def test_no_module_imports_itself_by_way_of_others() -> None:
-    order = list(TopologicalSorter(imports()).static_order())  # CycleError names a circle
+def test_imports_have_no_cycles() -> None:
+    order = list(TopologicalSorter(import_graph()).static_order())  # raises CycleError for a cycle
     errors, host, serve = (order.index(f"spoolbarrow.{name}") for name in ("errors", "net.host", "serve"))
     assert errors < host < serve
 
 
-def test_what_watches_is_known_to_nobody_it_watches() -> None:
-    found = imports()
+def test_observed_modules_do_not_import_their_observers() -> None:
+    graph = import_graph()
     observers = {f"spoolbarrow.net.{name}" for name in OBSERVERS}
-    inside = {name: its for name, its in found.items() if name.startswith("spoolbarrow.net.")}
+    inside = {name: its for name, its in graph.items() if name.startswith("spoolbarrow.net.")}
     assert {name for name, its in inside.items() if its & observers} == set()
-    assert not found["spoolbarrow.net.version_monitor"] & {"spoolbarrow.net.host", "spoolbarrow.net.inbound"}
+    assert not graph["spoolbarrow.net.version_monitor"] & {"spoolbarrow.net.host", "spoolbarrow.net.inbound"}
 
 
-LONGEST = 400  # lines of a module on the way of a request
-# Modules that are longer still, and may not grow: each holds more than one job, to be parted next.
-LONGER = {
+MAX_LINES = 400  # lines of a module that handles requests
+# Modules that are longer, and may not grow: each has several responsibilities, and is to be split.
+EXCEPTIONS = {
     "net/host.py": 499,  # the loop, the table of requests, and each action
     "router.py": 840,  # the decisions: to become a package
 }
 
 
-def test_no_module_on_the_way_of_a_request_grows_without_being_seen() -> None:
-    paths = [*(ROOT / "net").glob("*.py"), *(ROOT / name for name in WAY)]
+def test_modules_that_handle_requests_stay_within_their_length() -> None:
+    paths = [*(ROOT / "net").glob("*.py"), *(ROOT / name for name in REQUEST_PATH)]
     lines = {str(path.relative_to(ROOT)): len(path.read_text().splitlines()) for path in paths}
-    assert {name: n for name, n in lines.items() if n > LONGER.get(name, LONGEST)} == {}
-    assert {name for name in LONGER if lines[name] <= LONGEST} == set(), "no exception is needed any more"
+    assert {name: n for name, n in lines.items() if n > EXCEPTIONS.get(name, MAX_LINES)} == {}
+    assert {name for name in EXCEPTIONS if lines[name] <= MAX_LINES} == set(), "this exception is not needed"
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""The hook for tests that are known to be red, run over a small tree of its own."""
+"""The pytest hook for tests known to fail, run on a small test tree."""
 
 from __future__ import annotations
 
@@ -21,23 +21,23 @@
     if known is not None:
         (folder / "KNOWN-RED.txt").write_text(known)
     argv = [sys.executable, "-m", "pytest", "-p", "no:cacheprovider", *args]
-    ran = subprocess.run(argv, cwd=folder, capture_output=True, text=True, timeout=60)
-    return ran.returncode, ran.stdout + ran.stderr
+    done = subprocess.run(argv, cwd=folder, capture_output=True, text=True, timeout=60)
+    return done.returncode, done.stdout + done.stderr
 
 
-def test_those_listed_are_passed_over_and_printed(tmp_path: Path) -> None:
-    status, said = run(tmp_path, RED + ROTTEN)
-    assert status == 0 and RED in said and ROTTEN in said and "1 passed, 2 xfailed" in said
+def test_listed_tests_may_fail_and_are_printed(tmp_path: Path) -> None:
+    status, output = run(tmp_path, RED + ROTTEN)
+    assert status == 0 and RED in output and ROTTEN in output and "1 passed, 2 xfailed" in output
 
 
 @pytest.mark.parametrize("known", [None, "", ROTTEN])
-def test_a_red_test_that_is_not_listed_fails_the_run(tmp_path: Path, known: str | None) -> None:
-    status, said = run(tmp_path, known)
-    assert status == 1 and "FAILED test_it.py::test_red" in said
+def test_a_failing_test_that_is_not_listed_fails_the_run(tmp_path: Path, known: str | None) -> None:
+    status, output = run(tmp_path, known)
+    assert status == 1 and "FAILED test_it.py::test_red" in output
 
 
 @pytest.mark.parametrize(
-    "known, told",
+    "known, expected",
     [
         (RED + ROTTEN + "test_it.py::test_green | luck | 37\n", "FAILED test_it.py::test_green"),  # passes
         (RED + ROTTEN + "test_it.py::test_gone | lost | 37\n", "no test has the id test_it.py::test_gone"),
@@ -50,12 +50,12 @@
         ("all of them | rust | 36\n", "line 1 is not"),
     ],
 )
-def test_whatever_else_the_file_says_fails_the_run(tmp_path: Path, known: str, told: str) -> None:
-    status, said = run(tmp_path, known)
-    assert status != 0 and told in said
+def test_any_other_content_of_the_file_fails_the_run(tmp_path: Path, known: str, expected: str) -> None:
+    status, output = run(tmp_path, known)
+    assert status != 0 and expected in output
 
 
-def test_a_part_of_the_tests_is_judged_by_what_it_holds(tmp_path: Path) -> None:
+def test_a_partial_run_checks_only_its_own_tests(tmp_path: Path) -> None:
     assert run(tmp_path, RED + ROTTEN, "test_it.py::test_green")[0] == 0
     assert run(tmp_path, RED + ROTTEN, "-k", "green")[0] == 0
     assert run(tmp_path, "test_it.py::test_gone | lost | 37\n", "test_it.py", "-k", "green")[0] != 0
--- a/tests/test_settings_bounds.py
+++ b/tests/test_settings_bounds.py
@@ -1,4 +1,4 @@
-"""Settings at the edge of what is legal are read and decided by; impossible ones name their key."""
+"""Settings at the limits of their ranges are accepted and lead to decisions; invalid ones name their key."""
 
 from __future__ import annotations
 
@@ -14,15 +14,15 @@
 from spoolbarrow.net.drain_schedule import LONGEST_MS, DrainStep, shutdown_schedule
 from spoolbarrow.router import Router
 from tests.router_harness import endpoint_entry, make_config
-from tests.test_config import put
+from tests.test_config import set_path
 
-ROOM_MS = 200.0  # between the last answers of a drain and SIGKILL, to write them
-BEYOND_MS = 700.0  # SIGKILL comes so long after the longest deadline, counted as 3 s at most
+ROOM_MS = 200.0  # between the last responses of a drain and SIGKILL, to write them
+BEYOND_MS = 700.0  # SIGKILL comes this long after the longest deadline, counted as 3 s at most
 DRAWN = settings(derandomize=True, deadline=None, max_examples=150)
 
 
-def read(raw: dict[str, Any], **literals: str) -> config.Config:
-    """Parse it, with these words of JSON in place of the marks."""
+def parse_with_literals(raw: dict[str, Any], **literals: str) -> config.Config:
+    """Parse a configuration, replacing the marks with these JSON literals."""
     text = msgspec.json.encode(raw)
     for mark, literal in literals.items():
         text = text.replace(b'"@%s"' % mark.encode(), literal.encode())
@@ -58,13 +58,13 @@
         ("limits.cores", ["-1"]),
     ],
 )
-def test_an_absurd_value_names_its_key(path: str, literals: list[str]) -> None:
+def test_an_out_of_range_value_names_its_key(path: str, literals: list[str]) -> None:
     for literal in literals:
-        raw = put(make_config([endpoint_entry("e", 1)]), path, "@value")
-        with pytest.raises(config.ConfigError) as fault:
-            read(raw, value=literal)
+        raw = set_path(make_config([endpoint_entry("e", 1)]), path, "@value")
+        with pytest.raises(config.ConfigError) as raised:
+            parse_with_literals(raw, value=literal)
         key = path.replace(".0.", "[0].")
-        assert str(fault.value).startswith(key), f"{literal}: {fault.value}"
+        assert str(raised.value).startswith(key), f"{literal}: {raised.value}"
 
 
 FIGURES = st.sampled_from([-1.0, 0.0, 1e-9, 0.001, 1.0, 20.0, 999.0, 3000.0, 6e5, 1e9, 1e200])
@@ -158,7 +158,7 @@
 
 
 def decided(made: config.Config) -> list[i.Action]:
-    """What the decisions do with a first request, before an engine that is warm and one that is cold."""
+    """The decisions on a first request, with one warm and one cold engine."""
     asked = i.RequestArrived("r", cls=0, budget_ms=made.settings.classes[0].deadline_ms, prompt_tokens=40)
     router = Router(made.settings, made.seed)
     entries = (i.ReplicaEntry("e0"), i.ReplicaEntry("cold", started_at_ms=900.0))
