--- a/spoolbarrow/admin/coordinator.py
+++ b/spoolbarrow/admin/coordinator.py
@@ -32,7 +32,7 @@
 
 
 class Coordinator:
-    """Lives from the start of a process to its end."""
+    """Manages a process's control listener, operators' commands and handover, from its start to its end."""
 
     def __init__(self, config: Config) -> None:
         """Raises ConfigError if the inherited socket can't be used."""
--- a/spoolbarrow/admin/state.py
+++ b/spoolbarrow/admin/state.py
@@ -46,7 +46,7 @@
     "strikes": "suspect_count",
     "silent": "unresponsive",
 }
-OF_ENTITLEMENT = {  # without requests in flight
+OF_ENTITLEMENT = {  # not what is in flight there
     "burst": "burst",
     "debt": "debt",
     "used": "used_tokens",
@@ -134,7 +134,7 @@
 
 
 def _put(thing: object, names: dict[str, str], told: dict[str, Any]) -> None:
-    """Copy values of the same type and list size: others belong to another program version."""
+    """Take over values of the type and, for tables, the size that is there: others are another program's."""
     for key, name in names.items():
         old, new = getattr(thing, name), told.get(key)
         if isinstance(old, float) and isinstance(new, int) and not isinstance(new, bool):
--- a/spoolbarrow/cli/__init__.py
+++ b/spoolbarrow/cli/__init__.py
@@ -1,7 +1,6 @@
 """Defines the command line: each command is a module of this package, imported when it is called.
 
-Serving does not load any of it: `serve` passes its options on in the environment and executes the serving
-program.
+Serving loads none of it: `serve` passes its options on in the environment and executes the serving program.
 """
 
 from __future__ import annotations
--- a/spoolbarrow/cli/store.py
+++ b/spoolbarrow/cli/store.py
@@ -75,7 +75,7 @@
     stop_requested = Event()
     for number in (signal.SIGTERM, signal.SIGINT):
         gevent.signal_handler(number, stop_requested.set)
-    running = Member(
+    store_member = Member(
         name,
         addresses,
         config.parse_address("--listen", listen),
@@ -87,7 +87,7 @@
     default_log.start()
     log("store_started", member=name, listen=listen, control=control)
     stop_requested.wait()
-    running.close()
+    store_member.close()
     log("store_ended", member=name)
     default_log.stop()
     return 0
--- a/spoolbarrow/config.py
+++ b/spoolbarrow/config.py
@@ -109,12 +109,12 @@
     head_timeout_ms: float = 2000.0  # time-out of a connection's first request, from connecting, and of later
     # requests, from their first byte
     keep_alive_ms: float = 2500.0  # how long a client's idle connection is kept
-    linger_ms: float = 2000.0  # how long a client may still send after its connection is being closed
+    linger_ms: float = 2000.0  # how long a client may still send while its connection is closed
     stall_ms: float = 30_000.0  # a client that reads nothing of its response for so long is disconnected
-    drain_accept_ms: float = 500.0  # how long connections are accepted after SIGTERM
-    drain_keep_ms: float = 2000.0  # how long after SIGTERM clients may reuse their connections
-    drain_move_ms: float = 2800.0  # then running streams are moved elsewhere, if clients resume them
-    drain_answer_ms: float = 3200.0  # then all unanswered requests are answered: SIGKILL may follow
+    drain_accept_ms: float = 500.0  # after SIGTERM, connections are accepted for so long
+    drain_keep_ms: float = 2000.0  # after SIGTERM, clients may reuse their connections for so long
+    drain_move_ms: float = 2800.0  # so long after SIGTERM, streams move elsewhere, if clients resume them
+    drain_answer_ms: float = 3200.0  # so long after SIGTERM, all requests are answered: SIGKILL may follow
     max_head: int = 16_384  # bytes
     max_body: int = 262_144  # bytes
 
--- a/spoolbarrow/operator.py
+++ b/spoolbarrow/operator.py
@@ -70,7 +70,7 @@
     domain_id: Unsigned32 = 1
     enterprise: Annotated[int, Meta(ge=1, lt=1 << 32)] = 32_473  # RFC 5612: for documentation
     connect_timeout_ms: Positive = 2000.0
-    write_timeout_ms: Positive = 5000.0  # a collector that accepts nothing for so long is disconnected
+    write_timeout_ms: Positive = 5000.0  # a collector that accepts nothing for so long counts as lost
     retry_least_ms: Positive = 200.0  # first delay between attempts to reach a collector, doubled each time
     retry_most_ms: Positive = 30_000.0
     file_bytes: Annotated[int, Meta(ge=4096)] = 16 << 20  # an IPFIX file is closed at this size
--- a/spoolbarrow/spool.py
+++ b/spoolbarrow/spool.py
@@ -82,8 +82,9 @@
 
 
 def read_spool_file(path: Path) -> tuple[bytes, bool]:
-    """The decompressed bytes of a file up to its last whole frame, and whether it is torn; other files
-    unchanged.
+    """Decompress a file up to its last whole frame; also returns whether it is torn.
+
+    A file without zstd frames is returned as it is.
     """
     raw = path.read_bytes()
     if not raw.startswith(ZSTD_MAGIC):
--- a/spoolbarrow/subsystems.py
+++ b/spoolbarrow/subsystems.py
@@ -88,7 +88,7 @@
     ) -> None:
         self._host, self._inbound, self._coordinator, self._files = host, inbound, coordinator, files
         self._operator: Operator | None = None
-        self._flows = Switch(self._start_flows, lambda part: gevent.spawn(part.close))  # may be slow
+        self._flows = Switch(self._start_flows, lambda part: gevent.spawn(part.close))  # slow collectors
         self._shadow = Switch(self._start_shadow, _stop_shadow)
         self._door = Switch(self._start_door, lambda part: part.stop())
         self._failover = Switch(self._start_failover, lambda part: part.stop())
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,5 +1,4 @@
-"""Handles tests that are known to fail: `KNOWN-RED.txt` in the repository's root, three lines at most, or no
-file.
+"""Handles known failing tests: `KNOWN-RED.txt` in the repository's root, three lines at most, or no file.
 
 A line is `TEST_ID | cause | issue`. Such a test is run, may fail, and is printed with its line at the end of
 every run. Any other content fails the run: a line in another form, a fourth one, an id without a test, and a
--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -10,12 +10,7 @@
 
 ROOT = Path(spoolbarrow.__file__).parent
 REQUEST_PATH = ("serve.py", "reload.py", "subsystems.py", "handover.py", "router.py", "interface.py")
-OBSERVERS = {
-    "version_monitor",
-    "failover",
-    "connection_handover",
-    "pool_split",
-}  # in net/, attached from above
+OBSERVERS = {"version_monitor", "failover", "connection_handover", "pool_split"}  # attached from above
 
 
 def import_graph() -> dict[str, set[str]]:
@@ -44,8 +39,8 @@
 def test_observed_modules_do_not_import_their_observers() -> None:
     graph = import_graph()
     observers = {f"spoolbarrow.net.{name}" for name in OBSERVERS}
-    inside = {name: its for name, its in graph.items() if name.startswith("spoolbarrow.net.")}
-    assert {name for name, its in inside.items() if its & observers} == set()
+    inside = {name: imported for name, imported in graph.items() if name.startswith("spoolbarrow.net.")}
+    assert {name for name, imported in inside.items() if imported & observers} == set()
     assert not graph["spoolbarrow.net.version_monitor"] & {"spoolbarrow.net.host", "spoolbarrow.net.inbound"}
 
 
--- a/tests/test_reload_races.py
+++ b/tests/test_reload_races.py
@@ -1,5 +1,4 @@
-"""New settings in the middle of a request: it keeps the class, tenant, windows and limits that it started
-with.
+"""A request keeps its class, tenant, windows and limits when new settings are applied during it.
 
 Each test forces the critical order: settings are applied, or a signal sent, where a greenlet yields.
 """
@@ -51,7 +50,7 @@
 )
 
 ROOT = Path(__file__).resolve().parent.parent
-# Retryable on several engines, or sent at most once.
+# CHAT may be attempted several times, ONCE at most once.
 CHAT = {"Name": "chat", "AimMs": 60e3, "DeadlineMs": 20e3, "Effect": "retryable", "Stream": True}
 ONCE = {"Name": "once", "AimMs": 60e3, "DeadlineMs": 20e3, "Effect": "fragile", "Stream": True}
 ACME, OTHER = {"Name": "acme", "Portion": 0.7}, {"Name": "other", "Portion": 0.3}
@@ -218,9 +217,9 @@
         release.set()
         assert client.answer().status == 200
         wait_until(lambda: not router.requests)
-        learnt = [state for _, _, state in router.class_terms]
-        assert [state.preferred_prefill_tokens == 77.0 for state in learnt] == [False, False, True]
-        assert [state.mean_answer_ms == default for state in learnt] == [True, False, True]
+        learnt = [stats for _, _, stats in router.class_terms]
+        assert [stats.preferred_prefill_tokens == 77.0 for stats in learnt] == [False, False, True]
+        assert [stats.mean_answer_ms == default for stats in learnt] == [True, False, True]
         assert [router.class_stats[name] for name in ("new", "once", "chat")] == learnt
 
 
@@ -324,7 +323,7 @@
             )()
             return True
 
-        old.host.hand_over = lambda underway: connection_handover.send_stream(old.host, underway, send)
+        old.host.hand_over = lambda attempt: connection_handover.send_stream(old.host, attempt, send)
         yield old, new, engine
 
 
@@ -429,9 +428,9 @@
     ],
 )
 def test_duplicate_names_are_rejected_with_their_key(changes: dict[str, Any], key: str) -> None:
-    with pytest.raises(ConfigError) as refused:
+    with pytest.raises(ConfigError) as rejected:
         config.parse(msgspec.json.encode(make_config([], settings=make_settings(changes))))
-    assert refused.value.place == key
+    assert rejected.value.place == key
 
 
 def test_a_reload_is_rejected_as_a_whole_or_leaves_open_requests_their_settings(tmp_path: Path) -> None:
@@ -481,8 +480,8 @@
             assert removed.answer().status == 400
         finally:
             router.kill()
-            for party in engines:
-                party.close()
+            for server in engines:
+                server.close()
 
 
 def test_a_signal_during_a_reload_is_handled_after_it(
