--- a/spoolbarrow/fleet/pacing.py
+++ b/spoolbarrow/fleet/pacing.py
@@ -1,7 +1,8 @@
-"""When a router calls the list service, so that all routers together spare it; pure, times in ms.
+"""Decides when a router calls the list service, so that all routers together do not overload it.
 
-Routers share nothing, and mostly nobody told what the service can do. Owns what is known nevertheless: how
-many routers there are, which of them this is, how its own calls fared, and how old a list may get.
+Routers do not coordinate, and the capacity of the service is usually unknown. The pauses follow from what is
+known: the number of routers and which of them this is, how this router's calls fared, and how old a list may
+get. This module does no I/O; times are in ms.
 """
 
 from __future__ import annotations
@@ -11,118 +12,110 @@
 
 from spoolbarrow.interface import Settings
 
-LIST_DEADLINE_MS = 6000.0  # a change counts as told so long after the service had it and could be reached
-SILENT_SPREAD_MS = 250.0  # before a silent watch is opened anew: all may have fallen silent at once
-MUTE_RETRY_MAX_MS = (
-    1000.0  # the longest pause after answers that began and never brought a word, one after the other
-)
-SPREAD_PER_ROUTER_MS, SPREAD_MAX_MS = (
-    40.0,
-    3000.0,
-)  # of calls that may begin together, for each router; at most
-GOLDEN_RATIO = 0.6180339887498949  # its multiples fill an interval evenly, whichever run of them is taken
-RETRY_MS, RETRY_MAX_MS = 1000.0, 2000.0  # after a call that failed: doubled up to where each failed at once
-HUNG_RETRY_MS = (
-    2000.0  # between calls while none has an answer: in a queue that fits the clock most have by then
-)
-FULL_RETRY_MS = 3400.0  # the same where a call has been refused after a wait: it has ended by then
-QUEUED_CALL_MS = 800.0  # a call that failed after so long stood in a queue, or hung
-STALE_LIST_RETRY_MS, STALE_LIST_SPREAD_MS = (
-    1500.0,
-    2000.0,
-)  # from an older list to the call for the whole one; and chance
-RATE_USED_SHARE, MEAN_PAUSE_SHARE = (
-    0.8,
-    0.75,
-)  # of a rate that was told; of a span, the mean pause drawn from it
-FIRST_CALL_SHARE = (
-    0.7  # of the time for asking that the settings name, up to the first call: it may wait as well
-)
+LIST_DEADLINE_MS = 6000.0  # a change counts as known this long after the reachable service had it
+SILENT_SPREAD_MS = 250.0  # before a silent watch is reopened: all watches may have fallen silent at once
+MUTE_RETRY_MAX_MS = 1000.0  # longest pause after consecutive watches that opened but brought no message
+# Per router, and at most: time over which calls that may start together are spread.
+SPREAD_PER_ROUTER_MS, SPREAD_MAX_MS = 40.0, 3000.0
+GOLDEN_RATIO = 0.6180339887498949  # any run of consecutive multiples of it fills an interval evenly
+# After a failed call: doubled, up to the maximum, while each call fails at once.
+RETRY_MS, RETRY_MAX_MS = 1000.0, 2000.0
+# Between calls while none is answered: a queue short enough for the deadline has answered most calls by then.
+HUNG_RETRY_MS = 2000.0
+FULL_RETRY_MS = 3400.0  # the same after a call that was refused after a wait: the open call has ended by then
+QUEUED_CALL_MS = 800.0  # a call that took this long to fail was queued, or hung
+# From a list that is older than the known one to the call for a whole list: least pause, and random addition.
+STALE_LIST_RETRY_MS, STALE_LIST_SPREAD_MS = 1500.0, 2000.0
+RATE_USED_SHARE, MEAN_PAUSE_SHARE = 0.8, 0.75  # of a configured rate; of a span, the mean pause drawn from it
+FIRST_CALL_SHARE = 0.7  # of must_ask_ms, up to the first call: that call may have to wait, too
 
 
 def call_spread_ms(settings: Settings) -> float:
-    """Over how long the fleet's calls are spread where all may be about to call."""
-    spread = _turns(settings) or SPREAD_PER_ROUTER_MS * settings.nodes
-    if not _spared(settings):
-        spread = min(spread, SPREAD_MAX_MS)
-    return min(spread, FIRST_CALL_SHARE * settings.must_ask_ms or inf)
+    """Time over which the calls of all routers are spread when all may be about to call."""
+    spread_ms = _fleet_turn_ms(settings) or SPREAD_PER_ROUTER_MS * settings.nodes
+    if not _rate_takes_precedence(settings):
+        spread_ms = min(spread_ms, SPREAD_MAX_MS)
+    return min(spread_ms, FIRST_CALL_SHARE * settings.must_ask_ms or inf)
 
 
-def _turns(settings: Settings) -> float:
-    """So long all routers take for a call each, at the rate told; 0 where none is."""
+def _fleet_turn_ms(settings: Settings) -> float:
+    """Time in which all routers can make one call each at the configured rate; 0 without one."""
     return (
         1000.0 * settings.nodes / (RATE_USED_SHARE * settings.list_rate) if settings.list_rate > 0.0 else 0.0
     )
 
 
-def _spared(settings: Settings) -> bool:
-    """Whether the rate goes before the clock: it is told, and no change counts as told to who did not ask."""
+def _rate_takes_precedence(settings: Settings) -> bool:
+    """Whether the rate takes precedence over the deadline: it is configured, and must_ask_ms is not."""
     return settings.list_rate > 0.0 and settings.must_ask_ms <= 0.0
 
 
 def hung_retry_ms(settings: Settings, rng: Random, full: bool) -> float:
-    """From one call to the next while no answer has begun; the first is left open.
+    """Pause from one call to the next while no answer has started; the first call stays open.
 
-    `full`: the call before waited and was refused, so the service does not hang but has too many callers: no
-    call beside another then, for its turn may be worked off for nothing.
+    `full`: the previous call was refused after a wait, so the service does not hang but has too many
+    callers. Then no call is made beside an open one, since the service might process it for nothing.
     """
-    pause = FULL_RETRY_MS if full else HUNG_RETRY_MS * (0.875 + 0.25 * rng.random())
-    return max(pause, _turns(settings)) if _spared(settings) else pause
+    pause_ms = FULL_RETRY_MS if full else HUNG_RETRY_MS * (0.875 + 0.25 * rng.random())
+    return max(pause_ms, _fleet_turn_ms(settings)) if _rate_takes_precedence(settings) else pause_ms
 
 
 def silent_retry_ms(mute: int, rng: Random) -> float:
-    """From a watch that fell silent to the next call; `mute`: so many in a row never said a word."""
+    """Pause from a silent watch to the next call; `mute`: consecutive watches without any message."""
     return min(MUTE_RETRY_MAX_MS, SILENT_SPREAD_MS * 2.0 ** min(max(0, mute - 1), 8)) * rng.random()
 
 
 def stale_list_retry_ms(settings: Settings, rng: Random) -> float:
-    """From a list that was refused as older than the known one to the call for a whole list.
+    """Pause from the refusal of a list that is older than the known one to the call for a whole list.
 
-    Newer news may come meanwhile, and then none is called for. All routers may have refused it at once.
+    There is no call if a newer list arrives meanwhile. All routers may have refused the list at once.
     """
-    spread = call_spread_ms(settings)
-    if not _spared(settings):
-        spread = min(spread, STALE_LIST_SPREAD_MS)
-    return STALE_LIST_RETRY_MS + spread * rng.random()
+    spread_ms = call_spread_ms(settings)
+    if not _rate_takes_precedence(settings):
+        spread_ms = min(spread_ms, STALE_LIST_SPREAD_MS)
+    return STALE_LIST_RETRY_MS + spread_ms * rng.random()
 
 
 class Pacing:
-    """One router's calls: when the first is due, and the next after a watch ended or a call failed."""
+    """Pauses of one router: before its first call, and after a watch ended or a call failed."""
 
     def __init__(self, settings: Settings, rng: Random) -> None:
-        self.settings = settings  # may change
+        self.settings = settings  # replaced on reload
         self._rng = rng
-        self._down = 0.0  # over which the fleet's calls lie while each fails at once
+        self._backoff_ms = 0.0  # time over which the calls of all routers are spread while each fails at once
 
     def first_call_ms(self) -> float:
-        """From the start to the first call.
+        """Pause from the start to the first call.
 
-        Where the rate is told, this router's place among all that may have started with it: at a rate near
-        what the service can do, chance would bunch calls. Elsewhere chance is as good, and needs no numbers.
+        With a configured rate, it follows from this router's number among those that may have started
+        together: at a rate near the service's capacity, random times would bunch calls. Without one, random
+        times are as good, and need no numbers.
         """
-        settings, chance = self.settings, self._rng.random()
+        settings, position = self.settings, self._rng.random()
         if settings.list_rate > 0.0:
-            chance = (settings.node * GOLDEN_RATIO + chance / max(1, settings.nodes)) % 1.0
-        return chance * call_spread_ms(settings)
+            position = (settings.node * GOLDEN_RATIO + position / max(1, settings.nodes)) % 1.0
+        return position * call_spread_ms(settings)
 
     def call_answered(self) -> None:
-        """A call was answered: nothing is known against the service."""
-        self._down = 0.0
+        """Reset the backoff after an answered call."""
+        self._backoff_ms = 0.0
 
     def watch_ended_ms(self) -> float:
-        """To the next call after a watch ended: perhaps this one alone, mostly all at once."""
-        self._down = RETRY_MS
+        """Pause to the next call after a watch ended: usually the watches of all routers end at once."""
+        self._backoff_ms = RETRY_MS
         return max(RETRY_MS, call_spread_ms(self.settings)) * self._rng.random()
 
     def call_failed_ms(self, waited: float) -> float:
-        """To the next call after one that failed after so long.
+        """Pause to the next call after one that failed after this wait.
 
-        A service that is back, or has room again, has to be called within the clock, whatever it did before:
-        so the pause stays short. A service that is down spends nothing on calls, and one whose queue is full
+        A service that has recovered must be called within the deadline, so the pause stays short whatever
+        happened before. A service that is down spends nothing on calls, and one whose queue is full spends
         little on those that it refuses.
         """
-        self._down = (
-            RETRY_MS if waited >= QUEUED_CALL_MS else min(RETRY_MAX_MS, max(RETRY_MS, 2.0 * self._down))
+        self._backoff_ms = (
+            RETRY_MS if waited >= QUEUED_CALL_MS else min(RETRY_MAX_MS, max(RETRY_MS, 2.0 * self._backoff_ms))
         )
-        slots = _turns(self.settings) / MEAN_PAUSE_SHARE if _spared(self.settings) else 0.0
-        return max(self._down, slots) * (0.5 + 0.5 * self._rng.random())
+        turn_ms = (
+            _fleet_turn_ms(self.settings) / MEAN_PAUSE_SHARE if _rate_takes_precedence(self.settings) else 0.0
+        )
+        return max(self._backoff_ms, turn_ms) * (0.5 + 0.5 * self._rng.random())
--- a/spoolbarrow/interface.py
+++ b/spoolbarrow/interface.py
@@ -1,7 +1,7 @@
-"""Settings, events and actions of the decision module: everything a node tells it and hears back.
+"""Settings, events and actions of the decision module: all that a router passes to it and gets back.
 
-All times are milliseconds on the caller's clock; zones, kinds, classes and tenants are indices. Settings give
-them names: what goes from one Settings to another (a reload, the next process) goes by these.
+All times are milliseconds on the caller's clock. Zones, kinds, classes and tenants are indices; Settings give
+them names, by which state is carried from one Settings to another (a reload, the next process).
 """
 
 from __future__ import annotations
@@ -14,23 +14,23 @@
 
 
 class SettingsError(Problem, ValueError):
-    """The platform's settings are impossible together."""
+    """The platform's settings contradict each other or are out of bounds."""
 
     status = 2
-    where = "the settings at fault"
-    remedy = "Ask whoever writes the platform's configuration for settings within the bounds that are named."
+    where = "the invalid settings"
+    remedy = "Ask whoever maintains the platform's configuration for settings within the stated bounds."
 
 
 class Effect(Enum):
-    """What repeating a request of a class would do."""
+    """Whether a request of a class may be repeated."""
 
-    SAFE = 0  # may be repeated freely
-    KEYED = 1  # repeats are dropped within a group of replicas, for a while
+    SAFE = 0  # may be repeated without limit
+    KEYED = 1  # a group of replicas drops repeats for a limited time
     UNSAFE = 2  # must not run twice
 
 
 class Group(Enum):
-    """Which replicas drop the repeats of a keyed request."""
+    """Which replicas drop repeats of a keyed request."""
 
     ALL = 0
     ZONE = 1
@@ -42,21 +42,21 @@
 
     SERVED = 0
     ERROR = 1  # the replica answered with an error; it may have run
-    FULL = 2  # turned away unseen
-    TIMEOUT = 3  # may have run, or run on
+    FULL = 2  # the replica had no capacity and did not process it
+    TIMEOUT = 3  # may have run, or may still be running
     UNREACHABLE = 4  # no connection; never ran
     RESET = 5  # the connection broke; may have run
     CANCELLED = 6  # may have run
-    MOOT = 7  # never transmitted
-    REJECTED = 8  # the replica can't use the request: its client's fault, and no other replica's use
-    UNREADABLE = 9  # its answer can't be read; may have run, and the replica lives
+    MOOT = 7  # never sent
+    REJECTED = 8  # invalid request: the client's error, and every other replica would reject it, too
+    UNREADABLE = 9  # the answer can't be parsed; may have run, and the replica responds
 
 
 NEVER_RAN = frozenset({Outcome.FULL, Outcome.UNREACHABLE, Outcome.MOOT, Outcome.REJECTED})
 
 
 class ReplicaState(Enum):
-    """What the replica list says of a process."""
+    """State of a replica's process in the replica list."""
 
     SERVING = 0
     DRAINING = 1
@@ -64,19 +64,19 @@
 
 
 class ListKind(Enum):
-    """What a list event carries."""
+    """Content of a list event."""
 
     CHANGES = 0
     WHOLE = 1
-    RESTORED = 2  # whole, but as last held before a restart
-    FAILED = 3  # a call failed or the subscription broke; the old list stays
+    RESTORED = 2  # whole, as last known before a restart
+    FAILED = 3  # a call failed or the subscription broke; the previous list stays in force
 
 
-Key = str | int  # a name; a position where there is none
+Key = str | int  # a name, or a position where there is no name
 
 
 class RequestClass(Struct, frozen=True):
-    """One class of requests."""
+    """A class of requests."""
 
     aim_ms: float
     deadline_ms: float
@@ -88,23 +88,23 @@
     stream: bool = True
     aim_ms_per_token: float = 0.0
     token_aim_ms: float = 0.0
-    name: str = ""  # without one, its position tells it from the others
+    name: str = ""  # without a name, its position identifies it
 
     def aim(self, prompt_tokens: int) -> float:
-        """When the first token is wanted, ms after the request came."""
+        """Latency objective of the first token, ms after the request arrived."""
         return self.aim_ms + self.aim_ms_per_token * prompt_tokens
 
 
 class Tenant(Struct, frozen=True):
-    """One tenant; quota_per_s is its share in requests a second over all nodes (0 = not told)."""
+    """A tenant; quota_per_s is its quota in requests per second over all routers (0: none set)."""
 
     portion: float = 1.0
     quota_per_s: float = 0.0
-    name: str = ""  # without one, its position tells it from the others
+    name: str = ""  # without a name, its position identifies it
 
 
 class Settings(Struct, frozen=True, kw_only=True):
-    """What a node is told at start."""
+    """Settings of a router, from its start or a reload on."""
 
     nodes: int
     classes: tuple[RequestClass, ...]
@@ -112,8 +112,8 @@
     node: int = 0
     zone: int = 0
     zones: int = 1
-    zone_names: tuple[str, ...] = ()  # without them, positions tell zones from each other
-    subscribe: bool = False  # the list must be asked for
+    zone_names: tuple[str, ...] = ()  # without names, positions identify zones
+    subscribe: bool = False  # the router must call for the replica list
     probing: bool = True
     cancelling: bool = True
     second_copies: bool = True
@@ -122,8 +122,8 @@
     max_open: int = 10_000
     max_retry_after_ms: float = 1000.0
     drain_grace_ms: float = 1000.0
-    must_ask_ms: float = 0.0  # with no watch, changes count as told so long after the last call; 0: never
-    list_rate: float = 0.0  # whole lists a second that the list service can give, all told; 0: nobody told
+    must_ask_ms: float = 0.0  # without a watch, changes count as known so long after a call; 0: never
+    list_rate: float = 0.0  # whole lists per second that the list service can give in all; 0: unknown
     cold_from: float = 0.2
     cold_ms: float = 10_000.0
     overload_factor: float = 3.0
@@ -133,7 +133,7 @@
     tick_ms: float = 1.0
 
     def __post_init__(self) -> None:
-        """Impossible settings are refused at start."""
+        """Refuse settings that are out of bounds."""
         if not self.classes or any(c.aim_ms <= 0 or c.deadline_ms <= 0 or c.worth < 0 for c in self.classes):
             raise SettingsError(
                 "classes: at least one, each with positive aim and deadline, worth not negative"
@@ -142,8 +142,8 @@
             raise SettingsError("nodes and zones must be at least 1, and zone one of them")
         if self.max_attempts < 1 or self.max_open < 1:
             raise SettingsError("max_attempts and max_open must be at least 1")
-        cold = min(self.cold_ms, self.tip_after_ms, self.overload_factor)
-        if not 0 < self.cold_from <= 1 or cold < 0:
+        lowest = min(self.cold_ms, self.tip_after_ms, self.overload_factor)
+        if not 0 < self.cold_from <= 1 or lowest < 0:
             raise SettingsError("cold_from must lie in (0, 1], the other cold-start figures not be negative")
         if min(self.tick_ms, self.drain_grace_ms, self.max_retry_after_ms) < 0:
             raise SettingsError("tick, drain grace and longest retry-after must not be negative")
@@ -151,57 +151,57 @@
             raise SettingsError("quotas and portions of tenants must not be negative")
 
     def class_keys(self) -> list[Key]:
-        """What each class is known by under any settings."""
+        """Key of each class, the same under any settings."""
         return [cls.name or n for n, cls in enumerate(self.classes)]
 
     def tenant_keys(self) -> list[Key]:
-        """What each tenant is known by under any settings; with none told, all requests are the first's."""
+        """Key of each tenant, the same under any settings; without tenants, all requests are of the first."""
         return [tenant.name or n for n, tenant in enumerate(self.tenants)] or [0]
 
     def numbers_alike(self, other: Settings) -> bool:
-        """Whether numbers of classes and tenants stand for the same under both."""
+        """Whether the numbers of classes and tenants mean the same under both."""
         mine, its = (self.class_keys(), self.tenant_keys()), (other.class_keys(), other.tenant_keys())
         return mine == its
 
     def zone_keys(self) -> list[Key]:
-        """What each zone is known by under any settings."""
+        """Key of each zone, the same under any settings."""
         names = dict(zip(self.zone_names, range(self.zones), strict=False))
         by_position = {n: name for name, n in names.items()}
         return [by_position.get(n, n) for n in range(self.zones)]
 
     def tenant_name(self, tenant: int) -> str:
-        """Empty where it has none, or was never told."""
+        """A tenant's name; empty if it has none or is unknown."""
         return self.tenants[tenant].name if 0 <= tenant < len(self.tenants) else ""
 
     def account(self, tenant: int) -> tuple[Key, float]:
-        """What a tenant is known by under any settings, and its quota; one never told has none."""
+        """A tenant's key under any settings, and its quota; an unknown tenant has none."""
         if not 0 <= tenant < len(self.tenants):
             return tenant, 0.0
-        told = self.tenants[tenant]
-        return told.name or tenant, told.quota_per_s
+        known = self.tenants[tenant]
+        return known.name or tenant, known.quota_per_s
 
     def mean_aim(self) -> float:
-        """Of the classes, ms."""
+        """Mean latency objective of the classes, ms."""
         return sum(cls.aim_ms for cls in self.classes) / len(self.classes)
 
     def ranks(self, ranks: int) -> list[int]:
-        """Each class's rank by worth, 0 the highest, spread over so many."""
+        """Rank of each class by worth, spread over this many ranks; 0 is the highest."""
         worths = sorted({cls.worth for cls in self.classes}, reverse=True)
         steps = max(1, len(worths) - 1)
         return [round((ranks - 1) * worths.index(cls.worth) / steps) for cls in self.classes]
 
 
 class Report(Struct, frozen=True):
-    """A replica's account of its load; what it does not tell is negative."""
+    """Load reported by a replica; figures that it does not report are negative."""
 
-    memory_share: float = -1.0  # held by running requests
-    unread_tokens: float = -1.0  # of prompts waiting to be read
+    memory_share: float = -1.0  # used by running requests
+    unread_tokens: float = -1.0  # of prompts waiting for prefill
     queued: float = -1.0  # requests waiting
     busy_share: float = -1.0
 
 
 class ReplicaEntry(Struct, frozen=True):
-    """One line of the replica list."""
+    """An entry of the replica list."""
 
     replica: str
     zone: int = 0
@@ -213,14 +213,14 @@
 
 
 class ReplicaList(Struct, frozen=True):
-    """News of the replica list."""
+    """A replica list, changes to it, or a failure to get it."""
 
     kind: ListKind
     entries: tuple[ReplicaEntry, ...] = ()
 
 
 class RequestArrived(Struct, frozen=True):
-    """A client's request; the node now owes it one final answer."""
+    """A client's request, which must get exactly one final answer."""
 
     request: str
     cls: int
@@ -232,9 +232,9 @@
     session: int = 0  # 0: none
     prefix: int = 0  # 0: none
     resumed: bool = False
-    promised: bool = False  # it comes at the time that it was told, and capacity was set aside for it
-    standing: float = 1.0  # of who asks, as the door sees it: below 1 beyond their share, above within
-    settings: Settings | None = None  # it was taken under, and keeps; None: those that the decisions go by
+    promised: bool = False  # a retry at the time given to the client, for which capacity is reserved
+    standing: float = 1.0  # of the client: below 1 beyond its share of capacity, above 1 within it
+    settings: Settings | None = None  # in force when it arrived, kept to its end; None: the current ones
 
 
 class StreamStarted(Struct, frozen=True):
@@ -247,7 +247,7 @@
 
 
 class AttemptEnded(Struct, frozen=True):
-    """The one outcome of an attempt; `closed` when the request is finished with it or before."""
+    """The only outcome of an attempt; `closed` if the request has ended with it or before."""
 
     request: str
     attempt: int
@@ -269,13 +269,13 @@
 
 
 class RequestGone(Struct, frozen=True):
-    """The client left; nothing is owed any more."""
+    """The client disconnected; no answer is due any more."""
 
     request: str
 
 
 class TimerFired(Struct, frozen=True):
-    """A timer set before is due."""
+    """A timer has expired."""
 
     token: str
 
@@ -284,7 +284,7 @@
 
 
 class Send(Struct, frozen=True):
-    """Start an attempt; attempts of a request count 0, 1, 2 ... in the order sent. 0 ms: no own limit."""
+    """Start an attempt. A request's attempts are numbered 0, 1, 2 ... as sent. 0 ms: no limit of its own."""
 
     request: str
     replica: str
@@ -292,41 +292,41 @@
 
 
 class Refuse(Struct, frozen=True):
-    """Final answer: declined, trying again is harmless."""
+    """Final answer: refused, a retry is harmless."""
 
     request: str
     retry_after_ms: float = 0.0
-    header: bytes = b""  # one more line of the answer's head
+    header: bytes = b""  # an extra header line of the answer
 
 
 class Fail(Struct, frozen=True):
-    """Final answer: failed, nothing promised."""
+    """Final answer: failed, with no promise about retries."""
 
     request: str
 
 
 class Cancel(Struct, frozen=True):
-    """Stop waiting for an attempt."""
+    """Cancel an attempt."""
 
     request: str
     attempt: int
 
 
 class Probe(Struct, frozen=True):
-    """Ask a replica for its load."""
+    """Request a replica's load."""
 
     replica: str
 
 
 class SetTimer(Struct, frozen=True):
-    """Ask for a TimerFired."""
+    """Request a TimerFired event."""
 
     token: str
     in_ms: float
 
 
 class Subscribe(Struct, frozen=True):
-    """Ask the list service for changes from now on."""
+    """Subscribe to changes of the replica list."""
 
 
 Action = Send | Refuse | Fail | Cancel | Probe | SetTimer | Subscribe
