--- a/spoolbarrow/simulator_host.py
+++ b/spoolbarrow/simulator_host.py
@@ -1,7 +1,7 @@
-"""The loop on standard input and output that hosts isolated Routers, one for each node named on the wire.
+"""Serves the simulator on standard input and output, with an isolated Router for each node in the protocol.
 
-End of input exits 0. A malformed line exits 1 with one line on standard error that says what and where.
-An exception while deciding becomes that node's Fatal action.
+The process exits with 0 at the end of input, and with 1 after a malformed line, which one line on standard
+error describes. An exception in a decision becomes a Fatal action of that node.
 """
 
 from __future__ import annotations
@@ -16,13 +16,13 @@
 
 
 class Host:
-    """Routers by node name; they share nothing."""
+    """Routers by node name; they share no state."""
 
     def __init__(self) -> None:
         self.routers: dict[str, Router] = {}
 
     def answer(self, line: bytes) -> bytes:
-        """The reply line to one batch line."""
+        """The reply line for a batch line."""
         batch = wire.decode_batch(line)
         outputs = []
         for node in batch.nodes:
@@ -55,12 +55,12 @@
             return []
         try:
             return [wire.encode_action(action) for action in router.handle(now_ms, events)]
-        except Exception as error:  # whatever it is, the operators are told before the node stops
+        except Exception as error:  # any error is reported to the operators before the node stops
             return [{"type": "Fatal", "Message": f"{type(error).__name__}: {error}"}]
 
 
-def serve(source: BinaryIO, sink: BinaryIO, complaints: TextIO) -> int:
-    """Answer line after line until the input ends; the exit status."""
+def serve(source: BinaryIO, sink: BinaryIO, errors: TextIO) -> int:
+    """Answer lines until the input ends; returns the exit status."""
     host = Host()
     for number, line in enumerate(source, 1):
         if not line.strip():
@@ -68,7 +68,7 @@
         try:
             reply = host.answer(line)
         except wire.WireError as error:
-            complaints.write(f"line {number}: {error}\n")
+            errors.write(f"line {number}: {error}\n")
             return 1
         sink.write(reply)
         sink.flush()
@@ -77,7 +77,7 @@
 
 def main() -> int:
     """Serve standard input and output."""
-    gc.freeze()  # what is loaded by now lives as long as the process
+    gc.freeze()  # objects loaded so far live as long as the process
     return serve(sys.stdin.buffer, sys.stdout.buffer, sys.stderr)
 
 
--- a/spoolbarrow/wire.py
+++ b/spoolbarrow/wire.py
@@ -1,7 +1,7 @@
-"""Codec between the simulator's wire (glacier-0731) and spoolbarrow.interface; it decides nothing.
+"""Codec between the simulator's wire protocol (glacier-0731) and spoolbarrow.interface.
 
-Frames are read in two steps: the line as a whole, then each message by its `type`, so that an unknown
-event type, a missing field or a wrong value is named with its place. Unknown fields are skipped.
+A line is decoded as a whole, then each message by its `type`, so that errors name the place of an unknown
+event type, a missing field or a wrong value. Unknown fields are ignored.
 """
 
 from __future__ import annotations
@@ -43,21 +43,21 @@
 
 
 class WireError(Problem, ValueError):
-    """A line is not of the simulator's wire."""
+    """A line does not follow the simulator's wire protocol."""
 
-    where = "the line's part"
-    remedy = "Send lines as the simulator's page has them, each a whole JSON value."
+    where = "the invalid part of the line"
+    remedy = "Send lines as the simulator's page describes them, each a complete JSON value."
 
 
 class Enlist(Struct, tag_field="type"):
-    """A node starts."""
+    """A router starts."""
 
     RandomSeed: int
     Params: dict[str, Any]
 
 
 class Retire(Struct, tag_field="type"):
-    """A node was killed."""
+    """A router was killed."""
 
 
 class Entry(Struct):
@@ -122,7 +122,7 @@
 
 
 class NoteFrom(Struct, tag_field="type"):
-    """A peer's message: read, and passed to nobody, since the router tells its peers nothing."""
+    """A message from another router; decoded and ignored, since routers do not exchange messages."""
 
     Src: int = 0
     Msg: str = ""
@@ -147,7 +147,7 @@
 
 
 def decode_batch(line: bytes) -> Batch:
-    """Read one line; WireError says what is malformed and where."""
+    """Decode a line; WireError says what is malformed and where."""
     try:
         return _decoder.decode(line)
     except msgspec.DecodeError as error:
@@ -155,40 +155,40 @@
 
 
 def encode_reply(serial: int, outputs: list[dict[str, Any]]) -> bytes:
-    """One reply line, newline included."""
+    """Encode a reply line, including its newline."""
     return _encoder.encode({"serial": serial, "nodes": outputs}) + b"\n"
 
 
-def _word(table: dict[str, T], word: str, what: str) -> T:
+def _lookup(table: dict[str, T], value: str, place: str) -> T:
     try:
-        return table[word]
+        return table[value]
     except KeyError:
-        raise WireError(f"{what}: unknown value {word!r}") from None
+        raise WireError(f"{place}: unknown value {value!r}") from None
 
 
-def _key(text: str, what: str) -> int:
+def _hex_key(text: str, place: str) -> int:
     try:
         return int(text, 16)
     except ValueError:
-        raise WireError(f"{what}: {text!r} is not hex") from None
+        raise WireError(f"{place}: {text!r} is not hex") from None
 
 
 def decode_load_report(stats: dict[str, float] | None) -> i.Report | None:
-    """A load report by meaning; what this library has no use for is left out."""
+    """Decode a load report; statistics without a use here are left out."""
     if not stats:
         return None
     get = stats.get
-    unread = get("x1")
+    unread_thousands = get("x1")
     return i.Report(
         memory_share=get("x0", -1.0),
-        unread_tokens=-1.0 if unread is None else unread * TOKENS_PER_THOUSAND,
+        unread_tokens=-1.0 if unread_thousands is None else unread_thousands * TOKENS_PER_THOUSAND,
         queued=get("depth", -1.0),
         busy_share=get("load_share", -1.0),
     )
 
 
 def decode_event(message: Message) -> i.Event | None:
-    """The interface's event for a wire message; None for those that carry nothing to decide on."""
+    """The event for a wire message; None for messages that need no decision."""
     kind = type(message)
     if kind is Ingress:
         assert isinstance(message, Ingress)
@@ -200,13 +200,13 @@
             message.PromptTokens,
             message.SharedLen,
             message.OutputCap,
-            _key(message.PartitionKey, "PartitionKey"),
-            _key(message.PrefixId, "PrefixId"),
+            _hex_key(message.PartitionKey, "PartitionKey"),
+            _hex_key(message.PrefixId, "PrefixId"),
             bool(message.Bits & RESUMED_BIT),
         )
     if kind is Health:
         assert isinstance(message, Health)
-        outcome = _word(OUTCOMES, message.Result, "Health.Result")
+        outcome = _lookup(OUTCOMES, message.Result, "Health.Result")
         return i.ProbeAnswered(message.Engine, outcome, message.LagMs, decode_load_report(message.Stats))
     if kind is Finished:
         assert isinstance(message, Finished)
@@ -214,7 +214,7 @@
             message.Xid,
             message.SendNo,
             message.Engine,
-            _word(OUTCOMES, message.Result, "Finished.Result"),
+            _lookup(OUTCOMES, message.Result, "Finished.Result"),
             message.Last,
             message.LagMs,
             message.Note,
@@ -237,18 +237,18 @@
                 e.Area,
                 e.Type,
                 e.Block,
-                _word(STATES, e.Status, "View.MembersList.Status"),
+                _lookup(STATES, e.Status, "View.MembersList.Status"),
                 e.Nominal,
                 e.StartedAtMs,
             )
             for e in message.MembersList
         )
-        return i.ReplicaList(_word(LIST_KINDS, message.How, "View.How"), entries)
+        return i.ReplicaList(_lookup(LIST_KINDS, message.How, "View.How"), entries)
     return None
 
 
 def encode_action(action: i.Action) -> dict[str, Any]:
-    """The wire's form of an action."""
+    """Encode an action for the wire."""
     kind = type(action)
     if kind is i.Send:
         assert isinstance(action, i.Send)
@@ -280,7 +280,7 @@
     AimMs: float
     DeadlineMs: float
     Importance: float = 1.0
-    Effect: str = "fragile"  # not told: the most careful reading
+    Effect: str = "fragile"  # if missing: the most cautious value
     Group: str = "all"
     RepeatWindowMs: float = 0.0
     LateShare: float = 0.0
@@ -313,16 +313,16 @@
     TipAfterMs: float = 2000.0
 
 
-_Price = Annotated[float, msgspec.Meta(ge=0.0)]  # points of the result; one that is not told counts as none
+_Fee = Annotated[float, msgspec.Meta(ge=0.0)]  # points of the result; a missing price counts as 0
 
 
-class _Fees(Struct):  # the decisions go by two of them; the others that routing runs up are checked alike
-    Connection: _Price = 0.0
-    CrossZone: _Price = 0.0
-    Discovery: _Price = 0.0
-    Handshake: _Price = 0.0
-    Probe: _Price = 0.0
-    Waste: _Price = 0.0
+class _Fees(Struct):  # the decisions use two of these; the other routing fees are only validated
+    Connection: _Fee = 0.0
+    CrossZone: _Fee = 0.0
+    Discovery: _Fee = 0.0
+    Handshake: _Fee = 0.0
+    Probe: _Fee = 0.0
+    Waste: _Fee = 0.0
 
 
 class _Specifics(Struct):
@@ -349,52 +349,52 @@
 
 
 def decode_settings(raw: dict[str, Any]) -> i.Settings:
-    """The interface's settings; a key not told takes the most careful reading, one not known is skipped."""
+    """Decode settings; a missing key gets its most cautious value, an unknown one is ignored."""
     try:
-        p = msgspec.convert(raw, _Params)
+        params = msgspec.convert(raw, _Params)
     except msgspec.ValidationError as error:
         raise WireError(f"Params: {error}") from error
-    stretch = p.Specifics.AimUsPer1000PromptTokens
-    paces = p.Specifics.TokenAimMs
+    us_per_1000 = params.Specifics.AimUsPer1000PromptTokens
+    token_objectives_ms = params.Specifics.TokenAimMs
     classes = tuple(
         i.RequestClass(
             aim_ms=c.AimMs,
             deadline_ms=c.DeadlineMs,
             worth=c.Importance,
-            effect=_word(EFFECTS, c.Effect, "Params.Classes.Effect"),
-            group=_word(GROUPS, c.Group, "Params.Classes.Group"),
+            effect=_lookup(EFFECTS, c.Effect, "Params.Classes.Effect"),
+            group=_lookup(GROUPS, c.Group, "Params.Classes.Group"),
             window_ms=c.RepeatWindowMs,
             late_share=c.LateShare,
             stream=c.Stream,
-            aim_ms_per_token=stretch[n] * US_PER_1000_TO_MS_PER_TOKEN if n < len(stretch) else 0.0,
-            token_aim_ms=paces[n] if n < len(paces) else 0.0,
+            aim_ms_per_token=us_per_1000[n] * US_PER_1000_TO_MS_PER_TOKEN if n < len(us_per_1000) else 0.0,
+            token_aim_ms=token_objectives_ms[n] if n < len(token_objectives_ms) else 0.0,
             name=c.Name,
         )
-        for n, c in enumerate(p.Classes)
+        for n, c in enumerate(params.Classes)
     )
     return i.Settings(
-        nodes=p.Balancers,
+        nodes=params.Balancers,
         classes=classes,
-        tenants=tuple(i.Tenant(t.Portion, t.QuotaPerS, t.Name) for t in p.Tenants),
-        node=p.Me,
-        zone=p.MyZone,
-        zones=max(1, len(p.Zones)),
-        zone_names=tuple(p.Zones),
-        subscribe=p.Discovery != "automatic",
-        probing=p.Limits.Probing,
-        cancelling=p.Limits.Cancelling,
-        second_copies=p.Limits.SecondCopies,
-        retry_after=p.Limits.RetryAfter,
-        max_attempts=p.Limits.MaxAttempts,
-        max_open=p.Limits.MaxOpen,
-        max_retry_after_ms=p.Limits.MaxRetryAfterMs,
-        drain_grace_ms=p.Invariants.DrainGraceMs,
-        must_ask_ms=max(0.0, p.Invariants.MustAskInMs),
-        cold_from=p.Invariants.ColdFrom,
-        cold_ms=p.Invariants.ColdMs,
-        overload_factor=p.Invariants.OverloadFactor,
-        tip_after_ms=p.Invariants.TipAfterMs,
-        cross_zone_fee=p.Fees.CrossZone,
-        waste_fee=p.Fees.Waste,
-        tick_ms=p.TickMs,
+        tenants=tuple(i.Tenant(t.Portion, t.QuotaPerS, t.Name) for t in params.Tenants),
+        node=params.Me,
+        zone=params.MyZone,
+        zones=max(1, len(params.Zones)),
+        zone_names=tuple(params.Zones),
+        subscribe=params.Discovery != "automatic",
+        probing=params.Limits.Probing,
+        cancelling=params.Limits.Cancelling,
+        second_copies=params.Limits.SecondCopies,
+        retry_after=params.Limits.RetryAfter,
+        max_attempts=params.Limits.MaxAttempts,
+        max_open=params.Limits.MaxOpen,
+        max_retry_after_ms=params.Limits.MaxRetryAfterMs,
+        drain_grace_ms=params.Invariants.DrainGraceMs,
+        must_ask_ms=max(0.0, params.Invariants.MustAskInMs),
+        cold_from=params.Invariants.ColdFrom,
+        cold_ms=params.Invariants.ColdMs,
+        overload_factor=params.Invariants.OverloadFactor,
+        tip_after_ms=params.Invariants.TipAfterMs,
+        cross_zone_fee=params.Fees.CrossZone,
+        waste_fee=params.Fees.Waste,
+        tick_ms=params.TickMs,
     )
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -1,4 +1,4 @@
-"""The auditor's limits on the decision module."""
+"""Limits on the size and layout of the decision module, set by the auditor."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 ROOT = Path(__file__).resolve().parent.parent
 
 
-def test_router_is_short_and_narrow() -> None:
+def test_router_is_within_its_size_and_line_length() -> None:
     nodes = list(ast.walk(ast.parse((ROOT / "spoolbarrow" / "router.py").read_text())))
     assert sum(isinstance(node, ast.stmt) for node in nodes) <= 689 and len(nodes) <= 10_163
     for path in ROOT.glob("spoolbarrow/*.py"):
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -1,4 +1,4 @@
-"""The codec: every event and action, and what is malformed."""
+"""Tests of the simulator's codec: every event, every action, and malformed input."""
 
 from __future__ import annotations
 
@@ -47,7 +47,7 @@
     return wire.decode_event(wire.decode_batch(line.encode()).nodes[0].msgs[0])
 
 
-def test_every_event() -> None:
+def test_decodes_every_event() -> None:
     assert event(
         {
             "type": "Ingress",
@@ -109,7 +109,7 @@
         )
 
 
-def test_every_action() -> None:
+def test_encodes_every_action() -> None:
     cases: list[tuple[i.Action, dict[str, Any]]] = [
         (i.Send("c", "e", 5.0), {"type": "Relay", "Xid": "c", "Engine": "e", "MaxWaitMs": 5.0}),
         (i.Refuse("c", 9.0), {"type": "Reject", "Xid": "c", "RetryInMs": 9.0}),
@@ -124,19 +124,19 @@
     assert json.loads(wire.encode_reply(7, [])) == {"serial": 7, "nodes": []}
 
 
-def test_settings() -> None:
+def test_decodes_settings() -> None:
     s = wire.decode_settings(PARAMS)
     assert (s.nodes, s.zone, s.zones, s.subscribe, s.probing, s.max_attempts) == (2, 1, 2, False, True, 4)
-    assert (s.second_copies, s.cancelling) == (False, False)  # not told: not allowed
+    assert (s.second_copies, s.cancelling) == (False, False)  # missing permissions are off
     (c,) = s.classes
     assert (c.effect, c.group, c.window_ms, c.token_aim_ms) == (i.Effect.KEYED, i.Group.CELL, 900.0, 80.0)
     assert c.aim_ms_per_token == pytest.approx(0.04)
 
 
 def run(text: str) -> tuple[int, str, str]:
-    sink, complaints = io.BytesIO(), io.StringIO()
-    code = serve(io.BytesIO(text.encode()), sink, complaints)
-    return code, sink.getvalue().decode(), complaints.getvalue()
+    sink, errors = io.BytesIO(), io.StringIO()
+    code = serve(io.BytesIO(text.encode()), sink, errors)
+    return code, sink.getvalue().decode(), errors.getvalue()
 
 
 def batch(serial: int, *messages: dict[str, Any]) -> str:
@@ -165,21 +165,21 @@
         (batch(1, {**ENLIST, "Params": {"Balancers": 1}}), "Classes"),
     ],
 )
-def test_malformed_input_is_named_on_one_line(line: str, word: str) -> None:
-    code, out, complaints = run(batch(1) + line)
+def test_malformed_input_is_reported_on_one_line(line: str, word: str) -> None:
+    code, out, errors = run(batch(1) + line)
     assert code == 1
     assert json.loads(out) == {"serial": 1, "nodes": []}
-    assert complaints.startswith("line 2:") and word in complaints and complaints.count("\n") == 1
+    assert errors.startswith("line 2:") and word in errors and errors.count("\n") == 1
 
 
-def test_a_stretch_of_life_and_end_of_input() -> None:
-    code, out, complaints = run(
+def test_a_router_from_start_to_kill_and_end_of_input() -> None:
+    code, out, errors = run(
         batch(1, ENLIST, VIEW, INGRESS) + batch(2, {"type": "Retire"}) + batch(3, INGRESS)
     )
     replies = [json.loads(line) for line in out.splitlines()]
-    assert (code, complaints) == (0, "")
+    assert (code, errors) == (0, "")
     assert any(a["type"] == "Relay" for a in replies[0]["nodes"][0]["output"])
-    assert replies[1]["nodes"] == replies[2]["nodes"] == []  # killed: nothing concerns it any more
+    assert replies[1]["nodes"] == replies[2]["nodes"] == []  # a killed router gets no further events
 
 
 def test_impossible_settings_and_errors_become_fatal(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -197,7 +197,7 @@
     ]
 
 
-def test_equal_events_give_equal_bytes_whatever_the_hash_seed_and_spread() -> None:
+def test_equal_events_give_equal_bytes_for_any_hash_seed_and_grouping() -> None:
     entries = [{"Engine": f"engine-{k}", "Area": k % 2, "Status": "in_service"} for k in range(12)]
 
     def day(names: list[str]) -> str:
