--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,4 @@
-"""The four rules over drawn but legal event orders, for every effect, group and permission."""
+"""Tests of the four rules on random valid event orders, for every effect, group and permission."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 )
 from spoolbarrow.lab.opened import Rule, play
 from spoolbarrow.router import Router
-from tests.world import World, make_settings, serving
+from tests.world import World, make_settings, serving_list
 
 
 @settings(derandomize=True, max_examples=150, deadline=None, database=None)
@@ -65,19 +65,19 @@
 
 
 @pytest.mark.parametrize("state", [ReplicaState.DRAINING, ReplicaState.GONE])
-def test_a_drained_replica_gets_nothing_new(state: ReplicaState) -> None:
+def test_a_drained_replica_gets_no_new_requests(state: ReplicaState) -> None:
     router = Router(make_settings(probing=False), 1)
-    router.handle(0.0, [serving("a", "b")])
+    router.handle(0.0, [serving_list("a", "b")])
     router.handle(1.0, [ReplicaList(ListKind.CHANGES, (ReplicaEntry("a", state=state),))])
     for k in range(20):
         for action in router.handle(2.0 + k, [RequestArrived(f"q{k}", 0, 1000.0)]):
             assert not isinstance(action, Send) or action.replica == "b"
 
 
-def test_a_replica_left_out_of_a_whole_list_is_gone() -> None:
+def test_a_replica_missing_from_a_whole_list_is_removed() -> None:
     router = Router(make_settings(probing=False), 1)
-    router.handle(0.0, [serving("a", "b")])
-    router.handle(1.0, [serving("b")])
+    router.handle(0.0, [serving_list("a", "b")])
+    router.handle(1.0, [serving_list("b")])
     sent = [
         a.replica
         for k in range(20)
@@ -88,10 +88,10 @@
 
 
 @pytest.mark.parametrize(("warm", "cold", "least"), [(19, 1, 0.27), (8, 12, 0.4)])
-def test_many_nodes_together_keep_the_cold_budget_and_use_it(warm: int, cold: int, least: float) -> None:
-    """All nodes see idle cold replicas; what they send each together stays under the tolerated sum.
+def test_many_routers_keep_the_slow_start_limit_and_use_it(warm: int, cold: int, least: float) -> None:
+    """All routers see idle slow-starting replicas; together they send each no more than its limit.
 
-    Nor is it far less than that: where most are cold at once, the warm ones would bear all the rest.
+    Nor do they send far less: where most replicas start at once, the warm ones would get all other requests.
     """
     nodes, per_node_ms = 60, 300.0
     cfg = make_settings(nodes=nodes, zones=1, cold_from=0.1, cold_ms=10000.0, tenants=())
@@ -99,7 +99,7 @@
     routers = [Router(cfg, seed) for seed in range(nodes)]
     sends: dict[str, list[float]] = {name: [] for name in names + new}
     for router in routers:
-        router.handle(0.0, [serving(*names)])
+        router.handle(0.0, [serving_list(*names)])
     total = 0
     for step in range(400):
         now = 10.0 + step * 50.0
@@ -131,18 +131,18 @@
             window = [t for t in sends[name] if at - 2000.0 < t <= at]
             age = max(0.0, at - 2000.0 - start)
             ramp = min(1.0, 0.1 + 0.9 * age / 10000.0)
-            # A fleet half loaded: capacity is twice the equal share; slack for chance on small counts.
+            # A half-loaded fleet: capacity is twice the equal share. 6 allows for chance in small counts.
             assert len(window) <= 3.0 * ramp * 2.0 * share_per_ms * 2000.0 + 6
-    borne = sum(len(sends[name]) for name in new) / cold / (share_per_ms * 10000.0)
-    assert borne > least  # of an equal share, while it grows from a tenth to the whole
+    served_share = sum(len(sends[name]) for name in new) / cold / (share_per_ms * 10000.0)
+    assert served_share > least  # of an equal share, while capacity grows from a tenth to the whole
 
 
 @pytest.mark.parametrize("nodes", [1, 2, 40, 200])
 @pytest.mark.parametrize("rule", [Rule(0.34, 8600.0, 4.0, 2000.0), Rule(0.12, 22_000.0, 2.5, 2000.0)])
-def test_what_all_nodes_may_send_a_cold_one_stays_under_what_it_bears(nodes: int, rule: Rule) -> None:
-    """All that cold ones are open to is sent there, at full load, by uneven nodes: by rule 4 none falls.
+def test_all_routers_together_keep_slow_starting_replicas_within_capacity(nodes: int, rule: Rule) -> None:
+    """Uneven routers send all that slow start admits, at full load: none is overloaded (rule 4).
 
-    And they are open to enough: no less than half of what their capacity grows to.
+    Slow start admits at least half of what the replicas' capacity grows to.
     """
     started = play(nodes, rule, seed=7)
     assert max(one.worst for one in started) <= 1.0
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -1,7 +1,7 @@
-"""What cold engines are sent by all routers together: no more than rule 4 lets them bear, nor under half.
+"""Tests that routers together send slow-starting engines at most what rule 4 allows, and at least half.
 
-Pure: the draws that open an engine to requests, and all they open sent there. With processes: a ramp
-during which a router is killed, one is restarted and one joins.
+Most tests use the admission draws alone and send engines everything that those admit. One uses processes:
+during the slow start a router is killed, one is restarted and one joins.
 """
 
 from __future__ import annotations
@@ -19,27 +19,29 @@
 from spoolbarrow.lab.cold import Figures
 from spoolbarrow.lab.opened import Rule, Traffic, play
 from spoolbarrow.router import ClassStats, ReplicaPool, Request, Router
-from tests.world import make_settings, serving
+from tests.world import make_settings, serving_list
 
 STARTED, COLD_MS = 5000.0, 10_000.0
 ROUTERS, ENGINES, COLD = 20, 8, (0, 1, 2)
-PER_S = 8.0  # of an engine; routers ask for four in five of what all bear
+PER_S = 8.0  # capacity of an engine; routers use four fifths of the capacity of all
 DRAWS = [Random(n).getrandbits(63) for n in range(4000)]
 FIRST, SECOND = Rule(0.34, 8600.0, 4.0, 2000.0), Rule(0.12, 22_000.0, 2.5, 2000.0)
 SMALL = Rule(0.1, 10_000.0, 2.0, 1000.0)
 
 
-def opened(age: float, home: bool, work: float = 1.0, moved: bool = False, nodes: int = 1) -> set[int]:
-    """Which of the draws open a cold engine, one of ten, to a request of so much work."""
+def admitted_draws(
+    age: float, preferred: bool, work: float = 1.0, resumed: bool = False, nodes: int = 1
+) -> set[int]:
+    """The draws for which one slow-starting engine of ten admits a request of this much work."""
     cfg = make_settings(nodes=nodes, zones=1, cold_from=0.2, cold_ms=COLD_MS, overload_factor=3.0)
     pool = ReplicaPool(cfg, Random(nodes))
     entries = [ReplicaEntry(f"e{n}", started_at_ms=STARTED * (n == 0)) for n in range(10)]
     pool.apply_list(ReplicaList(ListKind.WHOLE, tuple(entries)), STARTED)
-    (cold,) = pool.slow_starting
-    request = Request(RequestArrived("q", 0, 4000.0, resumed=moved), cfg, (1.0, 0, ClassStats()), STARTED)
+    (starting,) = pool.slow_starting
+    request = Request(RequestArrived("q", 0, 4000.0, resumed=resumed), cfg, (1.0, 0, ClassStats()), STARTED)
     request.expected_tokens, found = work * pool.mean_work, set()
     for number, request.slow_start_draw in enumerate(DRAWS):
-        if pool.slow_start_allows(cold, request, STARTED + age, home):
+        if pool.slow_start_allows(starting, request, STARTED + age, preferred):
             found.add(number)
     return found
 
@@ -52,27 +54,31 @@
     st.floats(0.1, 20.0),
     st.sampled_from([1, 20, 30, 200]),
 )
-def test_an_engine_once_open_to_a_request_stays_so_whoever_asks(
-    one: float, other: float, home: bool, work: float, nodes: int
+def test_an_engine_that_admits_a_request_admits_it_later_from_any_router(
+    one: float, other: float, preferred: bool, work: float, nodes: int
 ) -> None:
-    early, late = opened(min(one, other), home, work), opened(max(one, other), home, work)
-    assert early <= late and late == opened(max(one, other), home, work, nodes=nodes)
-    assert opened(one, home, work * 1.5) <= opened(one, home, work)
-    assert len(opened(COLD_MS, home, work, nodes=nodes)) == len(DRAWS)
+    early, late = (
+        admitted_draws(min(one, other), preferred, work),
+        admitted_draws(max(one, other), preferred, work),
+    )
+    assert early <= late and late == admitted_draws(max(one, other), preferred, work, nodes=nodes)
+    assert admitted_draws(one, preferred, work * 1.5) <= admitted_draws(one, preferred, work)
+    assert len(admitted_draws(COLD_MS, preferred, work, nodes=nodes)) == len(DRAWS)
 
 
-def test_the_more_work_the_less_likely_and_moved_streams_least() -> None:
-    usual, heavy = (len(opened(COLD_MS * 0.9, True, work)) for work in (1.0, 3.0))
-    moved = len(opened(COLD_MS * 0.9, True, moved=True))
-    # Squared: work that comes in few large requests varies as much as it is large.
-    assert usual / heavy == pytest.approx(9.0, rel=0.3) and usual / moved == pytest.approx(20.0, rel=0.3)
-    assert opened(0.0, True, 0.5) == opened(0.0, True, 0.05)  # a wrong mean must not open it to all
+def test_large_requests_and_resumed_streams_are_admitted_less() -> None:
+    usual, heavy = (len(admitted_draws(COLD_MS * 0.9, True, work)) for work in (1.0, 3.0))
+    resumed = len(admitted_draws(COLD_MS * 0.9, True, resumed=True))
+    # Squared, since the variance of work grows with the size of requests, too.
+    assert usual / heavy == pytest.approx(9.0, rel=0.3) and usual / resumed == pytest.approx(20.0, rel=0.3)
+    # A wrong mean must not admit every request.
+    assert admitted_draws(0.0, True, 0.5) == admitted_draws(0.0, True, 0.05)
 
 
-def test_a_new_process_knows_the_mean_work_after_few_requests() -> None:
+def test_a_new_process_learns_the_mean_work_from_few_requests() -> None:
     router = Router(make_settings(tenants=()), 1)
-    router.handle(0.0, [serving("a", "b")])
-    for n in range(5):  # of far more than is assumed at first: each looked like four mean ones
+    router.handle(0.0, [serving_list("a", "b")])
+    for n in range(5):  # far larger than the initial mean: each counted as four mean requests
         router.handle(float(n), [RequestArrived(f"q{n}", 0, 4000.0, prompt_tokens=8000)])
     assert router.pool.mean_work == pytest.approx(8000.0, rel=0.1)
 
@@ -90,8 +96,11 @@
         Traffic(load=3.0, zipf=1.3, hot=0.3),
     ],
 )
-def test_what_all_routers_may_send_makes_hardly_an_engine_fall(traffic: Traffic) -> None:
-    """Of 144 starts two at most: at a chance of 0.002 (`benchmarks/cold_engines.py`) more are one in 300."""
+def test_all_that_slow_start_admits_overloads_hardly_any_engine(traffic: Traffic) -> None:
+    """At most 2 of 144 starts may fail.
+
+    At a chance of 0.002 for each (`benchmarks/cold_engines.py`), 1 run in 300 has more.
+    """
     started = [
         one
         for rule in (FIRST, SECOND, SMALL)
@@ -102,17 +111,17 @@
 
 
 @pytest.mark.parametrize("rule", [FIRST, SECOND, SMALL])
-def test_an_engine_is_open_to_half_of_its_budget(rule: Rule) -> None:
+def test_slow_start_admits_half_of_an_engines_budget(rule: Rule) -> None:
     started = [
         one for seed in range(6) for one in play(20, rule, seed, Traffic(attempts=30), engines=30, cold=6)
     ]
     assert sum(one.used for one in started) / len(started) > 0.46
 
 
-def test_twenty_processes_keep_cold_engines_up_while_routers_die_restart_and_join(tmp_path: Path) -> None:
-    """Three of eight engines begin anew at once; in their ramp a router ends, one is restarted, one joins.
+def test_twenty_processes_keep_slow_starting_engines_up_while_routers_change(tmp_path: Path) -> None:
+    """Three of eight engines restart at once; meanwhile a router ends, one is restarted and one joins.
 
-    They bear so little that their reports alone, late as they are, do not keep enough from them.
+    Their capacity is so low that their reports, which arrive late, cannot protect them alone.
     """
     figures = Figures(
         per_s=PER_S,
@@ -133,7 +142,7 @@
             made.kill_router(0)
             time.sleep(2.0)
             made.restart_routers([1])
-            made.routers[2] = made.start_router(2)  # it joins
+            made.routers[2] = made.start_router(2)  # a router joins
             time.sleep(COLD_MS / 1000.0 - 3.0)
         finally:
             load.stop()
--- a/tests/world.py
+++ b/tests/world.py
@@ -1,7 +1,7 @@
-"""A legal but arbitrary world for one Router: it draws event orders and checks the four rules as it goes.
+"""Random but valid environment of one Router that checks the four rules on each of its actions.
 
-It models no server; what happens next is drawn, and only legality is kept: one outcome an attempt, time-outs
-at the client's limit, timers when due.
+It simulates no servers. Each event is drawn at random among the valid ones: one outcome per attempt, timeouts
+at the client's deadline, timers when due.
 """
 
 from __future__ import annotations
@@ -56,23 +56,23 @@
     return Settings(**base)  # type: ignore[arg-type]
 
 
-def serving(*names: str, zone: int = 0, started: float = 0.0) -> ReplicaList:
+def serving_list(*names: str, zone: int = 0, started: float = 0.0) -> ReplicaList:
     return ReplicaList(
         ListKind.WHOLE, tuple(ReplicaEntry(n, zone=zone, started_at_ms=started) for n in names)
     )
 
 
-class Sent:
+class SentAttempt:
     def __init__(self, replica: str, at: float) -> None:
         self.replica, self.at = replica, at
         self.outcome: Outcome | None = None
         self.started = False
 
 
-class Open:
+class OpenRequest:
     def __init__(self, event: RequestArrived, deadline: float) -> None:
         self.event, self.deadline = event, deadline
-        self.sent: list[Sent] = []
+        self.sent: list[SentAttempt] = []
         self.done = False
         self.started = False
 
@@ -84,8 +84,8 @@
         self.router = Router(settings, seed)
         self.now = 1000.0
         self.entries: dict[str, ReplicaEntry] = {}
-        self.told_away: dict[str, float] = {}
-        self.open: dict[str, Open] = {}
+        self.unavailable_since: dict[str, float] = {}
+        self.open: dict[str, OpenRequest] = {}
         self.timers: list[tuple[float, str]] = []
         self.probes: list[str] = []
         self.log: list[Action] = []
@@ -96,14 +96,14 @@
     def listing(self, kind: ListKind, entries: tuple[ReplicaEntry, ...]) -> ReplicaList:
         if kind not in (ListKind.CHANGES, ListKind.FAILED):
             for name in self.entries:
-                if name not in {e.replica for e in entries}:
-                    self.told_away.setdefault(name, self.now)
-        for e in entries:
-            self.entries[e.replica] = e
-            if e.state is ReplicaState.SERVING:
-                self.told_away.pop(e.replica, None)
+                if name not in {entry.replica for entry in entries}:
+                    self.unavailable_since.setdefault(name, self.now)
+        for entry in entries:
+            self.entries[entry.replica] = entry
+            if entry.state is ReplicaState.SERVING:
+                self.unavailable_since.pop(entry.replica, None)
             else:
-                self.told_away.setdefault(e.replica, self.now)
+                self.unavailable_since.setdefault(entry.replica, self.now)
         return ReplicaList(kind, entries)
 
     def feed(self, events: list[Event]) -> list[Action]:
@@ -114,53 +114,55 @@
         return actions
 
     def check(self, action: Action) -> None:
-        s = self.settings
+        settings = self.settings
         if isinstance(action, SetTimer):
             assert action.in_ms >= 0.0
             self.timers.append((self.now + action.in_ms, action.token))
         elif isinstance(action, Probe):
-            assert s.probing and action.replica in self.entries
+            assert settings.probing and action.replica in self.entries
             self.probes.append(action.replica)
         elif isinstance(action, Cancel):
-            assert s.cancelling and action.attempt < len(self.open[action.request].sent)
+            assert settings.cancelling and action.attempt < len(self.open[action.request].sent)
         elif isinstance(action, Subscribe):
-            assert s.subscribe
+            assert settings.subscribe
         else:
-            o = self.open[action.request]
-            ran = [a for a in o.sent if a.outcome not in NEVER_RAN]
-            cls = s.classes[o.event.cls]
+            request = self.open[action.request]
+            ran = [a for a in request.sent if a.outcome not in NEVER_RAN]
+            cls = settings.classes[request.event.cls]
             if isinstance(action, Send):
-                assert not o.done and not o.started, "rule 1: sent after the final answer"
-                assert self.now <= o.deadline
-                assert action.replica not in self.told_away, "rule 3: sent to a draining or gone replica"
-                assert len(o.sent) < s.max_attempts
-                if not s.second_copies:
-                    assert all(a.outcome is not None for a in o.sent), "two copies at once"
+                assert not request.done and not request.started, "rule 1: sent after the final answer"
+                assert self.now <= request.deadline
+                assert action.replica not in self.unavailable_since, (
+                    "rule 3: sent to a draining or removed replica"
+                )
+                assert len(request.sent) < settings.max_attempts
+                if not settings.second_copies:
+                    assert all(a.outcome is not None for a in request.sent), "an attempt is open"
                 if ran and cls.effect is Effect.UNSAFE:
-                    raise AssertionError("rule 2: unsafe sent again")
+                    raise AssertionError("rule 2: unsafe request sent again")
                 if ran and cls.effect is Effect.KEYED:
-                    assert self.now < ran[0].at + cls.window_ms, "rule 2: keyed sent after its window"
+                    assert self.now < ran[0].at + cls.window_ms, "rule 2: keyed request sent after its window"
                     for a in ran:
                         self.same_group(cls.group, a.replica, action.replica)
-                o.sent.append(Sent(action.replica, self.now))
+                request.sent.append(SentAttempt(action.replica, self.now))
             elif isinstance(action, Refuse):
-                assert not o.done, "rule 1: two final answers"
-                assert 0.0 <= action.retry_after_ms <= s.max_retry_after_ms
+                assert not request.done, "rule 1: two final answers"
+                assert 0.0 <= action.retry_after_ms <= settings.max_retry_after_ms
                 if ran and cls.effect is Effect.UNSAFE:
-                    raise AssertionError("rule 2: unsafe refused though it may have run")
+                    raise AssertionError("rule 2: unsafe request refused though it may have run")
                 if ran and cls.effect is Effect.KEYED:
-                    assert cls.group is Group.ALL, "rule 2: keyed refused though it may have run"
-                o.done = True
+                    assert cls.group is Group.ALL, "rule 2: keyed request refused though it may have run"
+                request.done = True
             elif isinstance(action, Fail):
-                assert not o.done, "rule 1: two final answers"
-                o.done = True
+                assert not request.done, "rule 1: two final answers"
+                request.done = True
 
     def same_group(self, group: Group, one: str, other: str) -> None:
         a, b = self.entries[one], self.entries[other]
-        assert group is Group.ALL or a.zone == b.zone, "rule 2: out of the zone"
-        assert group is not Group.CELL or a.cell == b.cell, "rule 2: out of the cell"
+        assert group is Group.ALL or a.zone == b.zone, "rule 2: sent to another zone"
+        assert group is not Group.CELL or a.cell == b.cell, "rule 2: sent to another cell"
 
-    # --- what may happen next
+    # --- events that may happen next
 
     def arrive(self) -> None:
         rng = self.rng
@@ -171,45 +173,63 @@
             f"q{self.count}",
             rng.randrange(len(self.settings.classes)),
             budget,
-            tenant=rng.randrange(0, 4),  # two of them are not in the settings
+            tenant=rng.randrange(0, 4),  # two of the tenants are not in the settings
             prompt_tokens=prompt,
             shared_tokens=rng.choice([0, prompt // 2, prompt + 10]),
             session=rng.choice([0, rng.randrange(1, 6)]),
             prefix=rng.choice([0, rng.randrange(1, 4)]),
             resumed=rng.random() < 0.1,
         )
-        self.open[event.request] = Open(event, self.now + budget)
+        self.open[event.request] = OpenRequest(event, self.now + budget)
         self.feed([event])
 
-    def outstanding(self) -> list[tuple[Open, int]]:
-        return [(o, k) for o in self.open.values() for k, a in enumerate(o.sent) if a.outcome is None]
+    def outstanding(self) -> list[tuple[OpenRequest, int]]:
+        return [
+            (request, number)
+            for request in self.open.values()
+            for number, attempt in enumerate(request.sent)
+            if attempt.outcome is None
+        ]
 
-    def end(self, o: Open, k: int, outcome: Outcome) -> None:
-        attempt = o.sent[k]
+    def end(self, request: OpenRequest, number: int, outcome: Outcome) -> None:
+        attempt = request.sent[number]
         attempt.outcome = outcome
-        closed = o.done or outcome is Outcome.SERVED or attempt.started
-        o.done = closed
+        closed = request.done or outcome is Outcome.SERVED or attempt.started
+        request.done = closed
         report = Report(self.rng.random(), self.rng.randrange(20000)) if self.rng.random() < 0.3 else None
         event = AttemptEnded(
-            o.event.request, k, attempt.replica, outcome, closed, self.now - attempt.at, 5, report
+            request.event.request, number, attempt.replica, outcome, closed, self.now - attempt.at, 5, report
         )
         self.feed([event, event] if self.rng.random() < 0.1 else [event])
 
-    def some_outcome(self) -> None:
-        out = self.outstanding()
-        if out:
-            o, k = self.rng.choice(out)
-            if o.sent[k].started:
-                self.end(o, k, self.rng.choice([Outcome.SERVED, Outcome.SERVED, Outcome.RESET]))
+    def end_random_attempt(self) -> None:
+        open_attempts = self.outstanding()
+        if open_attempts:
+            request, number = self.rng.choice(open_attempts)
+            if request.sent[number].started:
+                self.end(request, number, self.rng.choice([Outcome.SERVED, Outcome.SERVED, Outcome.RESET]))
             else:
-                self.end(o, k, self.rng.choice(list(Outcome)))
+                self.end(request, number, self.rng.choice(list(Outcome)))
 
     def start(self) -> None:
-        out = [(o, k) for o, k in self.outstanding() if not o.started and not o.done]
-        if out:
-            o, k = self.rng.choice(out)
-            o.started = o.sent[k].started = True
-            self.feed([StreamStarted(o.event.request, k, o.sent[k].replica, self.now - o.sent[k].at)])
+        unstarted = [
+            (request, number)
+            for request, number in self.outstanding()
+            if not request.started and not request.done
+        ]
+        if unstarted:
+            request, number = self.rng.choice(unstarted)
+            request.started = request.sent[number].started = True
+            self.feed(
+                [
+                    StreamStarted(
+                        request.event.request,
+                        number,
+                        request.sent[number].replica,
+                        self.now - request.sent[number].at,
+                    )
+                ]
+            )
 
     def answer_probe(self) -> None:
         if self.probes:
@@ -221,7 +241,7 @@
             outcome = Outcome.SERVED if good else self.rng.choice(list(Outcome))
             self.feed([ProbeAnswered(name, outcome, self.rng.random() * 50, report)])
 
-    def relist(self) -> None:
+    def change_list(self) -> None:
         rng = self.rng
         kind = rng.choice([ListKind.CHANGES, ListKind.CHANGES, ListKind.WHOLE, ListKind.FAILED])
         if kind is ListKind.FAILED and not self.settings.subscribe:
@@ -245,50 +265,52 @@
             ]
         )
 
-    def leave(self) -> None:
-        waiting = [o for o in self.open.values() if not o.done]
+    def disconnect_client(self) -> None:
+        waiting = [request for request in self.open.values() if not request.done]
         if waiting:
-            o = self.rng.choice(waiting)
-            o.done = True
-            self.feed([RequestGone(o.event.request)])
+            request = self.rng.choice(waiting)
+            request.done = True
+            self.feed([RequestGone(request.event.request)])
 
     def advance(self) -> None:
-        """Let time pass, with the timers and the clients' limits on the way."""
+        """Advance the clock, with the timers and client deadlines that expire meanwhile."""
         until = self.now + self.rng.choice([1.0, 20.0, 300.0])
         while True:
-            due = [t for t, _ in self.timers]
-            limits = [o.deadline for o in self.open.values() if not o.done and not o.started]
-            step = min([*due, *limits, until])
+            due = [at for at, _ in self.timers]
+            deadlines = [
+                request.deadline for request in self.open.values() if not request.done and not request.started
+            ]
+            step = min([*due, *deadlines, until])
             self.now = max(self.now, step)
             if step >= until:
                 return
-            ready = [x for x in self.timers if x[0] <= self.now]
-            self.timers = [x for x in self.timers if x[0] > self.now]
+            ready = [timer for timer in self.timers if timer[0] <= self.now]
+            self.timers = [timer for timer in self.timers if timer[0] > self.now]
             if ready:
                 self.feed([TimerFired(token) for _, token in ready])
-            for o in list(self.open.values()):
-                if not o.done and not o.started and o.deadline <= self.now:
-                    for k, attempt in enumerate(o.sent):
+            for request in list(self.open.values()):
+                if not request.done and not request.started and request.deadline <= self.now:
+                    for number, attempt in enumerate(request.sent):
                         if attempt.outcome is None:
-                            self.end(o, k, Outcome.TIMEOUT)
-                    assert o.done, "rule 1: no final answer by the client's limit"
+                            self.end(request, number, Outcome.TIMEOUT)
+                    assert request.done, "rule 1: no final answer by the client's deadline"
 
     def run(self, steps: int) -> None:
-        kinds = [
+        events = [
             self.arrive,
             self.arrive,
-            self.some_outcome,
+            self.end_random_attempt,
             self.start,
             self.answer_probe,
             self.answer_probe,
             self.advance,
-            self.relist,
-            self.leave,
+            self.change_list,
+            self.disconnect_client,
         ]
         weights = [4, 4, 5, 4, 6, 6, 5, 1, 1]
         for _ in range(steps):
-            self.rng.choices(kinds, weights)[0]()
+            self.rng.choices(events, weights)[0]()
         for _ in range(60):
             self.advance()
-        for o in self.open.values():
-            assert o.done or o.started, "rule 1: a request was lost"
+        for request in self.open.values():
+            assert request.done or request.started, "rule 1: a request was lost"
