--- a/spoolbarrow/agree/__init__.py
+++ b/spoolbarrow/agree/__init__.py
@@ -1,4 +1,4 @@
-"""Versions of what routers share, and where routers contradict each other; free of I/O and clock."""
+"""Versions of configuration and state that routers share, and where routers differ; no I/O and no clock."""
 
 from spoolbarrow.agree.versions import (
     COMPARED_ITEMS,
@@ -14,10 +14,10 @@
 __all__ = [
     "COMPARED_ITEMS",
     "Difference",
-    "VersionedItem",
-    "VersionTracker",
     "Version",
-    "find_differences",
+    "VersionTracker",
+    "VersionedItem",
     "digest",
     "files_digest",
+    "find_differences",
 ]
--- a/spoolbarrow/failover/__init__.py
+++ b/spoolbarrow/failover/__init__.py
@@ -1,8 +1,8 @@
-"""Failover between zones and regions: verdicts from what a router has seen, free of I/O and clock.
+"""Failover between zones and regions: verdicts from the outcomes that a router observes; no I/O and no clock.
 
-`ZoneHealthTracker.update(now, evidence)` tells each zone and region healthy, suspect, failed or returning, with the
-reason and the share of its fair load it may take; the destination set applies them as suspensions
-(`docs/failover.md`).
+`ZoneHealthTracker.update(now, evidence)` classifies each zone and region as healthy, suspect, failed or
+returning, with the reason and the share of its fair load that it may take; the destination set applies the
+verdicts like suspensions (`docs/failover.md`).
 """
 
 from spoolbarrow.failover.zone_health import (
@@ -16,11 +16,11 @@
 )
 
 __all__ = [
-    "Evidence",
     "EndpointOutcome",
+    "Evidence",
     "Settings",
-    "ZoneState",
     "Verdict",
     "ZoneHealthTracker",
+    "ZoneState",
     "zones_to_mask",
 ]
--- a/spoolbarrow/fleet/__init__.py
+++ b/spoolbarrow/fleet/__init__.py
@@ -1,4 +1,4 @@
-"""What routers know and decide in common: evidence that adds up, leases with epochs, decisions that end.
+"""State that routers share: mergeable evidence, leases with epochs, and decisions that expire.
 
 Nothing here does I/O or reads a clock; `net/store_follower.py` follows the store for it.
 """
--- a/spoolbarrow/fleet/documents.py
+++ b/spoolbarrow/fleet/documents.py
@@ -1,8 +1,9 @@
-"""The seam of the fleet's parts: the documents in the store, and what a part of the fleet has to offer.
+"""Documents that routers exchange through the store, and the interface of a part of the fleet's decisions.
 
-A part (the pool's split, sessions) is told nothing of leases, members or sequences: each router gives a
-bounded summary of what it saw, the lease's holder makes one decision of all summaries, and every router
-adopts it until it ends. Times are Unix milliseconds. In the store each document is JSON, bodies as base64.
+A part (the prefill/decode split, sessions) knows nothing of leases, members or sequence numbers: each router
+contributes a bounded summary of its observations, the lease holder makes one decision from all summaries, and
+every router applies it until it expires. Times are Unix milliseconds. In the store each document is JSON,
+with bodies as base64.
 """
 
 from __future__ import annotations
@@ -15,53 +16,55 @@
 
 from spoolbarrow.errors import Problem
 
-MAX_BODY_BYTES = 65_536  # bytes of a summary's or a decision's body
-MAX_NAME_CHARS = 128  # characters of a router's name or an incarnation
-MOST_NUMBER = 1 << 62  # of a sequence, an epoch: a hostile one must not end what counts upwards
-EVIDENCE_PREFIX, STANDING_PREFIX = "fleet/evidence/", "fleet/standing/"  # KIND/ROUTER, or KIND, follows
-SHARED_PREFIX = "shared/"  # what operators say to all routers: SUSPENSIONS_KEY, SHARES_KEY
+MAX_BODY_BYTES = 65_536  # of a summary or a decision
+MAX_NAME_CHARS = 128  # of a router's name or an incarnation
+MAX_COUNTER = 1 << 62  # bounds sequences and epochs: a hostile value must not exhaust a counter
+EVIDENCE_PREFIX, STANDING_PREFIX = "fleet/evidence/", "fleet/standing/"  # followed by KIND/ROUTER, or by KIND
+SHARED_PREFIX = "shared/"  # documents that operators write for all routers
 SUSPENSIONS_KEY, SHARES_KEY = SHARED_PREFIX + "suspensions", SHARED_PREFIX + "shares"
 
 
 class InvalidDocument(Problem):
-    """A document of the store that can't be read or says what can't be."""
+    """A document in the store can't be parsed, or holds impossible values."""
 
-    remedy = "Write the document anew with `spoolbarrow store put`; routers keep what they had meanwhile."
+    remedy = (
+        "Rewrite the document with `spoolbarrow store put`; routers keep the last valid version meanwhile."
+    )
 
 
 class Summary(Struct, frozen=True):
-    """What one process of a router has seen, under `fleet/evidence/KIND/ROUTER`."""
+    """The observations of one router process, under `fleet/evidence/KIND/ROUTER`."""
 
     router: str
-    incarnation: str  # of its process: a restart begins anew, and what the old one said counts no more
-    sequence: int  # within an incarnation; a lower one than known is late and says nothing
-    at_ms: float  # by the router's clock; for people: nothing is decided by it
-    body: bytes  # the part's own form, mergeable in any order
+    incarnation: str  # of the process: after a restart the summaries of the old one no longer count
+    sequence: int  # within an incarnation; a lower one than known is outdated and ignored
+    at_ms: float  # by the router's clock; informational, no decision depends on it
+    body: bytes  # in the part's own format, mergeable in any order
 
 
 class Lease(Struct, frozen=True):
-    """Who decides."""
+    """The router that makes the decisions."""
 
     holder: str
     incarnation: str
-    renewals: int  # a holder that is stopped renews nothing: others count these, not its clock
+    renewals: int  # others watch this counter rather than a clock: a stopped holder renews nothing
     ttl_ms: float
 
 
 class Decision(Struct, frozen=True):
-    """What all act on."""
+    """What all routers apply."""
 
-    epoch: int  # the lease's: a decision of a lower one than known is refused
-    number: int  # one more than the decision before it
-    ttl_ms: float  # after a router last learnt that it stands, it falls back to plain behaviour
+    epoch: int  # of the lease: a decision with a lower epoch than known is rejected
+    number: int  # one more than that of the previous decision
+    ttl_ms: float  # a router falls back to default behaviour this long after the last confirmation
     body: bytes
 
 
 class LeaseRecord(Struct, frozen=True):
-    """Lease and decision in one document, under `fleet/standing/KIND`: taking over fences by itself.
+    """Lease and decision in one document, under `fleet/standing/KIND`, so that a takeover is its own fence.
 
-    `epoch` is the revision that the document had when the lease was taken over: the store lets one
-    write only replace a revision, so epochs are unique and grow.
+    `epoch` is the revision that the document had when the lease was taken over: the store lets only one
+    write replace a revision, so epochs are unique and increase.
     """
 
     epoch: int
@@ -70,24 +73,30 @@
 
 
 class Part(Protocol):
-    """One thing the fleet decides in common. Pure: no I/O, no clock; what it is told may be hostile."""
+    """One kind of decision that the fleet makes in common.
 
-    kind: str  # a word; part of the keys above
+    Pure: no I/O and no clock. Its input may be hostile.
+    """
+
+    kind: str  # part of the keys above
 
     def summary(self, now: float) -> bytes:
-        """What this router has seen, at most MAX_BODY_BYTES bytes; the whole of it each time, not what is new."""
+        """All observations of this router, not only new ones, in at most MAX_BODY_BYTES."""
         ...
 
     def decide(self, now: float, bodies: Sequence[bytes], last: bytes | None) -> bytes | None:
-        """The holder's: one decision from the newest body of each router, the same whatever their order.
+        """Decide from the newest body of each router; called at the lease holder, independent of their order.
 
-        `last` is the decision that stands. None: keep what stands, or none. A body that can't be read, or
-        says what can't be, counts as absent.
+        `last` is the current decision. None: keep the current one, if any. A body that can't be parsed, or
+        holds impossible values, counters as absent.
         """
         ...
 
     def adopt(self, now: float, body: bytes | None) -> bool:
-        """Act on a decision from now on; None: on none, the plain behaviour. False: it can't be acted on."""
+        """Apply a decision from now on; None: none, the default behaviour.
+
+        Returns False where the decision can't be applied.
+        """
         ...
 
 
@@ -95,44 +104,48 @@
 
 
 def encode_document(document: Summary | LeaseRecord) -> bytes:
-    """A document's text."""
+    """A document as JSON."""
     return msgspec.json.encode(document)
 
 
-def decode_document(key: str, text: bytes | str, form: type[T]) -> T:
-    """The document in a text; InvalidDocument where it is none, too long, or a number is out of all bounds."""
+def decode_document(key: str, text: bytes | str, document_type: type[T]) -> T:
+    """Parse a document; InvalidDocument where it is malformed, too long, or a number is out of bounds."""
     try:
-        document = msgspec.json.decode(text, type=form)
+        document = msgspec.json.decode(text, type=document_type)
     except (msgspec.DecodeError, RecursionError) as error:
         raise InvalidDocument(key, str(error)) from None
     if isinstance(document, Summary):
-        names, counts, bodies = [document.router, document.incarnation], [document.sequence], [document.body]
+        names, counters, bodies = (
+            [document.router, document.incarnation],
+            [document.sequence],
+            [document.body],
+        )
     else:
         lease, decision = document.lease, document.decision
-        names, counts, bodies = [lease.holder, lease.incarnation], [document.epoch, lease.renewals], []
+        names, counters, bodies = [lease.holder, lease.incarnation], [document.epoch, lease.renewals], []
         if decision is not None:
-            counts += [decision.epoch, decision.number]
+            counters += [decision.epoch, decision.number]
             bodies.append(decision.body)
-            if not (0 < decision.ttl_ms < MOST_NUMBER and decision.epoch <= document.epoch):
-                raise InvalidDocument(key, "a decision with an impossible time to live or epoch")
-        if not 0 < lease.ttl_ms < MOST_NUMBER:
-            raise InvalidDocument(key, "a lease with an impossible time to live")
+            if not (0 < decision.ttl_ms < MAX_COUNTER and decision.epoch <= document.epoch):
+                raise InvalidDocument(key, "the decision has an invalid time to live or epoch")
+        if not 0 < lease.ttl_ms < MAX_COUNTER:
+            raise InvalidDocument(key, "the lease has an invalid time to live")
     if not all(0 < len(name) <= MAX_NAME_CHARS for name in names):
-        raise InvalidDocument(key, "a name that is empty or too long")
-    if not all(0 <= count < MOST_NUMBER for count in counts):
-        raise InvalidDocument(key, "a count out of bounds")
+        raise InvalidDocument(key, "a name is empty or too long")
+    if not all(0 <= counter < MAX_COUNTER for counter in counters):
+        raise InvalidDocument(key, "a counter is out of bounds")
     if any(len(body) > MAX_BODY_BYTES for body in bodies):
-        raise InvalidDocument(key, f"a body of more than {MAX_BODY_BYTES} bytes")
+        raise InvalidDocument(key, f"a body is larger than {MAX_BODY_BYTES} bytes")
     return document
 
 
 class SharedState(Protocol):
-    """What this router knows together with others."""
+    """The state that this router shares with others."""
 
     def versions(self) -> dict[str, tuple[int, str]]:
-        """Number and digest of each shared document and decision that is acted on, by item."""
+        """Number and digest of each shared document and decision in force, by item."""
         ...
 
     def status(self) -> dict[str, object]:
-        """How it goes, for an operator."""
+        """The state of the store's connection and of the parts, for operators."""
         ...
--- a/spoolbarrow/fleet/membership.py
+++ b/spoolbarrow/fleet/membership.py
@@ -1,7 +1,7 @@
-"""The roll: which routers are alive, called by all alike. A part of the fleet; pure.
+"""The list of live routers, agreed by all of them: a part of the fleet's decisions. Pure.
 
-Each router's summary is its name; the decision is the names of those whose summaries move. It is told
-(`/v1/versions`) beside `Balancers`, which is what the platform's settings said at the start.
+Each router's summary is its name; the decision is the names of those whose summaries keep changing. It is
+reported (`/v1/versions`) beside `Balancers`, which is what the platform's settings gave at the start.
 """
 
 from __future__ import annotations
@@ -14,14 +14,14 @@
 
 from spoolbarrow.fleet.documents import MAX_NAME_CHARS
 
-MOST_ROUTERS = 256
+MAX_ROUTERS = 256
 Name = Annotated[str, Meta(min_length=1, max_length=MAX_NAME_CHARS)]
-_summary = msgspec.json.Decoder(Name)
-_decision = msgspec.json.Decoder(Annotated[list[Name], Meta(max_length=MOST_ROUTERS)])
+_summary_decoder = msgspec.json.Decoder(Name)
+_decision_decoder = msgspec.json.Decoder(Annotated[list[Name], Meta(max_length=MAX_ROUTERS)])
 
 
 class Membership:
-    """One router's roll."""
+    """The live routers as one router knows them."""
 
     kind = "roll"
 
@@ -30,28 +30,28 @@
         self.routers: tuple[str, ...] | None = None  # None: not known
 
     def summary(self, now: float) -> bytes:
-        """This router is there."""
+        """This router's name."""
         return msgspec.json.encode(self._name)
 
     def decide(self, now: float, bodies: Sequence[bytes], last: bytes | None) -> bytes | None:
-        """The names, each once, in order; None where nobody has been heard yet."""
+        """The names, each once, in order; None where no summary counts yet."""
         names = set()
         for body in bodies:
             try:
-                names.add(_summary.decode(body))
+                names.add(_summary_decoder.decode(body))
             except msgspec.DecodeError:
                 continue
-        return msgspec.json.encode(sorted(names)[:MOST_ROUTERS]) if names else None
+        return msgspec.json.encode(sorted(names)[:MAX_ROUTERS]) if names else None
 
     def adopt(self, now: float, body: bytes | None) -> bool:
-        """Know these names; None: none."""
+        """Use these names from now on; None: the live routers are not known."""
         try:
-            self.routers = None if body is None else tuple(_decision.decode(body))
+            self.routers = None if body is None else tuple(_decision_decoder.decode(body))
         except msgspec.DecodeError:
             self.routers = None
             return False
         return True
 
     def status(self) -> dict[str, object]:
-        """For an operator."""
+        """The live routers, for operators."""
         return {"routers": None if self.routers is None else list(self.routers)}
--- a/spoolbarrow/fleet/shared_document.py
+++ b/spoolbarrow/fleet/shared_document.py
@@ -1,11 +1,12 @@
-"""What a router acts on of the documents that operators share: what is committed, or the safer of two.
+"""The value that a router applies of a document shared by operators: the committed one, or the safer of two.
 
-With word from the store the newest version is acted on. Past `within_s` without word the router can't know
-whether the others have the newest one, or a newer one yet: while its last change is not settled (it has not
-had word for `within_s` since it learnt of it) it goes by the safer of the newest and the one before:
+After a recent confirmation by the store the newest version is applied. After more than `within_s` without
+one the router can't know whether the others have the newest version, or a newer one: while its last change is
+not settled (not confirmed more than `within_s` after this router learnt of it) it applies the safer of the
+newest and the previous version:
 
-    shared/suspensions   engines that either version suspends: a suspension holds, a return does not
-    shared/shares        of each tenant the smaller portion and quota: a narrowed share holds, a widened not
+    shared/suspensions   engines that either version suspends: a suspension holds, an end of one does not
+    shared/shares        the smaller portion and quota of each tenant: a reduction holds, an increase does not
 
 No I/O; `now` is milliseconds on a clock that is never set back.
 """
@@ -23,22 +24,22 @@
 from spoolbarrow.fleet.documents import SHARES_KEY, SUSPENSIONS_KEY, InvalidDocument
 from spoolbarrow.interface import Tenant
 
-MOST_NAMES = 4096
-Figure = Annotated[float, Meta(ge=0, le=1e12)]
+MAX_NAMES = 4096
+Amount = Annotated[float, Meta(ge=0, le=1e12)]
 Name = Annotated[str, Meta(min_length=1, max_length=256)]
 
 
 class Share(Struct, frozen=True, forbid_unknown_fields=True):
-    """A tenant's part; what is left out stays as the router's own file has it."""
+    """A tenant's share; what is absent stays as in the router's own file."""
 
-    portion: Figure | None = None
-    quota_per_s: Figure | None = None
+    portion: Amount | None = None
+    quota_per_s: Amount | None = None
 
 
 Suspensions = frozenset[str]
-Shares = dict[str, Share]  # by tenant's name
-_suspensions = msgspec.json.Decoder(Annotated[list[Name], Meta(max_length=MOST_NAMES)])
-_shares = msgspec.json.Decoder(Annotated[dict[Name, Share], Meta(max_length=MOST_NAMES)])
+Shares = dict[str, Share]  # by tenant name
+_suspensions_decoder = msgspec.json.Decoder(Annotated[list[Name], Meta(max_length=MAX_NAMES)])
+_shares_decoder = msgspec.json.Decoder(Annotated[dict[Name, Share], Meta(max_length=MAX_NAMES)])
 
 
 def _smaller(one: float | None, other: float | None) -> float | None:
@@ -46,14 +47,14 @@
 
 
 def _smaller_quota(one: float | None, other: float | None) -> float | None:
-    """A quota of 0 is none, which is the widest."""
+    """The smaller quota; 0 means unlimited."""
     return _smaller(one or None, other or None) if one or other else _smaller(one, other)
 
 
-def smaller(one: Shares, other: Shares) -> Shares:
-    """For each tenant the smaller of both; what only one version names is as that one has it.
+def smaller_shares(one: Shares, other: Shares) -> Shares:
+    """The smaller share of each tenant; where only one version names a tenant, that version's.
 
-    The router's own file stands beside a version that does not name a tenant: `overlay_shares` weighs it in.
+    For a version that does not name a tenant the router's own file applies: see `overlay_shares`.
     """
     return {
         name: Share(
@@ -67,26 +68,26 @@
 def overlay_shares(
     shares: Shares, names: dict[str, int], tenants: tuple[Tenant, ...], widen: bool
 ) -> tuple[Tenant, ...]:
-    """The tenants of a router's own file with the shared figures; names that it does not have are left out.
+    """The tenants of a router's own file with the shared values; unknown names are left out.
 
-    Without `widen` none gets more than the file says: a version before the document was there is one too.
+    Without `widen` no tenant gets more than in the file, which counts as the version before the document.
     """
-    laid = list(tenants)
+    result = list(tenants)
     for name, share in shares.items():
-        at = names.get(name, len(laid))
-        if at >= len(laid):
+        index = names.get(name, len(result))
+        if index >= len(result):
             continue
-        portion = laid[at].portion if share.portion is None else share.portion
-        quota = laid[at].quota_per_s if share.quota_per_s is None else share.quota_per_s
+        portion = result[index].portion if share.portion is None else share.portion
+        quota = result[index].quota_per_s if share.quota_per_s is None else share.quota_per_s
         if not widen:
-            portion = min(portion, laid[at].portion)
-            quota = _smaller_quota(quota, laid[at].quota_per_s) or 0.0
-        laid[at] = replace(laid[at], portion=portion, quota_per_s=quota)
-    return tuple(laid)
+            portion = min(portion, result[index].portion)
+            quota = _smaller_quota(quota, result[index].quota_per_s) or 0.0
+        result[index] = replace(result[index], portion=portion, quota_per_s=quota)
+    return tuple(result)
 
 
-class Kind(Struct, frozen=True):
-    """How a shared document is read, what stands without it, and which of two versions is safer."""
+class DocumentKind(Struct, frozen=True):
+    """How a shared document is parsed, its default without one, and the safer of two versions."""
 
     read: Callable[[str], Any]
     none: Any
@@ -94,15 +95,17 @@
 
 
 DOCUMENT_KINDS = {
-    SUSPENSIONS_KEY: Kind(lambda text: frozenset(_suspensions.decode(text)), frozenset(), frozenset.union),
-    SHARES_KEY: Kind(_shares.decode, {}, smaller),
+    SUSPENSIONS_KEY: DocumentKind(
+        lambda text: frozenset(_suspensions_decoder.decode(text)), frozenset(), frozenset.union
+    ),
+    SHARES_KEY: DocumentKind(_shares_decoder.decode, {}, smaller_shares),
 }
 
 
 class Mode(Enum):
-    """By what a router acts."""
+    """The version that a router applies."""
 
-    NONE = "none"  # nothing was ever read: its own files alone
+    NONE = "none"  # nothing was read yet: only the router's own files apply
     COMMITTED = "committed"
     SAFER = "safer"
 
@@ -121,15 +124,15 @@
         self.key, self.within_ms = key, within_ms
         self._kind = DOCUMENT_KINDS[key]
         self.newest: Version | None = None
-        self.before: Version | None = None  # None: the change since is settled
+        self.previous: Version | None = None  # None: the last change is settled
         self._learnt_at = 0.0
-        self._word_at = -1e18
-        self.invalid_count = 0  # revisions that could not be read: the one before stands
+        self._confirmed_at = -1e18
+        self.invalid_count = 0  # malformed revisions: the one before stays in force
 
     def learn(self, now: float, revision: int, text: str) -> None:
-        """A version that is committed; InvalidDocument where it can't be read: what was known stands.
+        """Take a committed version; InvalidDocument where it is malformed: the known one stays in force.
 
-        One that is not newer says nothing.
+        A version that is not newer is ignored.
         """
         if self.newest is not None and revision <= self.newest.revision:
             return
@@ -139,30 +142,30 @@
             self.invalid_count += 1
             raise InvalidDocument(self.key, str(error)) from None
         first = self.newest is None
-        self.before = Version(0, self._kind.none) if first else self.newest
+        self.previous = Version(0, self._kind.none) if first else self.newest
         self.newest, self._learnt_at = Version(revision, value), now
 
     def confirm(self, now: float) -> None:
-        """The store has just been heard, asked at `now`: what is known is what is committed."""
-        self._word_at = now
+        """The store, asked at `now`, has confirmed that the known version is the committed one."""
+        self._confirmed_at = now
         if now - self._learnt_at > self.within_ms:
-            self.before = None  # whoever hears the store has it too by now
+            self.previous = None  # every router that reaches the store has it by now
 
     def mode(self, now: float) -> Mode:
-        """By what this router acts now."""
+        """The mode now."""
         if self.newest is None:
             return Mode.NONE
-        return Mode.COMMITTED if now - self._word_at <= self.within_ms else Mode.SAFER
+        return Mode.COMMITTED if now - self._confirmed_at <= self.within_ms else Mode.SAFER
 
     def is_unsettled(self, now: float) -> bool:
-        """Whether it goes by two versions now."""
-        return self.mode(now) is Mode.SAFER and self.before is not None
+        """Whether the value is combined from two versions now."""
+        return self.mode(now) is Mode.SAFER and self.previous is not None
 
     def effective(self, now: float) -> Any:
-        """The contents to act on now."""
+        """The value to apply now."""
         if self.newest is None:
             return self._kind.none
         if not self.is_unsettled(now):
             return self.newest.value
-        assert self.before is not None
-        return self._kind.safer(self.before.value, self.newest.value)
+        assert self.previous is not None
+        return self._kind.safer(self.previous.value, self.newest.value)
--- a/spoolbarrow/fleet/summary_table.py
+++ b/spoolbarrow/fleet/summary_table.py
@@ -1,10 +1,10 @@
-"""The evidence table: the newest summary of each router, of one kind, and which of them count.
+"""The table of routers' summaries of one kind: the newest of each router, and which of them count.
 
-Two tables that were told the same documents are equal, in whatever order and however often those came: of a
-router's documents the one with the highest revision stands, and of more routers than `MOST_ROUTERS` those
-with the lowest names. Processes write their key only at the revision they know, so the store's revisions are
-the one order of incarnations too: what a dead process says late is never written. No I/O; times are
-milliseconds on the reader's own clock, which is never set back; other machines' clocks decide nothing.
+Two tables that were given the same documents are equal, in whatever order and however often those came: of
+a router's documents the one with the highest revision counts, and of more routers than `MAX_ROUTERS` those
+with the lowest names. Processes write their key only at the revision they know, so the store's revisions also
+order incarnations: a late write of a dead process is never accepted. No I/O; times are milliseconds on the
+reader's own clock, which is never set back; decisions do not depend on the clocks of other machines.
 """
 
 from __future__ import annotations
@@ -21,20 +21,20 @@
     decode_document,
 )
 
-MOST_ROUTERS = 256  # with MAX_BODY_BYTES each: 16 MiB at the worst, at the lease's holder alone
+MAX_ROUTERS = 256  # with MAX_BODY_BYTES each: at most 16 MiB, at the lease holder alone
 
 
 class Entry(Struct, frozen=True):
     """A router's newest document; `moved` is whether an older one of it was seen before."""
 
     revision: int
-    summary: Summary | None  # None: it can't be read, and counts as absent
+    summary: Summary | None  # None: it is malformed, and counts as absent
     seen_at: float
     moved: bool
 
 
 class SummaryTable:
-    """By router; `dropped` counts documents that were unreadable, foreign or beyond the bound."""
+    """Entries by router; `dropped` counts documents that were malformed, foreign or beyond the bound."""
 
     def __init__(self, kind: str) -> None:
         self._prefix = f"{EVIDENCE_PREFIX}{kind}/"
@@ -42,50 +42,50 @@
         self.dropped = 0
 
     def add(self, now: float, key: str, revision: int, text: bytes | str) -> None:
-        """A document of the store, perhaps told before or late."""
+        """Add a document of the store, which may be a duplicate or out of date."""
         router = key.removeprefix(self._prefix)
         if router == key or not 0 < len(router) <= MAX_NAME_CHARS:
             self.dropped += 1
             return
-        old = self._entries.get(router)
-        if old is not None and revision <= old.revision:
+        previous = self._entries.get(router)
+        if previous is not None and revision <= previous.revision:
             return
         try:
             summary: Summary | None = decode_document(key, text, Summary)
         except InvalidDocument:
             summary = None
         if summary is not None and summary.router != router:
-            summary = None  # a router speaks for itself alone
+            summary = None  # a router may report for itself only
         self.dropped += summary is None
-        self._entries[router] = Entry(revision, summary, now, old is not None)
-        if len(self._entries) > MOST_ROUTERS:
+        self._entries[router] = Entry(revision, summary, now, previous is not None)
+        if len(self._entries) > MAX_ROUTERS:
             del self._entries[max(self._entries)]
             self.dropped += 1
 
     def newest(self) -> dict[str, tuple[int, Summary | None]]:
-        """What stands of each router: the same for all tables that were told the same."""
+        """Revision and summary by router: equal for all tables that were given the same documents."""
         return {name: (e.revision, e.summary) for name, e in sorted(self._entries.items())}
 
     def live_bodies(self, now: float, age_ms: float) -> list[bytes]:
-        """The bodies that count now, in one order whatever came first.
+        """The bodies that count now, in an order that does not depend on arrival.
 
-        Those count whose router wrote within `age_ms`, seen by this reader's own clock to have moved: a
-        document that it has seen only once may be of a process that died long ago.
+        A body counts if its document changed within `age_ms` by this reader's own clock. A document that was
+        seen only once may be of a process that died long ago.
         """
-        counting = [
+        live = [
             (router, entry.summary.body)
             for router, entry in self._entries.items()
             if entry.summary is not None and entry.moved and now - entry.seen_at <= age_ms
         ]
-        return [body for _, body in sorted(counting)]
+        return [body for _, body in sorted(live)]
 
     def remove_stale(self, now: float, age_ms: float) -> None:
-        """Forget routers that have said nothing for four times the age: they have gone for good."""
+        """Remove routers without a write for four times the age: they are gone for good."""
         for router, entry in list(self._entries.items()):
             if now - entry.seen_at > 4 * age_ms:
                 del self._entries[router]
 
 
 def new_incarnation(entropy: bytes) -> str:
-    """A process's name for its documents: no two are the same; their order is the store's."""
+    """A unique name of a process for its documents; the store's revisions order them, not the names."""
     return hashlib.blake2b(entropy, digest_size=8).hexdigest()
--- a/tests/test_failover.py
+++ b/tests/test_failover.py
@@ -1,4 +1,4 @@
-"""Verdicts on zones and regions: the hard cases of docs/failover.md, on the pure part."""
+"""Tests of verdicts on zones and regions: the hard cases of docs/failover.md, mostly without sockets."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 def outcomes(
     now: float, failing: dict[str, int], wait: float = 20.0, slow: str = ""
 ) -> tuple[EndpointOutcome, ...]:
-    """Every endpoint heard from at `now`; the first `failing[zone]` of a zone fail."""
+    """An outcome of every endpoint at `now`; the first `failing[zone]` of a zone fail."""
     return tuple(
         EndpointOutcome(f"{z}{n}", now, n >= failing.get(z, 0), 10 * wait if z == slow else wait)
         for z, count in ZONES.items()
@@ -44,7 +44,7 @@
 
 
 def play(
-    verdicts: ZoneHealthTracker,
+    tracker: ZoneHealthTracker,
     until: float,
     failing: dict[str, int],
     gone: frozenset[str] = frozenset(),
@@ -52,65 +52,71 @@
     step: float = 100.0,
     slow: str = "",
 ) -> list[dict[str, ZoneState]]:
-    seen = []
+    states = []
     now = start
     while now < until:
-        told = verdicts.update(now, Evidence(listed(gone), outcomes(now, failing, slow=slow)))
-        seen.append({name: v.state for name, v in told.items()})
+        verdicts = tracker.update(now, Evidence(listed(gone), outcomes(now, failing, slow=slow)))
+        states.append({name: v.state for name, v in verdicts.items()})
         now += step
-    return seen
+    return states
 
 
-def test_a_zone_lost_wholly_fails_after_confirmation_only() -> None:
-    verdicts = ZoneHealthTracker(SETTINGS)
-    seen = play(verdicts, 3000.0, {"a": 8})
-    assert seen[0]["a"] is ZoneState.SUSPECT
-    first = next(n for n, s in enumerate(seen) if s["a"] is ZoneState.FAILED)
-    assert first * 100.0 == SETTINGS.confirm_ms
-    assert seen[-1]["b"] is ZoneState.HEALTHY and seen[-1]["west"] is ZoneState.SUSPECT
+def test_a_lost_zone_fails_only_after_confirmation() -> None:
+    tracker = ZoneHealthTracker(SETTINGS)
+    states = play(tracker, 3000.0, {"a": 8})
+    assert states[0]["a"] is ZoneState.SUSPECT
+    failed_at = next(step for step, state in enumerate(states) if state["a"] is ZoneState.FAILED)
+    assert failed_at * 100.0 == SETTINGS.confirm_ms
+    assert states[-1]["b"] is ZoneState.HEALTHY and states[-1]["west"] is ZoneState.SUSPECT
 
 
 def test_a_zone_that_discovery_lists_empty_fails_at_once() -> None:
-    verdicts = ZoneHealthTracker(SETTINGS)
-    assert verdicts.update(0.0, Evidence({}))["b"].state is ZoneState.HEALTHY  # no list yet: nothing known
-    verdicts.update(50.0, Evidence(listed()))
-    told = verdicts.update(100.0, Evidence(listed(frozenset({"b"}))))
-    assert told["b"].state is ZoneState.FAILED and told["b"].load_share == 0.0
-    assert told["a"].state is ZoneState.HEALTHY
+    tracker = ZoneHealthTracker(SETTINGS)
+    assert tracker.update(0.0, Evidence({}))["b"].state is ZoneState.HEALTHY  # no list yet
+    tracker.update(50.0, Evidence(listed()))
+    verdicts = tracker.update(100.0, Evidence(listed(frozenset({"b"}))))
+    assert verdicts["b"].state is ZoneState.FAILED and verdicts["b"].load_share == 0.0
+    assert verdicts["a"].state is ZoneState.HEALTHY
 
 
-def test_one_in_eight_failing_is_no_zone_fault() -> None:
-    assert all(s["a"] is ZoneState.HEALTHY for s in play(ZoneHealthTracker(SETTINGS), 10000.0, {"a": 1}))
+def test_one_of_eight_endpoints_failing_is_no_zone_fault() -> None:
+    assert all(
+        states["a"] is ZoneState.HEALTHY for states in play(ZoneHealthTracker(SETTINGS), 10000.0, {"a": 1})
+    )
 
 
-def test_a_region_lost_with_all_its_zones() -> None:
-    seen = play(ZoneHealthTracker(SETTINGS), 2000.0, {"a": 8, "b": 8})
-    assert seen[-1]["west"] is ZoneState.FAILED and seen[-1]["east"] is ZoneState.HEALTHY
+def test_a_region_fails_with_all_its_zones() -> None:
+    states = play(ZoneHealthTracker(SETTINGS), 2000.0, {"a": 8, "b": 8})
+    assert states[-1]["west"] is ZoneState.FAILED and states[-1]["east"] is ZoneState.HEALTHY
 
 
 def test_a_slow_zone_is_suspect_and_keeps_its_share() -> None:
-    verdicts = ZoneHealthTracker(SETTINGS)
-    play(verdicts, 1000.0, {}, slow="c")
-    told = verdicts.update(1000.0, Evidence(listed(), outcomes(1000.0, {}, slow="c")))
-    assert told["c"].state is ZoneState.SUSPECT and told["c"].load_share == 1.0 and "slow" in told["c"].reason
+    tracker = ZoneHealthTracker(SETTINGS)
+    play(tracker, 1000.0, {}, slow="c")
+    verdicts = tracker.update(1000.0, Evidence(listed(), outcomes(1000.0, {}, slow="c")))
+    assert (
+        verdicts["c"].state is ZoneState.SUSPECT
+        and verdicts["c"].load_share == 1.0
+        and "slow" in verdicts["c"].reason
+    )
 
 
-def test_routers_cut_off_apart_disagree_only_on_their_own_view() -> None:
-    # A reaches zone a, B does not: B moves its own traffic, A keeps it; both by the same rule.
+def test_partitioned_routers_judge_by_their_own_view() -> None:
+    # Router A reaches zone a, B does not: B moves its traffic away, A does not, by the same rule.
     a, b = ZoneHealthTracker(SETTINGS), ZoneHealthTracker(SETTINGS)
     assert play(a, 3000.0, {})[-1]["a"] is ZoneState.HEALTHY
     assert play(b, 3000.0, {"a": 8})[-1]["a"] is ZoneState.FAILED
 
 
-def test_where_nothing_can_be_asked_a_return_ramps_from_its_start_to_the_whole_share() -> None:
-    verdicts = ZoneHealthTracker(msgspec.structs.replace(SETTINGS, checks=False))
-    play(verdicts, 2000.0, {"a": 8})
-    assert not verdicts.endpoints_to_check(2000.0)
-    # Failed: no traffic, so nothing is heard of it; its failures age out of the window.
+def test_without_checks_a_return_ramps_from_its_start_to_the_full_share() -> None:
+    tracker = ZoneHealthTracker(msgspec.structs.replace(SETTINGS, checks=False))
+    play(tracker, 2000.0, {"a": 8})
+    assert not tracker.endpoints_to_check(2000.0)
+    # A failed zone gets no traffic, so its failures age out of the window.
     now, shares = 2000.0, []
     while now < 12000.0:
-        told = verdicts.update(now, Evidence(listed()))["a"]
-        shares.append((told.state, told.load_share))
+        verdict = tracker.update(now, Evidence(listed()))["a"]
+        shares.append((verdict.state, verdict.load_share))
         now += 100.0
     states = [s for s, _ in shares]
     assert ZoneState.RETURNING in states and states[-1] is ZoneState.HEALTHY
@@ -118,124 +124,130 @@
     assert ramp[0] == SETTINGS.ramp_start and ramp == sorted(ramp)
 
 
-def doubts(now: float) -> Evidence:
-    """Probes of zone a come to nothing in their short time; the others answer."""
-    heard = outcomes(now, {})
+def evidence_with_timeouts(now: float) -> Evidence:
+    """Probes of zone a time out after their short time; the other zones answer."""
+    all_outcomes = outcomes(now, {})
     return Evidence(
-        listed(), tuple(msgspec.structs.replace(h, ok=None) if h.endpoint[0] == "a" else h for h in heard)
+        listed(),
+        tuple(
+            msgspec.structs.replace(outcome, ok=None) if outcome.endpoint[0] == "a" else outcome
+            for outcome in all_outcomes
+        ),
     )
 
 
 @pytest.mark.parametrize("answers", [False, True])
-def test_a_zone_whose_probes_come_late_fails_only_where_it_does_not_answer_with_patience(
+def test_a_zone_with_late_probes_fails_only_if_it_does_not_answer_longer_checks(
     answers: bool,
 ) -> None:
-    verdicts, now, named = ZoneHealthTracker(SETTINGS), 0.0, set()
-    seen: list[ZoneState] = []
+    tracker, now, checked_names = ZoneHealthTracker(SETTINGS), 0.0, set()
+    states: list[ZoneState] = []
     while now < 6000.0:
-        seen.append(verdicts.update(now, doubts(now))["a"].state)
-        asked = verdicts.endpoints_to_check(now)
-        assert len(asked) <= SETTINGS.check_most and all(name[0] == "a" for name in asked)
-        named |= set(asked)
-        verdicts.update(
-            now, Evidence(listed(), tuple(EndpointOutcome(n, now, answers, 900.0) for n in asked))
+        states.append(tracker.update(now, evidence_with_timeouts(now))["a"].state)
+        checked = tracker.endpoints_to_check(now)
+        assert len(checked) <= SETTINGS.check_most and all(name[0] == "a" for name in checked)
+        checked_names |= set(checked)
+        tracker.update(
+            now, Evidence(listed(), tuple(EndpointOutcome(n, now, answers, 900.0) for n in checked))
         )
         now += 100.0
-    assert len(named) == ZONES["a"]  # in turn
-    assert (ZoneState.FAILED in seen) is not answers
+    assert len(checked_names) == ZONES["a"]  # each endpoint in turn
+    assert (ZoneState.FAILED in states) is not answers
 
 
-def test_a_failed_zone_returns_only_when_it_answers_what_it_is_asked() -> None:
-    verdicts = ZoneHealthTracker(SETTINGS)
-    play(verdicts, 2000.0, {"a": 8})
-    now, back = 2000.0, 0.0
+def test_a_failed_zone_returns_only_when_it_answers_checks() -> None:
+    tracker = ZoneHealthTracker(SETTINGS)
+    play(tracker, 2000.0, {"a": 8})
+    now, returned_at = 2000.0, 0.0
     while now < 20000.0:
-        elsewhere = tuple(heard for heard in outcomes(now, {}) if heard.endpoint[0] != "a")
-        state = verdicts.update(now, Evidence(listed(), elsewhere))["a"].state
+        elsewhere = tuple(outcome for outcome in outcomes(now, {}) if outcome.endpoint[0] != "a")
+        state = tracker.update(now, Evidence(listed(), elsewhere))["a"].state
         assert state is ZoneState.FAILED or now > 15000.0
         if state is ZoneState.RETURNING:
-            back = back or now
-        asked = verdicts.endpoints_to_check(now)
-        well = now > 15000.0
-        verdicts.update(now, Evidence(listed(), tuple(EndpointOutcome(name, now, well) for name in asked)))
+            returned_at = returned_at or now
+        checked = tracker.endpoints_to_check(now)
+        ok = now > 15000.0
+        tracker.update(now, Evidence(listed(), tuple(EndpointOutcome(name, now, ok) for name in checked)))
         now += 100.0
-    assert 0 < back - 15000.0 <= SETTINGS.window_ms + SETTINGS.check_ms
+    assert 0 < returned_at - 15000.0 <= SETTINGS.window_ms + SETTINGS.check_ms
 
 
-def test_a_zone_that_is_not_heard_from_is_asked_once_a_window_and_so_found_lost() -> None:
-    verdicts, now, asked = ZoneHealthTracker(SETTINGS), 0.0, 0
-    while now < 10000.0:  # nothing is sent anywhere
-        verdicts.update(now, Evidence(listed()))
-        named = verdicts.endpoints_to_check(now)
-        asked += len(named)
-        verdicts.update(now, Evidence(listed(), tuple(EndpointOutcome(n, now, n[0] != "c") for n in named)))
+def test_a_zone_without_outcomes_is_checked_once_a_window_and_found_lost() -> None:
+    tracker, now, checks = ZoneHealthTracker(SETTINGS), 0.0, 0
+    while now < 10000.0:  # no requests are sent
+        tracker.update(now, Evidence(listed()))
+        checked = tracker.endpoints_to_check(now)
+        checks += len(checked)
+        tracker.update(now, Evidence(listed(), tuple(EndpointOutcome(n, now, n[0] != "c") for n in checked)))
         now += 100.0
-    told = verdicts.update(now, Evidence(listed()))
-    assert {z: told[z].state for z in ZONES} == {
+    verdicts = tracker.update(now, Evidence(listed()))
+    assert {z: verdicts[z].state for z in ZONES} == {
         "a": ZoneState.HEALTHY,
         "b": ZoneState.HEALTHY,
         "c": ZoneState.FAILED,
     }
-    quiet = 2 * SETTINGS.check_most * 10000.0 / SETTINGS.window_ms  # of zones a and b
-    assert asked <= quiet + SETTINGS.check_most * 10000.0 / SETTINGS.check_ms
+    routine_checks = 2 * SETTINGS.check_most * 10000.0 / SETTINGS.window_ms  # checks of zones a and b
+    assert checks <= routine_checks + SETTINGS.check_most * 10000.0 / SETTINGS.check_ms
 
 
-def test_the_last_zone_in_service_is_never_failed() -> None:
-    # Where there is one zone, or the others have failed: it would return as cold without having been out.
-    seen = play(ZoneHealthTracker(SETTINGS), 8000.0, {"a": 8, "b": 8, "c": 8})
-    assert all([one[zone] for zone in "abc"].count(ZoneState.FAILED) <= 2 for one in seen)
-    assert seen[-1]["c"] is ZoneState.SUSPECT
-    verdicts = ZoneHealthTracker(Settings())
-    alone = {f"a{n}": ("a", True) for n in range(8)}
+def test_the_last_zone_in_service_never_fails() -> None:
+    # A zone that is alone, or the last: it would return in slow start without having been out of service.
+    states = play(ZoneHealthTracker(SETTINGS), 8000.0, {"a": 8, "b": 8, "c": 8})
+    assert all([by_zone[zone] for zone in "abc"].count(ZoneState.FAILED) <= 2 for by_zone in states)
+    assert states[-1]["c"] is ZoneState.SUSPECT
+    tracker = ZoneHealthTracker(Settings())
+    endpoints = {f"a{n}": ("a", True) for n in range(8)}
     for now in range(0, 20000, 100):
-        lost = tuple(EndpointOutcome(name, float(now), int(name[1]) < 3 or now > 9000) for name in alone)
-        told = verdicts.update(float(now), Evidence(alone, lost))
-        assert told["a"].state in (ZoneState.HEALTHY, ZoneState.SUSPECT)
-        assert zones_to_mask(told, alone) == (frozenset(), {})
+        failures = tuple(
+            EndpointOutcome(name, float(now), int(name[1]) < 3 or now > 9000) for name in endpoints
+        )
+        verdicts = tracker.update(float(now), Evidence(endpoints, failures))
+        assert verdicts["a"].state in (ZoneState.HEALTHY, ZoneState.SUSPECT)
+        assert zones_to_mask(verdicts, endpoints) == (frozenset(), {})
 
 
-def test_a_slow_zone_that_begins_to_fail_is_confirmed_first() -> None:
-    verdicts = ZoneHealthTracker(SETTINGS)
-    play(verdicts, 5000.0, {}, slow="a")
-    seen = play(verdicts, 8000.0, {"a": 8}, start=5000.0)
-    assert next(n for n, s in enumerate(seen) if s["a"] is ZoneState.FAILED) * 100.0 == SETTINGS.confirm_ms
+def test_a_failure_of_a_slow_zone_is_confirmed_first() -> None:
+    tracker = ZoneHealthTracker(SETTINGS)
+    play(tracker, 5000.0, {}, slow="a")
+    states = play(tracker, 8000.0, {"a": 8}, start=5000.0)
+    assert next(n for n, s in enumerate(states) if s["a"] is ZoneState.FAILED) * 100.0 == SETTINGS.confirm_ms
 
 
-def test_entries_of_endpoints_no_longer_listed_are_dropped() -> None:
-    verdicts = ZoneHealthTracker(SETTINGS)
-    verdicts.update(0.0, Evidence(listed(), outcomes(0.0, {})))
-    verdicts.update(100.0, Evidence({"a0": ("a", True)}))
-    assert set(verdicts._last) == {"a0"}
-    verdicts.update(200.0, Evidence({"a0": ("a", True)}, (EndpointOutcome("a0", 200.0, None),)))
-    verdicts.update(300.0, Evidence({"b0": ("b", True)}))
-    assert not verdicts._last and not verdicts._doubted and not verdicts._checked
+def test_state_of_endpoints_no_longer_listed_is_dropped() -> None:
+    tracker = ZoneHealthTracker(SETTINGS)
+    tracker.update(0.0, Evidence(listed(), outcomes(0.0, {})))
+    tracker.update(100.0, Evidence({"a0": ("a", True)}))
+    assert set(tracker._last) == {"a0"}
+    tracker.update(200.0, Evidence({"a0": ("a", True)}, (EndpointOutcome("a0", 200.0, None),)))
+    tracker.update(300.0, Evidence({"b0": ("b", True)}))
+    assert not tracker._last and not tracker._in_doubt and not tracker._checked
 
 
 @settings(derandomize=True, max_examples=60, deadline=None)
 @given(period=st.sampled_from([200.0, 500.0, 1000.0, 2000.0]), seconds=st.integers(30, 90))
-def test_a_flapping_zone_moves_traffic_at_most_once_a_hold(period: float, seconds: int) -> None:
-    verdicts = ZoneHealthTracker(SETTINGS)
+def test_a_flapping_zone_moves_traffic_at_most_once_per_hold_time(period: float, seconds: int) -> None:
+    tracker = ZoneHealthTracker(SETTINGS)
     now, moves, last = 0.0, [], ZoneState.HEALTHY
     while now < seconds * 1000.0:
-        down = int(now // period) % 2 == 0
-        state = verdicts.update(now, Evidence(listed(), outcomes(now, {"a": 8} if down else {})))["a"].state
+        is_down = int(now // period) % 2 == 0
+        state = tracker.update(now, Evidence(listed(), outcomes(now, {"a": 8} if is_down else {})))["a"].state
         if (state is ZoneState.FAILED) != (last is ZoneState.FAILED):
             moves.append(now)
         last, now = state, now + 50.0
-    # Each failure during a return doubles the hold (2, 4, 8, 16, then 30 s): moves away thin out.
+    # Each failure during a return doubles the hold time (2, 4, 8, 16, then 30 s), so moves become rarer.
     away = moves[::2]
     assert all(b - a >= SETTINGS.hold_ms for a, b in pairwise(away))
     assert len(away) <= 6 + seconds * 1000.0 / SETTINGS.hold_most_ms
 
 
-# On the sockets: verdicts applied to the destination set as suspensions are
+# With sockets: verdicts are applied to the destination set like suspensions
 
 
 def state(watch: Any, place: str) -> ZoneState:
     return watch.verdicts[place].state  # type: ignore[no-any-return]
 
 
-def test_a_failed_zone_gets_no_new_work_and_returns_cold() -> None:
+def test_a_failed_zone_gets_no_new_requests_and_returns_in_slow_start() -> None:
     from spoolbarrow import interface as i
     from spoolbarrow.net.failover import ZoneMonitor
     from spoolbarrow.operator import FailoverTable
@@ -258,14 +270,14 @@
         wait_until(lambda: not replicas["e0"].serving and not replicas["e1"].serving)
         assert scene.client().send(ask()).answer().status == 200
         assert far.requests and not near.requests and not other.requests
-        watch.evaluate(now + 3500.0)  # the failures aged out; the hold is over
+        watch.evaluate(now + 3500.0)  # the failures aged out, and the hold time is over
         assert state(watch, "a") is ZoneState.RETURNING
         wait_until(lambda: replicas["e0"].serving)
-        assert replicas["e0"].started_at >= now + 1000.0  # cold: rule 4's ramp takes it from here
+        assert replicas["e0"].started_at >= now + 1000.0  # in slow start, by rule 4
         watch.stop()
 
 
-def test_faulty_failover_settings_name_their_key(tmp_path: Path) -> None:
+def test_invalid_failover_settings_name_their_key(tmp_path: Path) -> None:
     from spoolbarrow import config
     from spoolbarrow.operator import read
     from spoolbarrow.subsystems import Subsystems
@@ -279,14 +291,14 @@
     assert faults("[failover]\nconfirm_ms = 'soon'\n")[0].startswith("failover.confirm_ms")
     assert faults("[failover]\nhold_ms = 5000\nhold_most_ms = 100\n")[0].startswith("failover.hold_most_ms")
     (tmp_path / "operator.toml").write_text("[failover]\nregions = {west = ['a', 'x']}\n")
-    operator, none = read({"SPOOLBARROW_OPERATOR": str(tmp_path / "operator.toml")})
+    operator, no_faults = read({"SPOOLBARROW_OPERATOR": str(tmp_path / "operator.toml")})
     settings = config.parse(msgspec.json.encode(make_config([])))
     with pytest.raises(config.ConfigError, match=r"^failover\.regions\.west: x is no zone"):
         Subsystems(None, None, None, None).prepare(operator, settings)  # type: ignore[arg-type]
-    assert not none
+    assert not no_faults
 
 
-def test_check_names_a_zone_of_failover_that_the_settings_lack(tmp_path: Path) -> None:
+def test_check_command_names_an_unknown_zone_of_failover(tmp_path: Path) -> None:
     from tests.router_harness import make_config
     from tests.test_cli import invoke
 
@@ -299,7 +311,7 @@
     assert output.splitlines()[0] == "operator: failover.regions.east: x is no zone of the settings"
 
 
-def test_outcomes_beyond_the_bound_are_dropped_and_told(
+def test_outcomes_beyond_the_bound_are_dropped_and_logged(
     monkeypatch: pytest.MonkeyPatch, capfd: pytest.CaptureFixture[str]
 ) -> None:
     from spoolbarrow import interface as i
@@ -328,24 +340,24 @@
 
 
 @pytest.mark.parametrize("trouble", ["vanish", "hang"])
-def test_in_the_lab_every_router_fails_a_lost_zone_in_time_and_takes_it_back(trouble: str) -> None:
-    lost = {"name": trouble, "zone": 1, "part": 1.0, "begin_s": 4.0, "length_s": 5.0}
-    simulation = Simulation(convert({**DAY, "troubles": [lost]}), "failover", 3)
+def test_in_simulation_every_router_fails_a_lost_zone_in_time_and_restores_it(trouble: str) -> None:
+    outage = {"name": trouble, "zone": 1, "part": 1.0, "begin_s": 4.0, "length_s": 5.0}
+    simulation = Simulation(convert({**DAY, "troubles": [outage]}), "failover", 3)
     report = simulation.play()
     assert not report["rules_broken"]
     for node in simulation.nodes.all:
         assert isinstance(node.decider, Zoned)
         changes = node.decider.changes
         assert {zone for _, zone, state in changes if state is ZoneState.FAILED} == {"1"}
-        at = next(now for now, _, state in changes if state is ZoneState.FAILED) - 4000.0
-        checked = 1000.0 + SETTINGS.check_ms
-        assert at <= SETTINGS.window_ms + checked + SETTINGS.confirm_ms + 2 * zoned.PERIOD_MS
+        detected_ms = next(now for now, _, state in changes if state is ZoneState.FAILED) - 4000.0
+        check_ms = 1000.0 + SETTINGS.check_ms
+        assert detected_ms <= SETTINGS.window_ms + check_ms + SETTINGS.confirm_ms + 2 * zoned.PERIOD_MS
         assert [state for _, zone, state in changes if zone == "1"][-1] in (
             ZoneState.RETURNING,
             ZoneState.HEALTHY,
         )
 
 
-def test_a_trouble_of_a_zone_that_is_none_names_its_key() -> None:
+def test_a_trouble_of_an_unknown_zone_names_its_key() -> None:
     with pytest.raises(ScenarioError, match=r"troubles\[0\].zone"):
         convert({**DAY, "troubles": [{"name": "hang", "begin_s": 1.0, "zone": 3}]})
