--- a/spoolbarrow/pools/__init__.py
+++ b/spoolbarrow/pools/__init__.py
@@ -1,8 +1,8 @@
-"""The split between engines that read prompts and engines that write answers, learnt; pure.
+"""The learnt split between engines for prefill and engines for decode; pure.
 
-`Pools` is a part of what the fleet decides in common (`fleet/documents.py`, `docs/pools.md`): routers note
-what their requests showed, the lease's holder decides from all summaries, and every router then knows the
-side of a request and the side of an engine.
+`Pools` is a part of the fleet's decisions (`fleet/documents.py`, `docs/pools.md`): routers record statistics
+of their requests, the lease holder decides from all summaries, and every router then knows the side of a
+request and the side of an engine.
 """
 
 from spoolbarrow.pools.part import Pools
--- a/spoolbarrow/pools/queue_model.py
+++ b/spoolbarrow/pools/queue_model.py
@@ -1,11 +1,11 @@
-"""What a split would cost: predicted share of the worth that is late, from a queue model with batches.
-
-An engine reads prompts first come, first served, and every step that reads also makes one token of each
-stream. So reading is a queue at each engine, M/G/1 (the mean wait by F. Pollaczek and A. Khinchine, its tail
-taken as exponential), and a stream's pace is the step's own time divided by the share of time that reading
-leaves. What would wait for longer than its aim is refused, so the queue stays finite. Times are milliseconds,
-rates requests a millisecond over the whole fleet. The approximations weighed stand in docs/pools.md: one
-queue for all engines of a side, M/G/k, fits worse, since a router sees little of each engine.
+"""Predicted cost of a split: the share of request value that is late, from a queueing model with batches.
+
+An engine prefills prompts first come, first served, and every step that prefills also makes one token of each
+stream. So prefill is a queue at each engine, M/G/1 (the mean wait by F. Pollaczek and A. Khinchine, its tail
+taken as exponential), and the time per token of a stream is the step's own time divided by the share of time
+that prefill leaves. What would wait beyond its latency objective is refused, so the queue stays finite. Times
+are milliseconds, rates requests per millisecond over the whole fleet. docs/pools.md compares approximations:
+one queue for all engines of a side, M/G/k, fits worse, since a router sees little of each engine.
 """
 
 from __future__ import annotations
@@ -15,44 +15,46 @@
 
 from msgspec import Struct
 
-FULL = 0.98  # share of the time that reading takes at most
-HURT = 0.82  # of reading's time that streams lose: a step that reads makes a token of each as well
-SPILL_READ, SPILL_WRITE = 1.2, 1.0  # aims of waiting at which a request leaves its side, all prices together
-HALVINGS = 8  # of each search: a share is known to 0.4 %
-NOTHING = 1e-12  # requests or tokens a millisecond: less is none
-EASY = 0.5  # share of the time: below it next to nothing is refused
+MAX_BUSY_SHARE = 0.98  # of an engine's time spent on prefill
+PREFILL_STALL_SHARE = 0.82  # of prefill time, lost to streams: a step with prefill makes a token of each too
+# Extra wait, in latency objectives and with all costs, at which a request leaves its side.
+SPILL_PREFILL, SPILL_DECODE = 1.2, 1.0
+BISECTION_STEPS = 8  # of each search: a share is exact to 0.4 %
+MIN_RATE = 1e-12  # requests or tokens per millisecond: less counts as none
+REFUSAL_BUSY_SHARE = 0.5  # below it almost nothing is refused
 
 
 class Rates(Struct, frozen=True):
-    """How fast one engine is."""
+    """Speed and capacity of one engine."""
 
-    read_ms: float  # for a prompt token, its share of the step's own time included
-    step_ms: float  # from one token of a stream to the next, nothing being read, one stream running
-    run_ms: float = 0.0  # more for each further stream
-    slots: float = inf  # streams that run at once
-    memory: float = inf  # tokens of context held at once
+    read_ms: float  # per prompt token, with its share of the step's own time
+    step_ms: float  # per token of a single stream, without prefill
+    run_ms: float = 0.0  # in addition for each further stream
+    slots: float = inf  # concurrent streams
+    memory: float = inf  # context tokens held at the same time
 
 
 class Atom(Struct, frozen=True):
-    """Requests of one class and about one prompt length."""
+    """Requests of one class and of similar prompt lengths."""
 
     cls: int
     low: float  # shortest prompt
     prompt: float  # mean tokens
     rate: float
-    unread: float  # mean tokens not found kept
-    unread_sq: float  # mean square of them
+    unread: float  # mean tokens not cached
+    unread_sq: float  # mean square of the same
     answer: float  # mean tokens
     first_aim: float  # ms
-    token_aim: float  # ms; 0: none
-    worth: float  # lost when late
+    token_aim: float  # ms; 0: no objective
+    worth: float  # value lost when late
 
 
-Flow = tuple[float, float, float, float, float, float]  # requests, tokens read, squares, made, aims, held
+# Per millisecond: requests, prefill tokens, their squares, answer tokens, latency objectives, held context.
+Flow = tuple[float, float, float, float, float, float]
 
 
 def flow(atoms: Sequence[Atom]) -> Flow:
-    """What so many requests ask for together, a millisecond."""
+    """The total demand of requests, per millisecond."""
     return (
         sum(a.rate for a in atoms),
         sum(a.rate * a.unread for a in atoms),
@@ -63,9 +65,9 @@
     )
 
 
-def mixed(own: Flow, stays: float, other: Flow, comes: float) -> Flow:
-    """What is left of a side's own, with what spills to it."""
-    a, b, c, d, e, f = (x * stays + y * comes for x, y in zip(own, other, strict=True))
+def mixed(own: Flow, kept_share: float, other: Flow, spilled_share: float) -> Flow:
+    """The demand on a side: what stays of its own, and what spills over from the other."""
+    a, b, c, d, e, f = (x * kept_share + y * spilled_share for x, y in zip(own, other, strict=True))
     return a, b, c, d, e, f
 
 
@@ -75,115 +77,129 @@
 
 
 class Side:
-    """So many engines under a flow of requests."""
+    """The engines of one side under a given demand."""
 
-    def __init__(self, engines: int, asked: Flow, rates: Rates) -> None:
-        count, read, square, made, aims, held = asked
-        self.chance = self.mean = 0.0  # that reading waits, and for how long it then does
-        self.kept = 1.0  # share not refused
-        self.busy = read * rates.read_ms / engines  # share of the time
+    def __init__(self, engines: int, demand: Flow, rates: Rates) -> None:
+        count, prefill, square, answer, objectives, held = demand
+        self.wait_chance = self.mean_wait = 0.0  # chance that prefill waits, and the mean wait if so
+        self.accepted = 1.0  # share of requests not refused
+        self.busy = prefill * rates.read_ms / engines  # share of time
         self.read_ms = rates.read_ms
-        if min(count, read) > NOTHING:
-            service = read / count * rates.read_ms
-            # The mean service, times 1 + its squared variation, halved.
-            self._shape = service * square * count / read**2 / 2.0
-            self._refuse(self.busy, aims / count)
-        free = max(0.02, 1.0 - HURT * self.busy - rates.run_ms * made * self.kept / engines)
-        self.pace = rates.step_ms / free
-        self.square = square / engines * self.kept * rates.read_ms**2
+        if min(count, prefill) > MIN_RATE:
+            service = prefill / count * rates.read_ms
+            # Half the mean service time times 1 + its squared coefficient of variation.
+            self._shape = service * square * count / prefill**2 / 2.0
+            self._refuse(self.busy, objectives / count)
+        free = max(
+            0.02, 1.0 - PREFILL_STALL_SHARE * self.busy - rates.run_ms * answer * self.accepted / engines
+        )
+        self.token_ms = rates.step_ms / free
+        self.square = square / engines * self.accepted * rates.read_ms**2
         self.step_ms = rates.step_ms
-        # Streams that run are Poisson, as in M/G/infinity, until slots or memory run out.
-        running = made * self.kept * self.pace / engines
-        room = min(rates.slots, rates.memory * made / held) if held > 0.0 else inf
-        self.crowded = tail((room - running) / sqrt(running)) if running > 0.0 and room < inf else 0.0
+        # The number of streams is Poisson, as in M/G/infinity, until slots or memory run out.
+        running = answer * self.accepted * self.token_ms / engines
+        capacity = min(rates.slots, rates.memory * answer / held) if held > 0.0 else inf
+        self.full_chance = (
+            tail((capacity - running) / sqrt(running)) if running > 0.0 and capacity < inf else 0.0
+        )
 
     def _queue(self, busy: float) -> None:
-        self.busy = min(FULL, busy)
-        self.chance = self.busy
-        self.mean = self._shape / (1.0 - self.busy)
+        self.busy = min(MAX_BUSY_SHARE, busy)
+        self.wait_chance = self.busy
+        self.mean_wait = self._shape / (1.0 - self.busy)
 
-    def _refuse(self, asked: float, aim: float) -> None:
-        self._queue(asked)
-        if asked < EASY:
+    def _refuse(self, offered: float, objective: float) -> None:
+        self._queue(offered)
+        if offered < REFUSAL_BUSY_SHARE:
             return
         low, high = 0.0, 1.0
-        for _ in range(HALVINGS):
+        for _ in range(BISECTION_STEPS):
             refused = (low + high) / 2.0
-            left = asked * (1.0 - refused)
-            self._queue(left)
-            if left > FULL or self.waits(aim) > refused:
+            accepted = offered * (1.0 - refused)
+            self._queue(accepted)
+            if accepted > MAX_BUSY_SHARE or self.longer_wait_chance(objective) > refused:
                 low = refused
             else:
                 high = refused
-        self.kept = 1.0 - high
-        self._queue(asked * self.kept)
+        self.accepted = 1.0 - high
+        self._queue(offered * self.accepted)
 
-    def waits(self, longer: float) -> float:
-        """Chance that reading begins later than so many ms."""
+    def longer_wait_chance(self, longer: float) -> float:
+        """Chance that prefill begins later than after this time, in ms."""
         if longer <= 0.0:
             return 1.0
-        return self.chance * exp(-longer / self.mean) if self.mean > 0.0 else 0.0
+        return self.wait_chance * exp(-longer / self.mean_wait) if self.mean_wait > 0.0 else 0.0
 
-    def slow(self, atom: Atom) -> float:
-        """Chance that a stream's mean pace misses its aim: what is read meanwhile is compound Poisson."""
+    def slow_chance(self, atom: Atom) -> float:
+        """Chance that a stream's mean time per token misses its objective; prefill is compound Poisson."""
         if atom.token_aim <= 0.0 or atom.answer <= 1.0:
             return 0.0
-        deviation = HURT * sqrt(self.square * self.pace / atom.answer)
+        deviation = PREFILL_STALL_SHARE * sqrt(self.square * self.token_ms / atom.answer)
         if deviation <= 0.0:
-            return float(self.pace > atom.token_aim)
-        return tail((atom.token_aim - self.pace) / deviation)
+            return float(self.token_ms > atom.token_aim)
+        return tail((atom.token_aim - self.token_ms) / deviation)
 
-    def late(self, atom: Atom) -> float:
-        """Chance that an answer is refused, or its first token or its pace late."""
+    def late_chance(self, atom: Atom) -> float:
+        """Chance that a request is refused, or its first token or the later ones are late."""
         own = atom.unread * self.read_ms + self.step_ms
-        well = (1.0 - self.waits(atom.first_aim - own)) * (1.0 - self.slow(atom))
-        return 1.0 - min(well, self.kept) * (1.0 - self.crowded)
+        in_time = (1.0 - self.longer_wait_chance(atom.first_aim - own)) * (1.0 - self.slow_chance(atom))
+        return 1.0 - min(in_time, self.accepted) * (1.0 - self.full_chance)
 
 
-def _leaves(here: Side, there: Side, fee: float) -> float:
-    """Chance that the wait here is longer than there by the fee (both exponential), or that here is full."""
-    longer = 0.0
-    if here.mean > 0.0:
-        ahead = there.chance * there.mean / (here.mean + there.mean)
-        longer = here.chance * exp(-fee / here.mean) * (1.0 - ahead)
-    return max(longer, here.crowded * (1.0 - there.crowded))
+def _spill_chance(here: Side, there: Side, margin: float) -> float:
+    """Chance that the wait here exceeds that there by the margin (both exponential), or that here is full."""
+    wait_chance = 0.0
+    if here.mean_wait > 0.0:
+        ahead = there.wait_chance * there.mean_wait / (here.mean_wait + there.mean_wait)
+        wait_chance = here.wait_chance * exp(-margin / here.mean_wait) * (1.0 - ahead)
+    return max(wait_chance, here.full_chance * (1.0 - there.full_chance))
 
 
 class Traffic:
-    """What is asked of a fleet, of which some requests read and the others write."""
+    """The requests to a fleet, of which some belong to the prefill side and the others to the decode side."""
 
-    def __init__(self, atoms: Sequence[Atom], reads: Sequence[bool]) -> None:
-        self.sides = {s: [a for a, r in zip(atoms, reads, strict=True) if r is s] for s in (True, False)}
+    def __init__(self, atoms: Sequence[Atom], is_prefill: Sequence[bool]) -> None:
+        self.sides = {s: [a for a, r in zip(atoms, is_prefill, strict=True) if r is s] for s in (True, False)}
         self.flows = {side: flow(atoms) for side, atoms in self.sides.items()}
         self.worth = sum(a.rate * a.worth for a in atoms) or 1.0
-        self.fees = {
-            side: aims * self.flows[side][4] / (self.flows[side][0] or 1.0)
-            for side, aims in ((True, SPILL_READ), (False, SPILL_WRITE))
+        self.margins = {
+            side: objectives * self.flows[side][4] / (self.flows[side][0] or 1.0)
+            for side, objectives in ((True, SPILL_PREFILL), (False, SPILL_DECODE))
         }
 
     def unsplit(self, engines: int, rates: Rates) -> float:
-        """Predicted share of the worth lost where any engine takes any request."""
-        whole = Side(engines, mixed(self.flows[True], 1.0, self.flows[False], 1.0), rates)
-        return sum(a.rate * a.worth * whole.late(a) for s in self.sides.values() for a in s) / self.worth
-
-    def lost(self, readers: int, engines: int, rates: Rates) -> float:
-        """The same where so many of the engines read and the others write; both must be some."""
-        away = {True: 0.0, False: 0.0}
-
-        def side(reads: bool) -> Side:
-            asked = mixed(self.flows[reads], 1.0 - away[reads], self.flows[not reads], away[not reads])
-            return Side(readers if reads else engines - readers, asked, rates)
-
-        for reads in (True, False, True):
+        """Predicted share of request value lost where any engine takes any request."""
+        all_engines = Side(engines, mixed(self.flows[True], 1.0, self.flows[False], 1.0), rates)
+        return (
+            sum(a.rate * a.worth * all_engines.late_chance(a) for s in self.sides.values() for a in s)
+            / self.worth
+        )
+
+    def lost(self, prefill_engines: int, engines: int, rates: Rates) -> float:
+        """The same with so many prefill engines, the others for decode; neither may be zero."""
+        spilled = {True: 0.0, False: 0.0}
+
+        def side(is_prefill: bool) -> Side:
+            demand = mixed(
+                self.flows[is_prefill],
+                1.0 - spilled[is_prefill],
+                self.flows[not is_prefill],
+                spilled[not is_prefill],
+            )
+            return Side(prefill_engines if is_prefill else engines - prefill_engines, demand, rates)
+
+        for is_prefill in (True, False, True):
             low, high = 0.0, 1.0
-            for _ in range(HALVINGS):
-                away[reads] = middle = (low + high) / 2.0
-                if _leaves(side(reads), side(not reads), self.fees[reads]) > middle:
+            for _ in range(BISECTION_STEPS):
+                spilled[is_prefill] = middle = (low + high) / 2.0
+                if _spill_chance(side(is_prefill), side(not is_prefill), self.margins[is_prefill]) > middle:
                     low = middle
                 else:
                     high = middle
-        found, both = 0.0, {reads: side(reads) for reads in (True, False)}
-        for reads, atoms in self.sides.items():
-            own, other, x = both[reads], both[not reads], away[reads]
-            found += sum(a.rate * a.worth * ((1.0 - x) * own.late(a) + x * other.late(a)) for a in atoms)
-        return found / self.worth
+        total, by_side = 0.0, {is_prefill: side(is_prefill) for is_prefill in (True, False)}
+        for is_prefill, atoms in self.sides.items():
+            own, other, x = by_side[is_prefill], by_side[not is_prefill], spilled[is_prefill]
+            total += sum(
+                a.rate * a.worth * ((1.0 - x) * own.late_chance(a) + x * other.late_chance(a)) for a in atoms
+            )
+        return total / self.worth
