--- a/spoolbarrow/sessions/__init__.py
+++ b/spoolbarrow/sessions/__init__.py
@@ -1,4 +1,4 @@
-"""Sessions by behaviour, and cache kept for those who will come back; pure, imported only where it is on.
+"""Prediction of sessions' returns by their behaviour, and cache reserved for them; pure, imported only if on.
 
-Begin with `part.py`: it ties the table, the evidence, the model and the ledger together.
+Begin with `part.py`: it ties the session table, the turn counts, the model and the reservations together.
 """
--- a/spoolbarrow/sessions/cache_retention.py
+++ b/spoolbarrow/sessions/cache_retention.py
@@ -1,7 +1,8 @@
-"""How much each engine keeps, and for how long, learnt from what answers tell was found kept.
+"""How many tokens each engine's prefix cache retains, and for how long, learnt from cache hits in answers.
 
-When a session returns to its home, what was found of its prompt there says whether so many tokens poured in
-since, or so much time, had pushed it out. The edge where less than half is found is the engine's room.
+When a session returns to its engine, the share of its prompt found there shows whether the tokens added
+since, or the time, have evicted it. The quantity at which less than half is found (the edge) is the engine's
+capacity.
 """
 
 from __future__ import annotations
@@ -9,59 +10,59 @@
 from math import inf, log2
 
 STEPS_AN_OCTAVE = 2
-STEPS = 80  # forty octaves
-FADE = 0.98  # of a step's counts at each observation in it: about fifty of them are believed
-ENOUGH = 8  # observations of an engine's own; fewer: the edge of all engines
+STEPS = 80  # 40 octaves
+DECAY = 0.98  # of a step's counts at each observation in it: about 50 of them have effect
+MIN_OBSERVATIONS = 8  # of an engine; with fewer the edge of all engines is used
 HALF = 0.5
-PRIOR = 0.2  # observations that each step is taken to have had, half of them found
-AGAIN = 32
-REFRESH = 32  # observations until the curve of all engines is drawn anew
-TELLS = 64  # tokens expected; less says little
-EMPTY_OF = 0.125  # of the room: with less poured in since, nothing found is an engine that lost all it kept
-LOST_RUN = 2  # such sessions in a row make an engine empty: one may have been preempted
-QUIET = 0.25  # of the room: with less poured in, what has gone went by age
-SHRUNK_RUN = 8  # so many, and the room itself has become smaller: they count for its edge
-MOST_ENGINES = 16_384
+PRIOR_OBSERVATIONS = 0.2  # assumed at each step, with HALF of the tokens found
+EDGE_REFRESH = 32  # observations, at most, until an edge is computed again
+CURVE_REFRESH = 32  # observations until the curve of all engines is computed again
+MIN_EXPECTED_TOKENS = 64  # for an observation; fewer say little
+LOST_CAPACITY_SHARE = 0.125  # with less added since and nothing found, an engine lost its whole cache
+LOST_RUN = 2  # such sessions in a row show a lost cache: one alone may have been preempted
+AGE_CAPACITY_SHARE = 0.25  # with less added, what was lost was lost by age
+SHRUNK_RUN = 8  # more in a row show that the capacity shrank: they count for its edge
+MAX_ENGINES = 16_384
 
 
 def step(quantity: float) -> int:
-    """Which half octave it lies in."""
+    """The half octave that a quantity falls into."""
     return min(STEPS - 1, int(STEPS_AN_OCTAVE * log2(quantity))) if quantity > 1.0 else 0
 
 
 class Edge:
-    """Where what is found falls below half, on a scale of half octaves."""
+    """The quantity at which the share found falls below half, on a scale of half octaves."""
 
-    __slots__ = ("beyond", "edge", "edge_at", "expected", "found", "seen")
+    __slots__ = ("beyond", "edge", "edge_at", "expected", "found", "observations")
 
     def __init__(self) -> None:
         self.expected = [0.0] * STEPS
         self.found = [0.0] * STEPS
-        self.seen = 0
+        self.observations = 0
         self.edge, self.edge_at = 0.0, 0
-        self.beyond = 0.0  # observations beyond the edge: where there are none, it is only the largest seen
+        self.beyond = 0.0  # observations beyond the edge: without any, it is only the largest quantity seen
 
     def observe(self, at: float, share: float) -> None:
-        """So much was found of what was left `at` this quantity ago."""
-        self.note(step(at), share)
+        """Record the share that was found `at` this quantity (of tokens or of age)."""
+        self.observe_step(step(at), share)
 
-    def note(self, n: int, share: float) -> None:
-        """The same, of a step."""
-        self.expected[n] = FADE * self.expected[n] + 1.0
-        self.found[n] = FADE * self.found[n] + share
-        self.seen += 1
+    def observe_step(self, n: int, share: float) -> None:
+        """The same, by step."""
+        self.expected[n] = DECAY * self.expected[n] + 1.0
+        self.found[n] = DECAY * self.found[n] + share
+        self.observations += 1
 
     def at(self) -> float:
-        """The edge; 0: nothing was ever found. Beyond the largest quantity seen to keep, nothing is promised.
+        """The edge; 0: nothing was ever found. It is never beyond the largest quantity with tokens found.
 
-        Worked out anew when an eighth more was seen, or AGAIN. The step chosen splits what was found before
-        it from what was lost after it with the least error.
+        Computed again after an eighth more observations, or EDGE_REFRESH. The chosen step separates what was
+        found before it from what was lost after it with the least error.
         """
-        if self.seen - self.edge_at <= min(AGAIN, self.seen // 8):
+        if self.observations - self.edge_at <= min(EDGE_REFRESH, self.observations // 8):
             return self.edge
-        self.edge_at = self.seen
-        kept_after = sum(self.found)
-        best, least, error = 0, kept_after, kept_after  # all beyond the edge: what was found is the error
+        self.edge_at = self.observations
+        found_after = sum(self.found)
+        best, least, error = 0, found_after, found_after  # edge at 0: all that was found is the error
         for n in range(STEPS):
             error += (self.expected[n] - self.found[n]) - self.found[n]
             if error < least and self.expected[n] > 0.0:
@@ -71,10 +72,14 @@
         return self.edge
 
     def curve(self) -> tuple[float, ...]:
-        """Share found by step, never more after a longer while (pooled where it seemed so)."""
+        """Share found by step, made non-increasing by pooling adjacent violators."""
         blocks: list[tuple[float, float, int]] = []  # found, expected, steps
         for found, expected in zip(self.found, self.expected, strict=True):
-            block = (found + PRIOR * HALF * (expected > 0.0), expected + PRIOR * (expected > 0.0), 1)
+            block = (
+                found + PRIOR_OBSERVATIONS * HALF * (expected > 0.0),
+                expected + PRIOR_OBSERVATIONS * (expected > 0.0),
+                1,
+            )
             while blocks and block[0] * blocks[-1][1] >= blocks[-1][0] * block[1]:
                 last = blocks.pop()
                 block = (last[0] + block[0], last[1] + block[1], last[2] + block[2])
@@ -83,79 +88,79 @@
 
 
 class CacheRetention:
-    """Edges of engines, of tokens and of age; engines by number."""
+    """The cache retention of engines by added tokens and by age; engines by number."""
 
     def __init__(self) -> None:
         self.tokens, self.ages = Edge(), Edge()
         self.own: dict[int, Edge] = {}
         self.lost: dict[int, int] = {}
-        self.poured: dict[int, int] = {}  # tokens read and made at an engine, as far as this router knows
+        self.added: dict[int, int] = {}  # tokens that this router has added to an engine's cache
         self._curve: tuple[float, ...] = (1.0,) * STEPS
         self._curve_at = 0
 
-    def pour(self, engine: int, tokens: int) -> int:
-        """So many tokens were read or made there that were not kept before; a mark, of 32 bits."""
-        poured = self.poured.get(engine, 0) + tokens
-        if poured > tokens or len(self.poured) < MOST_ENGINES:
-            self.poured[engine] = poured
-        return poured & 0xFFFFFFFF
+    def add_tokens(self, engine: int, tokens: int) -> int:
+        """Record tokens added to an engine's cache; returns a mark of 32 bits for `since`."""
+        added = self.added.get(engine, 0) + tokens
+        if added > tokens or len(self.added) < MAX_ENGINES:
+            self.added[engine] = added
+        return added & 0xFFFFFFFF
 
     def since(self, engine: int, mark: int) -> int:
-        """Tokens poured in since a mark."""
-        return (self.poured.get(engine, 0) - mark) & 0xFFFFFFFF
+        """Tokens added since a mark."""
+        return (self.added.get(engine, 0) - mark) & 0xFFFFFFFF
 
-    def observe(self, engine: int, poured: float, age_ms: float, expected: int, found: int) -> bool:
-        """A session came back; whether the engine must have lost all that it kept.
+    def observe(self, engine: int, added: float, age_ms: float, expected: int, found: int) -> bool:
+        """Record a session's return; returns whether the engine must have lost its whole cache.
 
-        `poured` is by all routers; `expected` and `found` are tokens beyond the shared opening.
+        `added` is by all routers; `expected` and `found` are tokens beyond the shared prefix.
         """
-        if expected < TELLS:
+        if expected < MIN_EXPECTED_TOKENS:
             return False
         share = min(1.0, max(0, found) / expected)
-        room = self.room(engine)
-        if room > 0.0 and share < 0.1 and poured < EMPTY_OF * room:
-            # Not an edge: what vanished at once says nothing of how much usually fits.
+        capacity = self.capacity(engine)
+        if capacity > 0.0 and share < 0.1 and added < LOST_CAPACITY_SHARE * capacity:
+            # Not an edge: a sudden loss says nothing about the usual capacity.
             run = self.lost[engine] = self.lost.get(engine, 0) + 1
             if run <= SHRUNK_RUN:
                 return run == LOST_RUN
         else:
             self.lost.pop(engine, None)
-        n = step(poured)
-        self.tokens.note(n, share)
-        if room <= 0.0 or poured < QUIET * room:
-            self.ages.observe(age_ms, share)  # else it was pushed out, and its age says nothing
+        n = step(added)
+        self.tokens.observe_step(n, share)
+        if capacity <= 0.0 or added < AGE_CAPACITY_SHARE * capacity:
+            self.ages.observe(age_ms, share)  # otherwise it was evicted by newer tokens, whatever its age
         own = self.own.get(engine)
-        if own is None and len(self.own) < MOST_ENGINES:
+        if own is None and len(self.own) < MAX_ENGINES:
             own = self.own[engine] = Edge()
         if own is not None:
-            own.note(n, share)
+            own.observe_step(n, share)
         return False
 
-    def room(self, engine: int) -> float:
-        """Tokens that can be poured into an engine before what it keeps goes; 0: not known."""
+    def capacity(self, engine: int) -> float:
+        """Tokens that can be added to an engine before its cached ones are evicted; 0: unknown."""
         own = self.own.get(engine)
-        if own is not None and own.seen >= ENOUGH:
+        if own is not None and own.observations >= MIN_OBSERVATIONS:
             return own.at()
         return self.tokens.at()
 
-    def share(self, engine: int, poured: float) -> float:
-        """What should be found of what was left there before so many tokens were poured in, of 1.
+    def share(self, engine: int, added: float) -> float:
+        """The expected share of a prompt still cached after so many tokens were added.
 
-        The curve is that of all engines, moved to where this one's own edge lies.
+        From the curve of all engines, scaled to this engine's own edge.
         """
-        if self.tokens.seen - self._curve_at >= REFRESH:
-            self._curve, self._curve_at = self.tokens.curve(), self.tokens.seen
-        own, common = self.room(engine), self.tokens.at()
+        if self.tokens.observations - self._curve_at >= CURVE_REFRESH:
+            self._curve, self._curve_at = self.tokens.curve(), self.tokens.observations
+        own, common = self.capacity(engine), self.tokens.at()
         if own > 0.0 and common > 0.0:
-            poured *= common / own
-        return self._curve[step(poured)] if poured > 1.0 else 1.0
+            added *= common / own
+        return self._curve[step(added)] if added > 1.0 else 1.0
 
     def longest_ms(self) -> float:
-        """The age at which what is kept goes, whatever is poured in; infinity: no such age was seen."""
+        """The age at which cached tokens are evicted in any case; infinity: no such age was observed."""
         edge = self.ages.at()
         return edge if self.ages.beyond >= 1.0 else inf
 
     def forget(self, engine: int) -> None:
-        """The engine is gone, or begun anew: its own edge and marks mean nothing."""
-        for table in (self.own, self.lost, self.poured):
+        """Drop an engine's edge and marks: it was removed or restarted."""
+        for table in (self.own, self.lost, self.added):
             table.pop(engine, None)
--- a/spoolbarrow/sessions/session_table.py
+++ b/spoolbarrow/sessions/session_table.py
@@ -1,7 +1,8 @@
-"""The live sessions of one router, a few packed numbers each: bounded, and nothing stays of who has gone.
+"""The live sessions of one router as a few packed numbers each: bounded, and without data of ended sessions.
 
-A session has its place in one set of WAYS slots, by its key. In a full set the least valuable gives way: no
-index, no heap, and a flood of new sessions pushes out itself first. 64 bytes a slot, taken at the start.
+A session has its place in one set of WAYS slots, by its key. In a full set the least valuable session is
+replaced: that needs no index and no heap, and a flood of new sessions replaces itself first. 64 bytes per
+slot, allocated at the start.
 """
 
 from __future__ import annotations
@@ -10,16 +11,16 @@
 from typing import Any
 
 WAYS = 32
-SLOTS = 131_072  # 100,000 sessions lie in them with a set in twenty full
-PATIENCE_MS = 60_000.0  # away for so long, a session is worth half as much to the table
-NO_HOME = 0xFFFF
-OUT = 255  # of `passed`: its request is under way
-SPREAD = 0x9E3779B97F4A7C15
-_M64 = (1 << 64) - 1
+SLOTS = 131_072  # with 100,000 sessions one set in 20 is full
+VALUE_HALF_TIME_MS = 60_000.0  # time away after which a session is worth half as much to the table
+NO_ENGINE = 0xFFFF
+IN_PROGRESS = 255  # value of `passed` while a request is under way
+HASH_FACTOR = 0x9E3779B97F4A7C15
+_MASK_64 = (1 << 64) - 1
 
 
 class SessionTable:
-    """Columns by slot; `find` and `place` give the slot, and whoever holds one may read and write it."""
+    """Columns by slot; callers read and write the columns at the slot that `find` or `place` returns."""
 
     __slots__ = (
         "sets", "keys", "at", "away", "turns", "passed", "cls", "tenant", "home", "gap", "growth", "answer",
@@ -30,37 +31,38 @@
         self.sets = max(1, slots // WAYS)
         size = self.sets * WAYS
 
-        def column(code: str) -> array[int]:
+        def integers(code: str) -> array[int]:
             return array(code, bytes(size * array(code).itemsize))
 
-        def reals(code: str) -> array[float]:
+        def floats(code: str) -> array[float]:
             return array(code, bytes(size * array(code).itemsize))
 
-        self.keys = column("Q")  # 0: free
-        self.at = reals("d")  # of its last turn's end, ms; while OUT: of its request
-        self.away = reals("f")  # before its last request, ms
-        self.turns, self.tenant, self.home = column("H"), column("H"), column("H")
-        self.passed = column("B")  # spans of its time away that are told already
-        self.cls = column("B")
-        self.gap, self.growth, self.answer = reals("f"), reals("f"), reals("f")  # means, octaves
-        self.prompt, self.context = column("I"), column("I")  # tokens asked last, and left at its home
-        self.shared = column("I")  # of these, its opening's
-        self.mark = column("I")  # what had been poured into its home then
-        self.cell = column("I")
-        self.worth = reals("f")
+        self.keys = integers("Q")  # 0: free
+        self.at = floats("d")  # end of its last turn, ms; while IN_PROGRESS: time of its request
+        self.away = floats("f")  # time away before its last request, ms
+        self.turns, self.tenant, self.home = integers("H"), integers("H"), integers("H")
+        self.passed = integers("B")  # spans of its time away that were counted already
+        self.cls = integers("B")
+        self.gap, self.growth, self.answer = floats("f"), floats("f"), floats("f")  # means, in octaves
+        # Tokens of its last prompt, and those cached at its engine after the answer.
+        self.prompt, self.context = integers("I"), integers("I")
+        self.shared = integers("I")  # of these, tokens of the shared prefix
+        self.mark = integers("I")  # mark of the tokens added to its engine by then
+        self.cell = integers("I")
+        self.worth = floats("f")
         self.count = 0
         columns = (getattr(self, name, None) for name in self.__slots__)
         self._columns: tuple[array[Any], ...] = tuple(c for c in columns if isinstance(c, array))
 
     def size_bytes(self) -> int:
-        """What the columns hold."""
+        """The size of the columns."""
         return sum(len(c) * c.itemsize for c in self._columns)
 
     def _set(self, key: int) -> int:
-        return ((key * SPREAD & _M64) >> 32) * self.sets >> 32
+        return ((key * HASH_FACTOR & _MASK_64) >> 32) * self.sets >> 32
 
     def find(self, key: int) -> int:
-        """Its slot; -1: not known."""
+        """The slot of a session; -1: unknown."""
         base = self._set(key) * WAYS
         try:
             return self.keys.index(key, base, base + WAYS)
@@ -68,25 +70,26 @@
             return -1
 
     def place(self, now: float, key: int) -> tuple[int, bool]:
-        """A slot for a new session, and whether somebody has to leave it first."""
+        """A slot for a new session, and whether another one has to be removed from it first."""
         base = self._set(key) * WAYS
         try:
             return self.keys.index(0, base, base + WAYS), False
         except ValueError:
             worth, at = self.worth, self.at
             return min(
-                range(base, base + WAYS), key=lambda n: worth[n] / (PATIENCE_MS + max(0.0, now - at[n]))
+                range(base, base + WAYS),
+                key=lambda n: worth[n] / (VALUE_HALF_TIME_MS + max(0.0, now - at[n])),
             ), True
 
     def begin(self, slot: int, key: int) -> None:
-        """The slot is this session's from now on, as if it had never been another's."""
-        self.forget(slot)
+        """Assign a slot to a session, with empty columns."""
+        self.clear(slot)
         self.keys[slot] = key
         self.count += 1
 
-    def forget(self, slot: int) -> None:
-        """Nothing stays."""
+    def clear(self, slot: int) -> None:
+        """Clear a slot."""
         self.count -= self.keys[slot] != 0
         for column in self._columns:
             column[slot] = 0
-        self.home[slot] = NO_HOME
+        self.home[slot] = NO_ENGINE
