--- a/spoolbarrow/pools/split.py
+++ b/spoolbarrow/pools/split.py
@@ -43,7 +43,7 @@
 MAX_MODEL_ERROR = 0.3  # between predicted and measured lateness: beyond, the model does not fit this fleet
 MAX_SPLIT_ERROR = 0.1  # measured beyond predicted lateness of a current split: beyond, it does not work
 SESSION_CACHED_SHARE = 0.35  # of prompts, from which a class stays on one side: its sessions grow
-MAX_CUTS = 4  # tried thresholds of tokens to read
+MAX_CUTS = 4  # tried thresholds of uncached tokens
 CANDIDATES = 4  # the best of all tried, which are also judged under noise
 MAX_COUNTS = 12  # tried numbers of prefill engines
 IDLE_QUANTILE = 0.1  # of the observed times, which represents an otherwise idle engine
@@ -149,7 +149,7 @@
 
 
 def work(cell: Cell) -> float:
-    """The work of a cell in tokens read, and one more for each request."""
+    """The work of a cell: its prefill tokens, and one more for each request."""
     return sum(sums[1] for sums in cell.spans.values()) + cell.weight()
 
 
@@ -310,7 +310,7 @@
 
 
 def cuts(requests: Sequence[Atom], rates: Rates) -> list[float]:
-    """Candidate thresholds of tokens to read for the prefill side, of requests dominated by prefill."""
+    """Candidate thresholds of uncached tokens for the prefill side, of requests dominated by prefill."""
     values = sorted({a.unread for a in requests if a.rate > 0.0 and is_prefill_bound(a, rates)})
     if len(values) <= MAX_CUTS:
         return values
@@ -327,7 +327,7 @@
 
 
 def thresholds(requests: Sequence[Atom], cut: float, classes: int, rates: Rates) -> list[float]:
-    """By class, the prompt length of the prefill side: from there on all spans read at least `cut` tokens."""
+    """By class, the prompt length of the prefill side: all longer spans prefill at least `cut` tokens."""
     limits = [NEVER_PREFILL] * classes
     for cls in range(classes):
         own = [a for a in requests if a.cls == cls]
@@ -369,7 +369,7 @@
         sizes[engine.zone] = sizes.get(engine.zone, 0) + 1
         prefill_counts[engine.zone] = prefill_counts.get(engine.zone, 0) + (name in prefill_engines)
     sign = 1 if change > 0 else -1
-    # Cold engines have little cache to lose, but proportion comes first: prefill must be near in each zone.
+    # Engines in slow start have little cache to lose, but proportion comes first: each zone needs prefill.
     free: dict[int, list[tuple[bool, int, str]]] = {}  # by zone, the best at the end
     for name in names:
         if (name in prefill_engines) is (change < 0):
--- a/spoolbarrow/pools/traffic_stats.py
+++ b/spoolbarrow/pools/traffic_stats.py
@@ -1,7 +1,7 @@
 """Traffic statistics of a router, as bounded and mergeable sums without any request or session key.
 
 A cell is one class of one tenant: histograms of prompt lengths, of prompt tokens that were not cached, of the
-lengths of complete and of cut answers, and sums by prompt length of the tokens read. Engine types have
+lengths of complete and of cut answers, and sums by prompt length of prefill tokens. Engine types have
 histograms of the time for a token of a prompt and for a token of a stream. All of it halves in HALF_LIFE_MS.
 A summary of another router is validated as a whole: one with a single impossible value is rejected.
 """
@@ -38,7 +38,7 @@
     unread: dict[int, float] = field(default_factory=dict)
     ended: dict[int, float] = field(default_factory=dict)
     cut: dict[int, float] = field(default_factory=dict)
-    # By log2 of the prompt length: count, tokens read, sum of their squares.
+    # By log2 of the prompt length: count, prefill tokens, sum of their squares.
     spans: dict[int, list[float]] = field(default_factory=dict)
     answered: float = 0.0  # requests that have ended
     late: float = 0.0  # of them: refused, lost, or with a late first token or late later ones
@@ -251,7 +251,7 @@
     if len(histograms) != 4 or not _are_valid(answered, late) or late > answered + 0.01:
         return None
     for number, (count, read, square) in spans.items():
-        # Impossible moments: a mean beyond the span's prompt lengths, or a negative variance.
+        # Impossible moments: a mean beyond the span's prompt lengths, or a variance below 0.
         longest = 2.0 ** (number + 1)
         is_possible = 0 <= number < SPANS and _are_valid(count) and 0.0 <= read <= (count + 0.01) * longest
         if not is_possible or not (read * read <= square * (count + 0.01) * 1.001 + longest * longest):
--- a/spoolbarrow/sessions/cache_retention.py
+++ b/spoolbarrow/sessions/cache_retention.py
@@ -144,7 +144,7 @@
         return self.tokens.at()
 
     def share(self, engine: int, added: float) -> float:
-        """The expected share of a prompt still cached after so many tokens were added.
+        """The expected share, of 1, of a prompt still cached after so many tokens were added.
 
         From the curve of all engines, scaled to this engine's own edge.
         """
--- a/spoolbarrow/sessions/part.py
+++ b/spoolbarrow/sessions/part.py
@@ -29,7 +29,7 @@
 MAX_TOKENS = 0xFFFFFFFF
 MAX_SWEPT_SETS = 512  # per sweep: a long pause must not be followed by a long sweep
 PREFILL_EQUIVALENT_S = 100.0  # reserving a prompt for so long is charged like one prefill of it
-RESERVATIONS_MAX_AGE_MS = 250.0  # of an engine's figures, before they are computed again
+RESERVATIONS_MAX_AGE_MS = 250.0  # of an engine's values, before they are computed again
 WANTED_DECAY_MS = 60_000.0
 USABLE_SHARE = 0.9  # of the learnt capacity: the part that is certain
 
