--- a/benchmarks/door.py
+++ b/benchmarks/door.py
@@ -28,7 +28,7 @@
 from rig import anonymous_kb  # noqa: E402
 
 from spoolbarrow import interface as i  # noqa: E402
-from spoolbarrow.door import door as d  # noqa: E402
+from spoolbarrow.admission import controller as d  # noqa: E402
 from spoolbarrow.lab import policies  # noqa: E402
 from spoolbarrow.lab.account import percentile  # noqa: E402
 from spoolbarrow.lab.doored import Doored  # noqa: E402
@@ -117,14 +117,14 @@
             return actions
 
         setattr(self.router, "handle", timed)  # noqa: B010
-        self._told = self._hear
+        self._on_rejected = self._hear
         Watched.all.append(self)
 
     def _hear(self, told: Any) -> None:
         key = (told.event.tenant, told.event.session)
-        if told.away.promised and key not in self.promises:
+        if told.answer.promised and key not in self.promises:
             self.made += 1
-            self.promises[key] = self.now + told.away.retry_after_ms
+            self.promises[key] = self.now + told.answer.retry_after_ms
 
     def handle(self, now: float, events: list[i.Event]) -> list[i.Action]:
         """As the door does, and look on."""
@@ -210,7 +210,7 @@
 def held_kb(ids: int) -> int:
     """In this process: requests of so many new clients at a full door, the first million bounded likewise."""
     rng = Random(1)
-    door = d.Door(d.Settings(weights=(0.6, 0.4)), 1)
+    door = d.AdmissionController(d.Settings(weights=(0.6, 0.4)), 1)
     now = 0.0
 
     def one(n: int, client: int) -> None:
@@ -219,12 +219,12 @@
         asked = d.Arrived(
             f"r{n}", n % 2, client, 1000.0, 5000.0, session=client >> 32, prompt=rng.getrandbits(64)
         )
-        events: list[d.Event] = [d.Load(n % 200 / 100.0)]
+        events: list[d.Event] = [d.FleetLoad(n % 200 / 100.0)]
         if n >= 50:
-            events.append(d.Ended(f"r{n - 50}", True, 1000.0))
+            events.append(d.RequestEnded(f"r{n - 50}", True, 1000.0))
         door.handle(now, [*events, asked])
         if n % 7 == 0:  # told a time, where it was let in
-            door.handle(now, [d.Declined(asked, 100.0)])
+            door.handle(now, [d.RefusedByRouter(asked, 100.0)])
 
     same = rng.getrandbits(64)
     for n in range(60_000):  # what time alone brings: tables that hold a window, full
--- a/benchmarks/shadow.py
+++ b/benchmarks/shadow.py
@@ -26,7 +26,7 @@
 import standin  # noqa: E402
 from rig import ENGINES, WORKERS, Load, Rig, anonymous_kb, apart, compared  # noqa: E402
 
-from spoolbarrow.shadow import decide  # noqa: E402
+from spoolbarrow.shadow import copy_controller  # noqa: E402
 
 SHARE, LIMIT = 0.5, 8.0  # of sessions; copies a second: less than the share asks for, so that it binds
 SLOW_MS, DEADLINE_MS = 300.0, 1500.0
@@ -92,7 +92,7 @@
 
 def deciding(requests: int) -> dict[str, Any]:
     """The share reached over 10,000 sessions, and memory over many requests."""
-    plenty = decide.Limits(
+    plenty = copy_controller.Limits(
         share=0.3,
         classes=frozenset({0}),
         in_flight=10,
@@ -101,15 +101,15 @@
         prompt_tokens_per_s=1e9,
         answer_tokens_per_s=1e9,
     )
-    made = decide.Decider(0.0, plenty, 1)
+    made = copy_controller.CopyController(0.0, plenty, 1)
     made.allowance.value = 1.0
-    made.handle(1e6, [decide.Pool((decide.Engine("c"),))])
+    made.handle(1e6, [copy_controller.CandidatePool((copy_controller.Engine("c"),))])
     copied, before = 0, 0
     for n in range(requests):
         now, name = 1e6 + n * 10.0, str(n)
-        actions = made.handle(now, [decide.Taken(name, 0, 0, n + 1, 100, 100, 500)])
-        if any(isinstance(action, decide.Copy) for action in actions):
-            made.handle(now + 5.0, [decide.Started(name), decide.Ended(name, True)])
+        actions = made.handle(now, [copy_controller.RequestReceived(name, 0, 0, n + 1, 100, 100, 500)])
+        if any(isinstance(action, copy_controller.SendCopy) for action in actions):
+            made.handle(now + 5.0, [copy_controller.CopyStarted(name), copy_controller.CopyEnded(name, True)])
         if n == 9_999:
             copied, before = made.copied, anonymous_kb()
     return {
--- a/spoolbarrow/door/capacity.py
+++ b/spoolbarrow/admission/capacity.py
@@ -12,7 +12,7 @@
 JUMP_MS = 10_000.0  # a clock that jumps further than this has not passed that time
 
 
-class Capacity:
+class CapacityEstimator:
     """A rate, tokens a millisecond, and the mean share by which windows miss it."""
 
     def __init__(self) -> None:
--- a/spoolbarrow/door/clients.py
+++ b/spoolbarrow/admission/clients.py
@@ -12,17 +12,17 @@
 from collections.abc import Callable
 from heapq import heapify, heappop, heappush
 
-from spoolbarrow.door.faults import DoorError
+from spoolbarrow.admission.errors import AdmissionError
 
 HALVE_AFTER = 64  # times the slots' number of work units counted: then all counts are halved
 
 
-class Heavy:
+class HeavyHitters:
     """The heaviest clients by work, `slots` of them at most."""
 
     def __init__(self, slots: int) -> None:
         if slots < 1:
-            raise DoorError("", "there must be a slot at least")
+            raise AdmissionError("", "there must be a slot at least")
         self.slots = slots
         self.counts: dict[int, float] = {}
         self.errors: dict[int, float] = {}  # how much of a count may be another's
@@ -68,13 +68,13 @@
                 heappush(self.heap, (now, client))
 
 
-class Clients:
+class ClientAccounts:
     """Accounts of clients; a client is a 64-bit number, well spread and not to be guessed from outside."""
 
     def __init__(self, slots: int = 256, rows: int = 4, width: int = 128) -> None:
         if not 1 <= rows <= 4 or not 1 <= width <= 65_536:
-            raise DoorError("", "rows must lie in 1 to 4, the width of each in 1 to 65536")
-        self.heavy = Heavy(slots)
+            raise AdmissionError("", "rows must lie in 1 to 4, the width of each in 1 to 65536")
+        self.heavy = HeavyHitters(slots)
         self.rows, self.width = rows, width
 
     def buckets(self, number: int) -> list[int]:
--- a/spoolbarrow/door/door.py
+++ b/spoolbarrow/admission/controller.py
@@ -16,11 +16,11 @@
 
 from msgspec import Struct
 
-from spoolbarrow.door.calendar import Calendar
-from spoolbarrow.door.capacity import Capacity
-from spoolbarrow.door.clients import Clients
-from spoolbarrow.door.retries import Budget, Seen
-from spoolbarrow.door.shares import Shares
+from spoolbarrow.admission.reservations import ReservationCalendar
+from spoolbarrow.admission.capacity import CapacityEstimator
+from spoolbarrow.admission.clients import ClientAccounts
+from spoolbarrow.admission.retries import RetryBudget, RetryDetector
+from spoolbarrow.admission.shares import TenantShares
 
 COST_LEARN = 0.02  # weight of one answer in what prompts and answers truly cost
 LEAST_COST = 0.05  # share of what was expected, at least
@@ -77,13 +77,13 @@
     resumed: bool = False  # asks for the rest of a stream that broke: always let in
 
 
-class Load(Struct, frozen=True):
+class FleetLoad(Struct, frozen=True):
     """How full the fleet is, as the decisions see it: from 1 on they refuse."""
 
     fullness: float
 
 
-class Ended(Struct, frozen=True):
+class RequestEnded(Struct, frozen=True):
     """One that was let in, or waits, is over; `work` is what it truly cost, if it was served."""
 
     request: str
@@ -91,21 +91,21 @@
     work: float = 0.0
 
 
-class Declined(Struct, frozen=True):
+class RefusedByRouter(Struct, frozen=True):
     """The decisions refused one that was let in; what they would tell it, ms."""
 
     event: Arrived
     retry_after_ms: float
 
 
-class Woken(Struct, frozen=True):
-    """The time asked for by `Wake` has passed."""
+class TimerFired(Struct, frozen=True):
+    """The time asked for by `SetTimer` has passed."""
 
 
-Event = Arrived | Load | Ended | Declined | Woken
+Event = Arrived | FleetLoad | RequestEnded | RefusedByRouter | TimerFired
 
 
-class LetIn(Struct, frozen=True):
+class Admit(Struct, frozen=True):
     """On to the decisions; `promised` to one that came back at its time, `waited` ms at the door."""
 
     request: str
@@ -114,7 +114,7 @@
     standing: float = 1.0  # below 1 beyond its share, so that it is refused first; above 1 within it
 
 
-class TurnedAway(Struct, frozen=True):
+class Reject(Struct, frozen=True):
     """Answered at once: when to come back, and why. A ticket other than 0 is to be shown then."""
 
     request: str
@@ -129,13 +129,13 @@
     client_limit: float
 
 
-class Wake(Struct, frozen=True):
-    """Ask for `Woken`."""
+class SetTimer(Struct, frozen=True):
+    """Ask for `TimerFired`."""
 
     in_ms: float
 
 
-Action = LetIn | TurnedAway | Wake
+Action = Admit | Reject | SetTimer
 
 
 class Inside(Struct):
@@ -157,14 +157,14 @@
     why: str
 
 
-class Door:
+class AdmissionController:
     """One router's. Its `seed` spreads the times told."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
         self.rng = Random(seed)
-        self.capacity = Capacity()
-        self.clients = Clients(settings.slots, settings.rows, settings.width)
-        self.seen = Seen(settings.retry_window_ms, REMEMBERED)
+        self.capacity = CapacityEstimator()
+        self.clients = ClientAccounts(settings.slots, settings.rows, settings.width)
+        self.seen = RetryDetector(settings.retry_window_ms, REMEMBERED)
         self.inside: dict[str, Inside] = {}
         self.under_way = 0.0  # work let in and not over
         self.fullness = 0.0
@@ -173,13 +173,13 @@
         self.cost = 1.0  # true work for each token expected: kept beginnings need not be read
         self.mean_work = 1.0
         self.service_ms = 0.0
-        self.shares = Shares(dict(enumerate(settings.weights)), settings.owed_tokens)
-        self.calendar = Calendar(
+        self.shares = TenantShares(dict(enumerate(settings.weights)), settings.owed_tokens)
+        self.calendar = ReservationCalendar(
             settings.slot_ms, settings.max_retry_after_ms, settings.most_callers, settings.grace_ms
         )
         self.tickets = 0
         self.counts: Counter[str] = Counter()  # let in and turned away, by reason
-        self.budgets: dict[int, Budget] = {}
+        self.budgets: dict[int, RetryBudget] = {}
         self.queues: dict[int, deque[Waiter]] = {}  # by tenant
         self.waiting: dict[str, Waiter] = {}
         self.wake_at = 0.0
@@ -190,7 +190,7 @@
         self.settings = settings
         weights = dict(enumerate(settings.weights))
         self.shares.configure(weights)
-        budgets = {n: self.budgets.get(n) or Budget(settings.retry_share) for n in weights}
+        budgets = {n: self.budgets.get(n) or RetryBudget(settings.retry_share) for n in weights}
         for budget in budgets.values():
             budget.ratio = settings.retry_share
         self.budgets = budgets
@@ -202,11 +202,11 @@
         for event in events:
             if isinstance(event, Arrived):
                 self._arrived(now, event, actions)
-            elif isinstance(event, Load):
+            elif isinstance(event, FleetLoad):
                 self.look(now, event.fullness)
-            elif isinstance(event, Ended):
+            elif isinstance(event, RequestEnded):
                 self.left(now, event.request, event.served, event.work)
-            elif isinstance(event, Declined):
+            elif isinstance(event, RefusedByRouter):
                 self._declined(now, event, actions)
         if self.waiting:
             self._look(now, actions)
@@ -313,9 +313,9 @@
         self.under_way += work
         self.inside[event.request] = Inside(event.tenant, account, work, event.work, now)
         self.counts["let in promised" if promised else "let in"] += 1
-        actions.append(LetIn(event.request, promised, waited, standing))
+        actions.append(Admit(event.request, promised, waited, standing))
 
-    def _away(self, now: float, event: Arrived, why: str, otherwise_ms: float) -> TurnedAway:
+    def _away(self, now: float, event: Arrived, why: str, otherwise_ms: float) -> Reject:
         s, key, ticket = self.settings, self._key(event), event.ticket
         if not (event.session or ticket):
             self.tickets += 1
@@ -329,7 +329,7 @@
             pause = otherwise_ms or s.max_retry_after_ms * (0.75 + 0.25 * self.rng.random())
         self.counts[f"turned away: {why}"] += 1
         self.counts["told a time"] += promised
-        return TurnedAway(
+        return Reject(
             event.request, min(pause, s.max_retry_after_ms), why, promised, ticket, self.fullness,
             self.shares.ahead(event.tenant), limit,
             self.shares.client_ahead(event.tenant, self._account(event)), client_limit,
@@ -345,7 +345,7 @@
         return inside
 
     def left(self, now: float, request: str, served: bool, work: float) -> None:
-        """As `Ended` says; of what was let in or waits, and nothing else."""
+        """As `RequestEnded` says; of what was let in or waits, and nothing else."""
         waiter = self.waiting.get(request)
         if waiter is not None:
             return self._unqueue(waiter)
@@ -371,7 +371,7 @@
         self.shares.charge(tenant, inside.account, true - inside.work)
         self.shares.advance(inside.work + self.shares.ahead(tenant) - before if self.inside else inf)
 
-    def _declined(self, now: float, event: Declined, actions: list[Action]) -> None:
+    def _declined(self, now: float, event: RefusedByRouter, actions: list[Action]) -> None:
         inside = self._out(event.event.request)
         if inside is not None:
             if self.watching:
@@ -403,7 +403,7 @@
             self._let_in(now, chosen.event, account, actions, waited=now - chosen.since)
         if self.waiting and not 0.0 < self.wake_at - now <= LOOK_MS:
             self.wake_at = now + LOOK_MS
-            actions.append(Wake(LOOK_MS))
+            actions.append(SetTimer(LOOK_MS))
 
     def _next(self) -> Waiter | None:
         """Of the tenants least ahead, the first that may be let in."""
--- a/spoolbarrow/door/faults.py
+++ b/spoolbarrow/admission/errors.py
@@ -5,7 +5,7 @@
 from spoolbarrow.errors import Problem
 
 
-class DoorError(Problem, ValueError):
+class AdmissionError(Problem, ValueError):
     """The door is to be made with bounds that can't be."""
 
     status = 2
--- a/spoolbarrow/door/gate.py
+++ b/spoolbarrow/admission/gate.py
@@ -12,7 +12,7 @@
 from msgspec.structs import replace
 
 from spoolbarrow import interface as i
-from spoolbarrow.door import door as d
+from spoolbarrow.admission import controller as d
 from spoolbarrow.router import ZONE_MEAN_VALID_MS, Router
 
 TIMER = "door"
@@ -30,14 +30,14 @@
     repeat: bool | None = None
 
 
-class Told(Struct, frozen=True):
+class Rejection(Struct, frozen=True):
     """A request that was turned away."""
 
     event: i.RequestArrived
-    away: d.TurnedAway
+    answer: d.Reject
 
 
-def weights(settings: i.Settings) -> tuple[float, ...]:
+def tenant_weights(settings: i.Settings) -> tuple[float, ...]:
     """Of the tenants where the operator names none: their quotas where all have one, else their portions."""
     quotas = [t.quota_per_s for t in settings.tenants]
     found = quotas if quotas and min(quotas) > 0.0 else [t.portion for t in settings.tenants]
@@ -54,7 +54,7 @@
     return b""
 
 
-class Gate:
+class AdmissionGate:
     """A router with a door.
 
     `who` tells who asks a request, `told` hears of those turned away, `failed` of a fault in the door; where
@@ -67,14 +67,14 @@
         settings: d.Settings,
         seed: int,
         who: Callable[[i.RequestArrived], Caller],
-        told: Callable[[Told], None] = lambda told: None,
+        told: Callable[[Rejection], None] = lambda told: None,
         failed: Callable[[Exception], None] | None = None,
         header: Callable[[int], bytes] = no_header,
     ) -> None:
         self.router = router
-        self.door = d.Door(settings, seed)
+        self.door = d.AdmissionController(settings, seed)
         self.actions: list[i.Action] = []
-        self._who, self._told, self._failed, self._header = who, told, failed, header
+        self._who, self._on_rejected, self._failed, self._header = who, told, failed, header
         self._events: dict[str, i.RequestArrived] = {}  # at the door, or let in and not over
         self._looked_at = float("-inf")
         self._over: list[str] = []  # what the decisions have failed since the last look
@@ -132,7 +132,7 @@
         for refusal in refused:
             event = self._events.get(refusal.request)
             if event is not None:
-                declined.append(d.Declined(self._arrived(event), refusal.retry_after_ms))
+                declined.append(d.RefusedByRouter(self._arrived(event), refusal.retry_after_ms))
         try:
             self._apply(self.door.handle(now, declined), [])
         except Exception as error:
@@ -172,7 +172,7 @@
                 self._events.pop(event.request, None)
                 door.left(now, event.request, False, 0.0)
             elif isinstance(event, i.TimerFired) and event.token == TIMER:
-                at_door.append(d.Woken())
+                at_door.append(d.TimerFired())
             else:
                 passed.append(event)
         if at_door or door.waiting:
@@ -214,16 +214,16 @@
 
     def _apply(self, actions: list[d.Action], passed: list[i.Event]) -> None:
         for action in actions:
-            if isinstance(action, d.LetIn):
+            if isinstance(action, d.Admit):
                 event = self._events[action.request]
                 if action.promised or action.waited_ms or action.standing != 1.0:
                     left = event.budget_ms - action.waited_ms
                     event = replace(event, budget_ms=left, promised=action.promised, standing=action.standing)
                 passed.append(event)
-            elif isinstance(action, d.TurnedAway):
+            elif isinstance(action, d.Reject):
                 event = self._events.pop(action.request)
                 header = self._header(action.ticket) if action.ticket else b""
                 self.actions.append(i.Refuse(action.request, action.retry_after_ms, header))
-                self._told(Told(event, action))
+                self._on_rejected(Rejection(event, action))
             else:
                 self.actions.append(i.SetTimer(TIMER, action.in_ms))
--- a/spoolbarrow/door/calendar.py
+++ b/spoolbarrow/admission/reservations.py
@@ -11,7 +11,7 @@
 from collections import OrderedDict
 from typing import Any, NamedTuple
 
-from spoolbarrow.door.faults import DoorError
+from spoolbarrow.admission.errors import AdmissionError
 
 Key = Any
 LEARN = 0.02  # weight of one caller in the share that comes back
@@ -25,12 +25,12 @@
     pieces: tuple[tuple[int, float], ...]  # slots, and the work set aside in each
 
 
-class Calendar:
+class ReservationCalendar:
     """Slots of `slot_ms` up to `horizon_ms` ahead; at most `most` callers hold a piece, `grace_ms` long."""
 
     def __init__(self, slot_ms: float, horizon_ms: float, most: int, grace_ms: float) -> None:
         if slot_ms <= 0.0 or horizon_ms < slot_ms or most < 1 or grace_ms < 0.0:
-            raise DoorError("", "slots and horizon must be above 0, and hold one caller at least")
+            raise AdmissionError("", "slots and horizon must be above 0, and hold one caller at least")
         self.slot_ms, self.horizon_ms, self.most, self.grace_ms = slot_ms, horizon_ms, most, grace_ms
         self.rate = 0.0  # tokens a millisecond that can be promised
         self.booked: dict[int, float] = {}
--- a/spoolbarrow/door/retries.py
+++ b/spoolbarrow/admission/retries.py
@@ -6,12 +6,12 @@
 
 from __future__ import annotations
 
-from spoolbarrow.door.faults import DoorError
+from spoolbarrow.admission.errors import AdmissionError
 
 LEAST_DEPTH = 3.0  # retries a quiet tenant may have at once
 
 
-class Budget:
+class RetryBudget:
     """One tenant's: each first try earns `ratio` of a retry, up to `depth` of them."""
 
     def __init__(self, ratio: float, depth: float = 50.0) -> None:
@@ -31,12 +31,12 @@
         return True
 
 
-class Seen:
+class RetryDetector:
     """What was asked of late, by a 64-bit number of session and prompt: the same again is a retry."""
 
     def __init__(self, window_ms: float, most: int) -> None:
         if window_ms <= 0.0 or most < 2:
-            raise DoorError("", "the window must be above 0, and hold two requests at least")
+            raise AdmissionError("", "the window must be above 0, and hold two requests at least")
         self.window_ms, self.most = window_ms, most
         self.young: dict[int, float] = {}
         self.old: dict[int, float] = {}
--- a/spoolbarrow/door/keeper.py
+++ b/spoolbarrow/admission/service.py
@@ -1,6 +1,6 @@
 """The door in the serving program: who asks, what the log says, tickets signed.
 
-The decisions are `door.Door`'s. A ticket is good at the router that gave it, and for one admission.
+The decisions are `controller.AdmissionController`'s. A ticket is good at the router that gave it, and for one admission.
 """
 
 from __future__ import annotations
@@ -15,8 +15,8 @@
 
 from spoolbarrow import interface as i
 from spoolbarrow.config import Config
-from spoolbarrow.door import door as d
-from spoolbarrow.door.gate import Caller, Gate, Told, no_header, weights
+from spoolbarrow.admission import controller as d
+from spoolbarrow.admission.gate import Caller, AdmissionGate, Rejection, no_header, tenant_weights
 from spoolbarrow.net.host import Host
 from spoolbarrow.net.log import log, log_exception
 from spoolbarrow.operator import DoorTable, index_of
@@ -32,7 +32,7 @@
 
     def __init__(self, table: DoorTable, config: Config) -> None:
         self.table = table
-        found = list(weights(config.settings))
+        found = list(tenant_weights(config.settings))
         for name, weight in table.weights.items():
             found[index_of(config.tenants, name, f"door.weights.{name}")] = weight
         self.settings = d.Settings(
@@ -44,7 +44,7 @@
         )  # fmt: skip
 
 
-class Keeper:
+class AdmissionService:
     """The door of one router."""
 
     def __init__(self, host: Host, prepared: Prepared) -> None:
@@ -53,14 +53,14 @@
         self._salt = int.from_bytes(os.urandom(8), "big")
         self._header = prepared.table.client_header.lower().encode()
         self._prepared = prepared
-        self._gate: Gate | None = None
+        self._gate: AdmissionGate | None = None
         host.set_decider(self._make)
         self._sayer = gevent.spawn(self._say)
 
-    def _make(self, router: Router) -> Gate:
+    def _make(self, router: Router) -> AdmissionGate:
         prepared = self._prepared
         header = self._show if prepared.table.tickets else no_header
-        self._gate = Gate(
+        self._gate = AdmissionGate(
             router, prepared.settings, self._salt, self._who, self._told,
             lambda error: log_exception("door", error), header,
         )  # fmt: skip
@@ -124,8 +124,8 @@
 
     # --- the log
 
-    def _told(self, told: Told) -> None:
-        request, away = self._host.find_request(told.event.request), told.away
+    def _told(self, told: Rejection) -> None:
+        request, away = self._host.find_request(told.event.request), told.answer
         log(
             "door_away", request=away.request, id=request.id if request is not None else "",
             tenant=told.event.tenant, why=away.why, retry_after_ms=round(away.retry_after_ms),
--- a/spoolbarrow/door/shares.py
+++ b/spoolbarrow/admission/shares.py
@@ -19,7 +19,7 @@
 from heapq import heappop, heappush
 from typing import Any
 
-from spoolbarrow.door.faults import DoorError
+from spoolbarrow.admission.errors import AdmissionError
 
 Key = Any  # hashable
 
@@ -33,16 +33,16 @@
         self.key = key
         self.weight = weight
         self.tag = 0.0
-        self.clients: Clocks | None = None  # who shares what this one is served, and up to which
+        self.clients: FairShares | None = None  # who shares what this one is served, and up to which
         self.synced = 0.0  # virtual time they have been served
 
 
-class Clocks:
+class FairShares:
     """Flows that share one capacity; `owed` bounds what one may be ahead."""
 
     def __init__(self, owed: float) -> None:
         if owed <= 0.0:
-            raise DoorError("", "what may be owed must be above 0")
+            raise AdmissionError("", "what may be owed must be above 0")
         self.owed = owed
         self.virtual = 0.0
         self.flows: dict[Key, Flow] = {}  # active ones: ahead of virtual time
@@ -111,18 +111,18 @@
             self.weight = self.weight - flow.weight if self.flows else 0.0
 
 
-class Shares:
+class TenantShares:
     """Tenants by weight, and within each its clients alike."""
 
     def __init__(self, weights: dict[Key, float], owed: float) -> None:
         self.owed = owed
-        self.tenants = Clocks(owed)
+        self.tenants = FairShares(owed)
         self.configure(weights)
 
     def configure(self, weights: dict[Key, float]) -> None:
         """Go by these weights; what was had stays had."""
         if not weights or any(weight <= 0.0 for weight in weights.values()):
-            raise DoorError("", "every tenant needs a weight above 0")
+            raise AdmissionError("", "every tenant needs a weight above 0")
         self.weights = dict(weights)
         self.least = min(weights.values())
 
@@ -160,11 +160,11 @@
         if flow is None:
             return  # a tenant that is not ahead has no client that is
         if clocks is None:
-            clocks = flow.clients = Clocks(self.owed)
+            clocks = flow.clients = FairShares(self.owed)
             flow.synced = self.tenants.virtual
         clocks.charge(client, 1.0, work)
 
-    def _clients(self, tenant: Key) -> Clocks | None:
+    def _clients(self, tenant: Key) -> FairShares | None:
         """A tenant's clients, served up to now."""
         flow = self.tenants.flows.get(tenant)
         if flow is None or flow.clients is None:
--- a/spoolbarrow/cli/shadow.py
+++ b/spoolbarrow/cli/shadow.py
@@ -41,7 +41,7 @@
     """
     try:
         from spoolbarrow.shadow import compare
-        from spoolbarrow.shadow.page import to_csv, to_html
+        from spoolbarrow.shadow.render import to_csv, to_html
     except ImportError as error:
         raise MissingPackage("lab", error) from error
     pairs = read(spools)
--- a/spoolbarrow/lab/doored.py
+++ b/spoolbarrow/lab/doored.py
@@ -6,8 +6,8 @@
 from random import Random
 
 from spoolbarrow import interface as i
-from spoolbarrow.door import door as d
-from spoolbarrow.door.gate import Caller, Gate, weights
+from spoolbarrow.admission import controller as d
+from spoolbarrow.admission.gate import Caller, AdmissionGate, tenant_weights
 from spoolbarrow.router import Router
 
 CLIENTS = 40  # of a tenant
@@ -25,9 +25,9 @@
     return Random(number).getrandbits(64)
 
 
-class Doored(Gate):
+class Doored(AdmissionGate):
     """A router with a door."""
 
     def __init__(self, settings: i.Settings, seed: int) -> None:
-        told = d.Settings(weights=weights(settings), max_retry_after_ms=settings.max_retry_after_ms)
+        told = d.Settings(weights=tenant_weights(settings), max_retry_after_ms=settings.max_retry_after_ms)
         super().__init__(Router(settings, seed), told, seed, who)
--- a/spoolbarrow/shadow/reading.py
+++ b/spoolbarrow/shadow/answer_recorder.py
@@ -42,7 +42,7 @@
 _decoder = msgspec.json.Decoder(_Event)
 
 
-class Reading:
+class AnswerRecorder:
     """An answer's events, fed as bytes cut anywhere."""
 
     def __init__(self) -> None:
@@ -106,14 +106,14 @@
             "octets": self.octets,
             "length": len(text),
             "cut": self.cut,
-            "words": chain(key, text),
+            "words": digest_chain(key, text),
         }
         if with_text:
             kept["text"] = text
         return kept
 
 
-def chain(key: bytes, text: str) -> str:
+def digest_chain(key: bytes, text: str) -> str:
     """A digest for each word, each of all words up to it (BLAKE2b keyed, RFC 7693), in hex.
 
     Two answers of one key agree in as many digests as their openings have words in common.
--- a/spoolbarrow/shadow/compare.py
+++ b/spoolbarrow/shadow/compare.py
@@ -14,7 +14,7 @@
 from msgspec import Struct
 from rapidfuzz.distance import Levenshtein
 
-from spoolbarrow.shadow.reading import DIGEST
+from spoolbarrow.shadow.answer_recorder import DIGEST
 
 Pair = dict[str, Any]
 LENGTHS = (1000, 4000, 8000, 16_000)  # prompt tokens that part the groups
--- a/spoolbarrow/shadow/copier.py
+++ b/spoolbarrow/shadow/copier.py
@@ -1,7 +1,7 @@
 """Copies sent and pairs kept: an observer of the taps, with connections and greenlets of its own.
 
 Owns what is out towards the candidate pool, and the pairs of answers whose halves have not both come. The
-decisions are `decide.Decider`'s; nothing that serves live traffic ever waits for anything here.
+decisions are `copy_controller.CopyController`'s; nothing that serves live traffic ever waits for anything here.
 """
 
 from __future__ import annotations
@@ -29,8 +29,8 @@
 from spoolbarrow.net.observers import Observer
 from spoolbarrow.net.request import Attempt, Request
 from spoolbarrow.operator import ShadowTable, index_of
-from spoolbarrow.shadow import decide
-from spoolbarrow.shadow.reading import Reading
+from spoolbarrow.shadow import copy_controller
+from spoolbarrow.shadow.answer_recorder import AnswerRecorder
 from spoolbarrow.spool import Spool
 
 ENDING = ".pairs.zst"
@@ -79,7 +79,7 @@
     return key
 
 
-def _limits(table: ShadowTable, config: Config) -> decide.Limits:
+def _limits(table: ShadowTable, config: Config) -> copy_controller.Limits:
     repeatable = {n for n, cls in enumerate(config.settings.classes) if cls.effect is i.Effect.SAFE}
     allowed = {index_of(config.classes, name, "shadow.classes") for name in table.classes} or repeatable
     if not allowed <= repeatable:
@@ -95,7 +95,7 @@
         classes = [index_of(config.classes, name, f"{key}.class")] if name else config.classes.values()
         of = [index_of(config.tenants, told.tenant, f"{key}.tenant")] if told.tenant else everyone
         shares |= {(cls, tenant): told.share for cls in classes for tenant in of}
-    return decide.Limits(
+    return copy_controller.Limits(
         share=table.share,
         shares=shares,
         classes=frozenset(allowed - denied),
@@ -128,7 +128,7 @@
         # Times count from when a request was written to its engine: what this router did before is its own.
         self.sent: dict[int, float] = {}  # by the live attempt's number; few
         self.copy_sent = now
-        self.live, self.copy = Reading(), Reading()
+        self.live, self.copy = AnswerRecorder(), AnswerRecorder()
         self.live_told: dict[str, Any] | None = None
         self.copy_told: dict[str, Any] | None = None
 
@@ -147,7 +147,7 @@
     def __init__(self, host: Host, prepared: Prepared) -> None:
         self._host = host
         self._prepared = prepared
-        self._decider = decide.Decider(host.now(), prepared.limits, host.config.seed)
+        self._decider = copy_controller.CopyController(host.now(), prepared.limits, host.config.seed)
         self._greenlets: dict[str, Any] = {}  # copies that are out
         self._pairs: dict[str, _Pair] = {}
         self._addresses: dict[str, Address] = {}
@@ -191,7 +191,7 @@
     def request_taken(self, request: Request, facts: i.RequestArrived) -> None:
         """Whether it is copied, and then its copy."""
         message, now = request.message, self._host.now()
-        event = decide.Taken(
+        event = copy_controller.RequestReceived(
             request.key,
             request.cls,
             request.tenant,
@@ -205,7 +205,7 @@
             self._decider.dropped["pairs waiting"] += 1
             return
         for action in self._decider.handle(now, [event]):
-            if isinstance(action, decide.Copy):
+            if isinstance(action, copy_controller.SendCopy):
                 self._pairs[request.key] = _Pair(request, facts, action.engine, now)
                 # The body is the live request's own, held once; it is let go when the copy is written.
                 copy = (request.key, message, action.engine, action.deadline_ms)
@@ -253,12 +253,12 @@
 
     def _pooled(self, entries: list[tuple[str, Address, bool, float]]) -> None:
         """Discovery's candidates: name, address, whether in service, start; with the configured ones."""
-        told = [decide.Engine(name) for name in self._prepared.addresses]
+        told = [copy_controller.Engine(name) for name in self._prepared.addresses]
         self._addresses = dict(self._prepared.addresses)
         for name, where, serving, started in entries:
-            told.append(decide.Engine(name, serving, started))
+            told.append(copy_controller.Engine(name, serving, started))
             self._addresses[name] = where
-        self._act(self._decider.handle(self._host.now(), [decide.Pool(tuple(told))]))
+        self._act(self._decider.handle(self._host.now(), [copy_controller.CandidatePool(tuple(told))]))
 
     def _copy(self, key: str, message: http1.Message, engine: str, deadline_ms: float) -> None:
         good, why, moot = False, "", False
@@ -318,27 +318,27 @@
             if parts:
                 now = self._host.now()
                 if not pair.copy.octets:
-                    self._act(self._decider.handle(now, [decide.Started(key)]))
+                    self._act(self._decider.handle(now, [copy_controller.CopyStarted(key)]))
                 pair.copy.feed(b"".join(parts), now - pair.copy_sent)
                 gevent.sleep(READ_PAUSE_S if size > most // 4 else 0)
         report = parse_load(parser.fields.get(LOAD_HEADER, b""))
         if report is not None and report.unread_tokens >= 0:
-            told = decide.Report(engine, report.unread_tokens)
+            told = copy_controller.LoadReport(engine, report.unread_tokens)
             self._act(self._decider.handle(self._host.now(), [told]))
         if not pair.copy.whole:
             raise Failed("no end of the stream")
 
     def _ended(self, key: str, good: bool, why: str, moot: bool = False) -> None:
         self._greenlets.pop(key, None)
-        self._act(self._decider.handle(self._host.now(), [decide.Ended(key, good, why, moot)]))
+        self._act(self._decider.handle(self._host.now(), [copy_controller.CopyEnded(key, good, why, moot)]))
         pair = self._pairs.get(key)
         if pair is not None:
             pair.copy_told = {"outcome": "served" if good else "failed", "why": why, "engine": pair.engine}
             self._keep(key, pair)
 
-    def _act(self, actions: list[decide.Action]) -> None:
+    def _act(self, actions: list[copy_controller.Action]) -> None:
         for action in actions:
-            if isinstance(action, decide.Abandon):
+            if isinstance(action, copy_controller.CancelCopy):
                 greenlet = self._greenlets.pop(action.request, None)
                 if greenlet is not None:
                     greenlet.kill(block=False)
@@ -346,7 +346,7 @@
                 if pair is not None:
                     pair.copy_told = {"outcome": "abandoned", "why": action.why, "engine": pair.engine}
                     self._keep(action.request, pair)
-            elif isinstance(action, decide.Say):
+            elif isinstance(action, copy_controller.LogEvent):
                 log("shadow", what=action.what, why=action.why)
 
     # Pairs
@@ -383,7 +383,7 @@
     # Pressure
 
     def _tick(self) -> None:
-        wait = decide.TICK_MS / 1000
+        wait = copy_controller.TICK_MS / 1000
         looked = said = time.monotonic()
         used = time.process_time()
         while True:
@@ -402,7 +402,7 @@
             except Exception as error:
                 log_exception("shadow", error)
 
-    def _pressure(self, lag_ms: float) -> decide.Pressure:
+    def _pressure(self, lag_ms: float) -> copy_controller.Pressure:
         since = self._host.now() - RECENT_MS
         while self._recent and self._recent[0][0] < since:
             self._recent.popleft()
@@ -410,7 +410,7 @@
         refused = sum(refused for _, refused in self._recent) / len(self._recent) if self._recent else 0.0
         unread = [tokens for _, tokens in self._unread.values()]
         mean = sum(unread) / len(unread) if unread else 0.0
-        return decide.Pressure(lag_ms=lag_ms, refused_share=refused, unread_tokens=mean, **self._slow)
+        return copy_controller.Pressure(lag_ms=lag_ms, refused_share=refused, unread_tokens=mean, **self._slow)
 
     def _look(self, cpu_share: float) -> dict[str, float]:
         limits = self._host.config.limits
--- a/spoolbarrow/shadow/decide.py
+++ b/spoolbarrow/shadow/copy_controller.py
@@ -13,7 +13,7 @@
 import xxhash
 from msgspec import Struct
 
-from spoolbarrow.shadow.limits import Allowance, Breaker, Circuit, Gcra, room
+from spoolbarrow.shadow.limits import Allowance, CircuitBreaker, Circuit, Gcra, headroom
 
 TICK_MS = 50.0
 TOKEN_BURST, REQUEST_BURST = 0.5, 0.25  # of the limits a second, see Gcra
@@ -53,13 +53,13 @@
     started_at_ms: float = 0.0
 
 
-class Pool(Struct, frozen=True):
+class CandidatePool(Struct, frozen=True):
     """The whole candidate pool, as it is now."""
 
     engines: tuple[Engine, ...]
 
 
-class Taken(Struct, frozen=True):
+class RequestReceived(Struct, frozen=True):
     """The host took a live request."""
 
     request: str
@@ -83,13 +83,13 @@
     cpu_share: float = 0.0
 
 
-class Started(Struct, frozen=True):
+class CopyStarted(Struct, frozen=True):
     """A copy's first event has come."""
 
     request: str
 
 
-class Ended(Struct, frozen=True):
+class CopyEnded(Struct, frozen=True):
     """A copy is over: `good` where the candidate answered as it should."""
 
     request: str
@@ -98,17 +98,17 @@
     moot: bool = False  # it tells nothing of the candidate
 
 
-class Report(Struct, frozen=True):
+class LoadReport(Struct, frozen=True):
     """A candidate's own account of its load."""
 
     engine: str
     unread_tokens: float
 
 
-Event = Pool | Taken | Pressure | Started | Ended | Report
+Event = CandidatePool | RequestReceived | Pressure | CopyStarted | CopyEnded | LoadReport
 
 
-class Copy(Struct, frozen=True):
+class SendCopy(Struct, frozen=True):
     """Send a copy of a live request."""
 
     request: str
@@ -116,21 +116,21 @@
     deadline_ms: float
 
 
-class Abandon(Struct, frozen=True):
+class CancelCopy(Struct, frozen=True):
     """End a copy now."""
 
     request: str
     why: str
 
 
-class Say(Struct, frozen=True):
+class LogEvent(Struct, frozen=True):
     """Something for the log."""
 
     what: str
     why: str
 
 
-Action = Copy | Abandon | Say
+Action = SendCopy | CancelCopy | LogEvent
 
 # What each pressure leaves alone, and where nothing is left over for copies.
 PRESSURES = (
@@ -154,7 +154,7 @@
         self.started = self.bad = False
 
 
-class Decider:
+class CopyController:
     """The decisions of one router."""
 
     def __init__(self, now: float, limits: Limits, seed: int) -> None:
@@ -170,7 +170,7 @@
         self.copied = 0
         self.allowance = Allowance()
         self._rates: dict[str, Gcra] = {}
-        self.breaker = Breaker(limits.bad_copies, limits.open_ms, limits.most_open_ms)
+        self.breaker = CircuitBreaker(limits.bad_copies, limits.open_ms, limits.most_open_ms)
         self.configure(now, limits)
 
     def configure(self, now: float, limits: Limits) -> list[Action]:
@@ -186,7 +186,7 @@
                 rate.take(now, rate.bucket)  # nothing at first: what the old limit let pass counts as well
         told = (limits.bad_copies, limits.open_ms, limits.most_open_ms)
         if self.breaker.settings != told:
-            self.breaker = Breaker(*told)
+            self.breaker = CircuitBreaker(*told)
         self._actions = []
         if limits.share <= 0 and not any(share > 0 for share in limits.shares.values()):
             self._abandon_all("switched off")
@@ -207,15 +207,15 @@
         self._actions, self._now = [], now
         self._expire(now)
         for event in events:
-            if isinstance(event, Taken):
+            if isinstance(event, RequestReceived):
                 self._taken(now, event)
-            elif isinstance(event, Started):
+            elif isinstance(event, CopyStarted):
                 self._started(now, event)
-            elif isinstance(event, Ended):
+            elif isinstance(event, CopyEnded):
                 self._ended(now, event)
             elif isinstance(event, Pressure):
                 self._pressed(event)
-            elif isinstance(event, Pool):
+            elif isinstance(event, CandidatePool):
                 self._pooled(now, event)
             elif event.engine in self._engines:
                 self._unread[event.engine] = event.unread_tokens
@@ -223,7 +223,7 @@
 
     # Which
 
-    def wanted(self, now: float, event: Taken) -> bool:
+    def wanted(self, now: float, event: RequestReceived) -> bool:
         """Whether a request is among those to be copied; the same at every router with the same salt."""
         limits = self.limits
         if event.retry or event.cls not in limits.classes or not limits.begin_ms <= now < limits.end_ms:
@@ -242,7 +242,7 @@
         )
         return bool(xxhash.xxh3_64_intdigest(key) < share * 2.0**64)
 
-    def _taken(self, now: float, event: Taken) -> None:
+    def _taken(self, now: float, event: RequestReceived) -> None:
         if not self.wanted(now, event):
             return
         engine, why = self._place(now, event)
@@ -255,14 +255,14 @@
         self._in_flight[engine] += 1
         self._held += event.held_bytes
         self.copied += 1
-        self._actions.append(Copy(event.request, engine, self.limits.deadline_ms))
+        self._actions.append(SendCopy(event.request, engine, self.limits.deadline_ms))
 
     # How much and where
 
     def _allowed(self) -> float:
         return self.allowance.value * self._room
 
-    def _place(self, now: float, event: Taken) -> tuple[str | None, str]:
+    def _place(self, now: float, event: RequestReceived) -> tuple[str | None, str]:
         """An engine for a copy, or why there is none."""
         limits, allowed = self.limits, self._allowed()
         if event.request in self._out:
@@ -284,7 +284,7 @@
         two = self._random.sample(open_ones, min(2, len(open_ones)))
         return min(two, key=lambda name: self._load(now, name)), ""
 
-    def _costs(self, event: Taken) -> list[tuple[str, float]]:
+    def _costs(self, event: RequestReceived) -> list[tuple[str, float]]:
         """What a copy takes of each rate: dearer the less is allowed, yet never more than a full bucket.
 
         Guards the copy that tries a pool again: at the least allowance no bucket would hold its price.
@@ -311,18 +311,18 @@
     def _pressed(self, event: Pressure) -> None:
         self._room, self._narrowest = 1.0, ""
         for name, field, free, full in PRESSURES:
-            if (left := room(getattr(event, field), free, full)) < self._room:
+            if (left := headroom(getattr(event, field), free, full)) < self._room:
                 self._room, self._narrowest = left, name
 
     # What comes of copies
 
-    def _started(self, now: float, event: Started) -> None:
+    def _started(self, now: float, event: CopyStarted) -> None:
         one = self._out.get(event.request)
         if one is None or one.started:
             return
         one.started = True
 
-    def _ended(self, now: float, event: Ended) -> None:
+    def _ended(self, now: float, event: CopyEnded) -> None:
         one = self._forget(event.request)
         if one is None:
             return  # abandoned before
@@ -335,7 +335,7 @@
             self.allowance.better()
             self.breaker.good(one.trial)
             if before is not self.breaker.state:
-                self._actions.append(Say("breaker closed", "a copy went well"))
+                self._actions.append(LogEvent("breaker closed", "a copy went well"))
 
     def _bad(self, now: float, one: _Out, why: str) -> None:
         """A copy went badly; that counts once."""
@@ -347,18 +347,18 @@
         self.breaker.bad(now, one.trial)
         if self.breaker.state is Circuit.OPEN and before is not Circuit.OPEN:
             self.allowance.reset()
-            self._actions.append(Say("breaker open", why))
+            self._actions.append(LogEvent("breaker open", why))
 
     def _expire(self, now: float) -> None:
         for request, one in list(self._out.items()):
             if now - one.begun >= self.limits.deadline_ms:
                 self._forget(request)
-                self._actions.append(Abandon(request, "deadline"))
+                self._actions.append(CancelCopy(request, "deadline"))
                 self._bad(now, one, "deadline")
             elif not one.started and now - one.begun > self.limits.slow_first_ms:
                 self._bad(now, one, "slow first event")
 
-    def _pooled(self, now: float, event: Pool) -> None:
+    def _pooled(self, now: float, event: CandidatePool) -> None:
         """Follow the pool: copies at what has gone are abandoned, those at what drains may finish."""
         new = {engine.name: engine for engine in event.engines}
         for name in self._engines.keys() - new.keys():
@@ -367,7 +367,7 @@
             before, after = self._engines.get(one.engine), new.get(one.engine)
             if after is None or (before is not None and before.started_at_ms != after.started_at_ms):
                 self._forget(request)
-                self._actions.append(Abandon(request, "engine gone"))
+                self._actions.append(CancelCopy(request, "engine gone"))
                 self.breaker.moot(now, one.trial)
         self._engines = new
 
@@ -384,4 +384,4 @@
         for request, one in list(self._out.items()):
             self._forget(request)
             self.breaker.moot(self._now, one.trial)
-            self._actions.append(Abandon(request, why))
+            self._actions.append(CancelCopy(request, why))
--- a/spoolbarrow/shadow/limits.py
+++ b/spoolbarrow/shadow/limits.py
@@ -62,7 +62,7 @@
     HALF_OPEN = 2  # one copy is out, to see
 
 
-class Breaker:
+class CircuitBreaker:
     """Opens after so many bad copies on end; then one at a time is tried, ever more seldom."""
 
     def __init__(self, bad_copies: int, open_ms: float, most_open_ms: float) -> None:
@@ -112,7 +112,7 @@
         self.state, self._until, self._bad = Circuit.OPEN, now + self._open_ms, 0
 
 
-def room(value: float, free: float, full: float) -> float:
+def headroom(value: float, free: float, full: float) -> float:
     """How much a pressure leaves: 1 up to `free`, 0 from `full` on, in between what is left of the way."""
     if value <= free:
         return 1.0
--- a/spoolbarrow/subsystems.py
+++ b/spoolbarrow/subsystems.py
@@ -20,8 +20,8 @@
 
 if TYPE_CHECKING:
     from spoolbarrow.admin.coordinator import Coordinator
-    from spoolbarrow.door import keeper
-    from spoolbarrow.door.keeper import Keeper
+    from spoolbarrow.admission import service
+    from spoolbarrow.admission.service import AdmissionService
     from spoolbarrow.flows import exporter
     from spoolbarrow.flows.exporter import Exporter
     from spoolbarrow.net.failover import ZoneMonitor
@@ -74,7 +74,7 @@
     operator: Operator | None = None
     flows: exporter.Prepared | None = None
     shadow: copier.Prepared | None = None
-    door: keeper.Prepared | None = None
+    door: service.Prepared | None = None
     failover: FailoverTable | None = None
     agree: Operator | None = None
     fleet: FleetTable | None = None
@@ -156,10 +156,10 @@
 
         return Copier(self._host, prepared)
 
-    def _start_door(self, prepared: keeper.Prepared) -> Keeper:
-        from spoolbarrow.door.keeper import Keeper
+    def _start_door(self, prepared: service.Prepared) -> AdmissionService:
+        from spoolbarrow.admission.service import AdmissionService
 
-        return Keeper(self._host, prepared)
+        return AdmissionService(self._host, prepared)
 
     def _start_failover(self, table: FailoverTable) -> ZoneMonitor:
         from spoolbarrow.net.failover import ZoneMonitor
@@ -201,14 +201,14 @@
     return copier.Prepared(operator.shadow, settings)
 
 
-def _prepare_door(operator: Operator, settings: Config) -> keeper.Prepared | None:
+def _prepare_door(operator: Operator, settings: Config) -> service.Prepared | None:
     if operator.door is None:
         return None
     if find_spec("xxhash") is None:
         raise NeedsPackage("door", "needs the package xxhash (extra `door`)")
-    from spoolbarrow.door import keeper
+    from spoolbarrow.admission import service
 
-    return keeper.Prepared(operator.door, settings)
+    return service.Prepared(operator.door, settings)
 
 
 def _prepare_failover(operator: Operator, settings: Config) -> FailoverTable | None:
--- a/tests/test_door.py
+++ b/tests/test_admission_control.py
@@ -9,25 +9,25 @@
 from hypothesis import strategies as st
 
 from spoolbarrow import interface as i
-from spoolbarrow.door.calendar import Calendar
-from spoolbarrow.door.capacity import Capacity
-from spoolbarrow.door.clients import Clients, Heavy, shared_wholly
-from spoolbarrow.door.door import (
+from spoolbarrow.admission.reservations import ReservationCalendar
+from spoolbarrow.admission.capacity import CapacityEstimator
+from spoolbarrow.admission.clients import ClientAccounts, HeavyHitters, shared_wholly
+from spoolbarrow.admission.controller import (
     Arrived,
-    Declined,
-    Door,
-    Ended,
+    RefusedByRouter,
+    AdmissionController,
+    RequestEnded,
     Event,
-    LetIn,
-    Load,
+    Admit,
+    FleetLoad,
     Settings,
-    TurnedAway,
-    Wake,
-    Woken,
+    Reject,
+    SetTimer,
+    TimerFired,
 )  # fmt: skip
-from spoolbarrow.door.gate import TIMER, Caller, Gate, Told, weights
-from spoolbarrow.door.retries import LEAST_DEPTH, Budget, Seen
-from spoolbarrow.door.shares import Clocks, Shares
+from spoolbarrow.admission.gate import TIMER, Caller, AdmissionGate, Rejection, tenant_weights
+from spoolbarrow.admission.retries import LEAST_DEPTH, RetryBudget, RetryDetector
+from spoolbarrow.admission.shares import FairShares, TenantShares
 from spoolbarrow.router import Router
 from tests.world import make_settings
 
@@ -36,7 +36,7 @@
 
 
 def contend(
-    shares: Clocks,
+    shares: FairShares,
     weights: dict[str, float],
     works: list[tuple[str, float]],
     step: float,
@@ -62,7 +62,7 @@
     weights: dict[str, float], sizes: list[float], rng: Random
 ) -> None:
     credit, largest = 150.0, max(sizes)
-    shares = Clocks(1e9)
+    shares = FairShares(1e9)
     keys = sorted(weights)
     for key in keys:  # all are busy from the start, and stay so: each is offered work in every round
         shares.charge(key, weights[key], credit)
@@ -87,7 +87,7 @@
 @given(st.lists(st.tuples(st.sampled_from("abc"), WORK, st.floats(0.0, 60.0)), max_size=150))
 def test_nobody_is_charged_what_was_served(steps: list[tuple[str, float, float]]) -> None:
     """What all are ahead is what was given less what was served, while somebody is: work conservation."""
-    shares, given_, served = Clocks(1e12), 0.0, 0.0
+    shares, given_, served = FairShares(1e12), 0.0, 0.0
     for key, work, step in steps:
         before = sum(shares.ahead(flow) for flow in shares.flows)
         shares.advance(step)
@@ -102,7 +102,7 @@
 
 def test_shares_follow_weights_and_an_idle_ones_is_lent() -> None:
     weights = {"a": 0.6, "b": 0.4}
-    shares = Clocks(200.0)
+    shares = FairShares(200.0)
     had = contend(shares, weights, [("a", 5.0), ("b", 5.0)] * 2000, 4.0)
     assert had["a"] / had["b"] == pytest.approx(1.5, rel=0.03)
     alone = contend(shares, weights, [("b", 5.0), ("b", 5.0)] * 500, 4.0)
@@ -113,7 +113,7 @@
 
 
 def test_who_was_idle_has_saved_nothing() -> None:
-    shares = Clocks(200.0)
+    shares = FairShares(200.0)
     contend(shares, {"a": 1.0, "b": 1.0}, [("b", 5.0)] * 1000, 4.0)
     burst = 0.0
     while shares.ahead("a") < 20.0:
@@ -123,7 +123,7 @@
 
 
 def test_what_is_owed_is_bounded_and_corrected() -> None:
-    shares = Clocks(100.0)
+    shares = FairShares(100.0)
     shares.charge("b", 1.0, 5.0)
     for _ in range(1000):
         shares.charge("a", 1.0, 5.0)  # taken while nothing was short
@@ -137,7 +137,7 @@
 
 
 def test_clients_of_a_tenant_are_alike_and_leave_nothing_behind() -> None:
-    shares = Shares({"t": 1.0, "u": 1.0}, owed=400.0)
+    shares = TenantShares({"t": 1.0, "u": 1.0}, owed=400.0)
     had = dict.fromkeys("xyz", 0.0)
     for n in range(6000):
         shares.advance(3.0)
@@ -160,7 +160,7 @@
 @ALIKE
 @given(st.lists(st.tuples(st.integers(0, 40), WORK), max_size=300))
 def test_counts_of_the_heavy_are_true_within_their_error(asked: list[tuple[int, float]]) -> None:
-    heavy, true = Heavy(8), dict.fromkeys(range(41), 0.0)
+    heavy, true = HeavyHitters(8), dict.fromkeys(range(41), 0.0)
     for client, work in asked:
         heavy.add(client, work)
         true[client] += work
@@ -173,7 +173,7 @@
 
 
 def test_a_flood_of_new_clients_costs_no_memory_and_hides_no_heavy_one() -> None:
-    clients, rng = Clients(slots=64), Random(5)
+    clients, rng = ClientAccounts(slots=64), Random(5)
     loud, quiet = rng.getrandbits(64), rng.getrandbits(64)
     for n in range(50_000):
         clients.add(rng.getrandbits(64), 1.0)
@@ -192,7 +192,7 @@
 def test_the_chance_to_share_all_buckets() -> None:
     assert shared_wholly(0, 4, 128) == 0.0 and shared_wholly(100_000, 4, 128) == pytest.approx(1.0)
     assert shared_wholly(10, 4, 128) < 1e-4
-    rng, clients = Random(1), Clients(rows=2, width=16)
+    rng, clients = Random(1), ClientAccounts(rows=2, width=16)
     hit = 0
     for _ in range(4000):
         heavy = {bucket for _ in range(4) for bucket in clients.buckets(rng.getrandbits(64))}
@@ -201,7 +201,7 @@
 
 
 def test_retries_are_a_share_of_first_tries() -> None:
-    budget = Budget(0.1, depth=5.0)
+    budget = RetryBudget(0.1, depth=5.0)
     assert [budget.retry() for _ in range(5)] == [True] * 3 + [False] * 2
     for _ in range(25):
         budget.first()
@@ -212,7 +212,7 @@
 
 
 def test_the_same_prompt_of_a_session_is_a_retry_within_the_window() -> None:
-    seen = Seen(1000.0, 100)
+    seen = RetryDetector(1000.0, 100)
     assert not seen.again(0.0, 7) and seen.again(900.0, 7) and not seen.again(900.0, 8)
     assert not seen.again(2500.0, 7)
     for n in range(10_000):
@@ -230,7 +230,7 @@
     )
 )
 def test_promises_fit_the_calendar(steps: list[tuple[str, int, float, float, float]]) -> None:
-    calendar, now = Calendar(50.0, 1000.0, 20, 100.0), 0.0
+    calendar, now = ReservationCalendar(50.0, 1000.0, 20, 100.0), 0.0
     calendar.expect(2.0, 0.25)
     told: dict[int, float] = {}
     for kind, key, work, spread, ms in steps:
@@ -261,7 +261,7 @@
 
 
 def test_who_comes_early_is_told_the_same_time() -> None:
-    calendar = Calendar(100.0, 2000.0, 100, 200.0)
+    calendar = ReservationCalendar(100.0, 2000.0, 100, 200.0)
     calendar.expect(1.0, 0.0)
     wait = calendar.tell(0.0, "a", 60.0, 0.5)
     assert wait == 150.0
@@ -273,7 +273,7 @@
 
 
 def test_those_who_do_not_come_back_are_overbooked() -> None:
-    calendar = Calendar(100.0, 100_000.0, 10_000, 250.0)
+    calendar = ReservationCalendar(100.0, 100_000.0, 10_000, 250.0)
     calendar.expect(1.0, 0.0)
     now = 0.0
     for n in range(400):
@@ -286,14 +286,14 @@
 
 
 def test_the_clock_set_back_leaves_no_promise_behind() -> None:
-    calendar = Calendar(100.0, 2000.0, 100, 200.0)
+    calendar = ReservationCalendar(100.0, 2000.0, 100, 200.0)
     calendar.expect(1.0, 0.0)
     calendar.tell(1e9, "a", 150.0, 0.5)
     assert calendar.tell(0.0, "b", 60.0, 0.5) == 150.0 and set(calendar.callers) == {"b"}
 
 
 def test_a_rate_is_capacity_only_where_the_fleet_was_full() -> None:
-    capacity = Capacity()
+    capacity = CapacityEstimator()
     for second in range(10):
         capacity.passes(1000.0 * second, False)
         capacity.finished += 500.0
@@ -310,8 +310,8 @@
     assert capacity.rate == pytest.approx(0.25, rel=0.02)  # a clock that jumps has not passed that time
 
 
-def door(**changes: float) -> Door:
-    return Door(Settings(weights=(0.6, 0.4), **changes), 1)  # type: ignore[arg-type]
+def door(**changes: float) -> AdmissionController:
+    return AdmissionController(Settings(weights=(0.6, 0.4), **changes), 1)  # type: ignore[arg-type]
 
 
 def ask(
@@ -320,25 +320,25 @@
     return Arrived(name, tenant, client, 100.0, 5000.0, session=session, repeat=repeat)
 
 
-def filled(made: Door) -> Door:
+def filled(made: AdmissionController) -> AdmissionController:
     """Full, with 40 of the first tenant's inside, of its clients 0 to 7, and 10 of the other's."""
     made.handle(0.0, [ask(f"a{n}", 0, n % 8 << 40) for n in range(40)])
     made.handle(0.0, [ask(f"b{n}", 1, 99) for n in range(10)])
-    made.handle(1.0, [Load(1.2)])
+    made.handle(1.0, [FleetLoad(1.2)])
     made.wronged[1] = 1.0
     return made
 
 
-def away(made: Door, now: float, event: Event) -> TurnedAway:
+def away(made: AdmissionController, now: float, event: Event) -> Reject:
     (action,) = made.handle(now, [event])
-    assert isinstance(action, TurnedAway), action
+    assert isinstance(action, Reject), action
     return action
 
 
 def test_everybody_is_let_in_while_the_fleet_is_not_full() -> None:
     made = door()
     names = [str(n) for n in range(500)]
-    assert made.handle(0.0, [ask(name) for name in names]) == [LetIn(name) for name in names]
+    assert made.handle(0.0, [ask(name) for name in names]) == [Admit(name) for name in names]
     assert made.under_way == 50_000.0 and not made.shares.tenants.flows  # nobody is watched
 
 
@@ -347,35 +347,35 @@
     told = away(made, 2.0, ask("more", client=77))
     assert told.why == "share" and told.ahead > told.limit and 0.0 < told.retry_after_ms <= 2000.0
     (other,) = made.handle(2.0, [ask("other", 1, 98)])
-    assert isinstance(other, LetIn) and other.standing > 1.0  # within its share
+    assert isinstance(other, Admit) and other.standing > 1.0  # within its share
     # A share is lent while nobody is refused within their own; who has it is the first to be refused.
     made.wronged.clear()
     (lent,) = made.handle(2.0, [ask("lent", client=77)])
-    assert isinstance(lent, LetIn) and lent.standing < 1.0
+    assert isinstance(lent, Admit) and lent.standing < 1.0
     # Of one tenant alone nobody is beyond its share, but a client may be.
     alone = door()
-    alone.handle(0.0, [Load(0.95)])
+    alone.handle(0.0, [FleetLoad(0.95)])
     alone.handle(0.0, [ask(f"y{n}", 1, 6 + n << 16) for n in range(10)])
     alone.handle(0.0, [ask(f"x{n}", 1, 5) for n in range(90)])
     assert away(alone, 2.0, ask("x", 1, 5)).why == "client"
     quiet = alone.handle(2.0, [ask("y", 1, 6 << 16), ask("z", 1, 50 << 16)])
-    assert all(isinstance(action, LetIn) for action in quiet)
+    assert all(isinstance(action, Admit) for action in quiet)
 
 
 def test_who_has_nothing_under_way_is_never_turned_away_for_a_share() -> None:
     made = filled(door())
     for n in range(10):
-        made.handle(2.0 + n, [Ended(f"b{n}", False)])
-    made.handle(100.0, [Load(5.0)])
+        made.handle(2.0 + n, [RequestEnded(f"b{n}", False)])
+    made.handle(100.0, [FleetLoad(5.0)])
     assert made.shares.ahead(1) == 0.0 and made.shares.ahead(0) == pytest.approx(made.under_way)
-    assert isinstance(made.handle(101.0, [ask("first", 1)])[0], LetIn)
+    assert isinstance(made.handle(101.0, [ask("first", 1)])[0], Admit)
 
 
-def declined(made: Door, now: float, event: Arrived) -> TurnedAway:
+def declined(made: AdmissionController, now: float, event: Arrived) -> Reject:
     """Let in by the door, refused by the decisions."""
     (action,) = made.handle(now, [event])
-    assert isinstance(action, LetIn) and not action.promised
-    return away(made, now, Declined(event, 77.0))
+    assert isinstance(action, Admit) and not action.promised
+    return away(made, now, RefusedByRouter(event, 77.0))
 
 
 def test_who_comes_at_its_time_is_let_in_and_who_comes_early_gains_nothing() -> None:
@@ -386,12 +386,12 @@
     at = 2.0 + told.retry_after_ms
     early = declined(made, at - 1.0, ask("early", 1, 98))
     assert early.promised and early.retry_after_ms == pytest.approx(1.0)
-    assert made.handle(at, [ask("again", 1, 98)]) == [LetIn("again", True)]
+    assert made.handle(at, [ask("again", 1, 98)]) == [Admit("again", True)]
     # One without a session is known by its ticket, and only once.
     told = declined(made, at, Arrived("none", 1, 98, 100.0, 5000.0))
     at += told.retry_after_ms
     again = Arrived("shown", 1, 98, 100.0, 5000.0, ticket=told.ticket)
-    assert told.ticket > 0 and made.handle(at, [again]) == [LetIn("shown", True)]
+    assert told.ticket > 0 and made.handle(at, [again]) == [Admit("shown", True)]
     assert declined(made, at, again).promised  # another time, not the old one
     # Nothing is promised that would come too late to be served in time, nor beyond a share.
     soon = Arrived("soon", 1, 98, 100.0, 5000.0, aim_ms=20.0, session=50)
@@ -412,37 +412,37 @@
 def test_a_storm_of_retries_ends_at_the_door() -> None:
     made = filled(door())
     storm = made.handle(2.0, [ask(f"r{n}", 1, n << 20, n + 2, repeat=True) for n in range(50)])
-    assert sum(isinstance(action, LetIn) for action in storm) <= LEAST_DEPTH + 1  # which first tries earned
-    assert {action.why for action in storm if isinstance(action, TurnedAway)} == {"retries"}
+    assert sum(isinstance(action, Admit) for action in storm) <= LEAST_DEPTH + 1  # which first tries earned
+    assert {action.why for action in storm if isinstance(action, Reject)} == {"retries"}
     # Unmarked ones are known by session and prompt.
     same = Arrived("s", 1, 7, 100.0, 5000.0, session=9, prompt=1234)
-    assert isinstance(made.handle(3.0, [same])[0], LetIn)
+    assert isinstance(made.handle(3.0, [same])[0], Admit)
     assert away(made, 4.0, same).why == "retries"
     resumed = Arrived("t", 1, 7, 100.0, 5000.0, session=9, prompt=1234, resumed=True)
-    assert made.handle(5.0, [resumed]) == [LetIn("t")]
+    assert made.handle(5.0, [resumed]) == [Admit("t")]
 
 
 def test_who_may_wait_is_let_in_when_its_turn_comes_or_told_at_once_when_it_is_over() -> None:
     made = filled(door(max_wait_ms=100.0, most_waiting=2))
-    assert made.handle(2.0, [ask("w")]) == [Wake(20.0)]
+    assert made.handle(2.0, [ask("w")]) == [SetTimer(20.0)]
     assert made.handle(3.0, [ask("v", session=2)]) == []
     assert away(made, 4.0, ask("u", session=3)).why == "share"  # bounded
     # One of them goes while others are served, and the other has its turn.
-    assert made.handle(5.0, [Ended("w", False)]) == [] and list(made.waiting) == ["v"]
-    assert made.handle(6.0, [Load(0.1)]) == [LetIn("v", waited_ms=3.0)]
+    assert made.handle(5.0, [RequestEnded("w", False)]) == [] and list(made.waiting) == ["v"]
+    assert made.handle(6.0, [FleetLoad(0.1)]) == [Admit("v", waited_ms=3.0)]
     again = filled(door(max_wait_ms=100.0))
-    assert again.handle(8.0, [ask("t", session=4)]) == [Wake(20.0)] and list(again.waiting) == ["t"]
-    (told,) = again.handle(109.0, [Woken()])
+    assert again.handle(8.0, [ask("t", session=4)]) == [SetTimer(20.0)] and list(again.waiting) == ["t"]
+    (told,) = again.handle(109.0, [TimerFired()])
     made = again
-    assert isinstance(told, TurnedAway) and told.request == "t" and not made.waiting and not made.queues
+    assert isinstance(told, Reject) and told.request == "t" and not made.waiting and not made.queues
 
 
 def test_what_is_over_leaves_nothing_behind() -> None:
     made = filled(door())
     names = list(made.inside)
-    made.handle(100.0, [*(Ended(name, True, 40.0) for name in names), Ended("unknown", True, 1.0)])
+    made.handle(100.0, [*(RequestEnded(name, True, 40.0) for name in names), RequestEnded("unknown", True, 1.0)])
     assert not made.inside and made.under_way == 0.0 and made.cost < 1.0
-    made.handle(2000.0, [Load(0.0)])
+    made.handle(2000.0, [FleetLoad(0.0)])
     assert made.capacity.rate > 0.0 and not made.shares.tenants.flows
 
 
@@ -475,17 +475,17 @@
             events = [Arrived(f"q{n}", tenant, tenant * 7919 << kind * 16, work, 1000.0, 900.0, n)]
             count += 1
         elif kind == 3:
-            events = [Load(work / 250.0)]
+            events = [FleetLoad(work / 250.0)]
         elif made.inside:
             name = sorted(made.inside)[int(work) % len(made.inside)]
             events = [
-                Ended(name, kind == 4, work)
+                RequestEnded(name, kind == 4, work)
                 if kind < 6
-                else Declined(Arrived(name, 0, 1, work, 1000.0), work)
+                else RefusedByRouter(Arrived(name, 0, 1, work, 1000.0), work)
             ]
             open_.discard(name)
         for action in made.handle(10.0 * n, events):
-            if isinstance(action, LetIn):
+            if isinstance(action, Admit):
                 assert action.request not in open_
                 open_.add(action.request)
         assert open_ == set(made.inside)
@@ -500,9 +500,9 @@
 # --- the gate
 
 
-def gate(told: list[Told], **changes: float) -> Gate:
+def gate(told: list[Rejection], **changes: float) -> AdmissionGate:
     router = Router(make_settings(zones=1, probing=False), 1)
-    made = Gate(
+    made = AdmissionGate(
         router, Settings(weights=(1.0, 1.0), **changes), 1,  # type: ignore[arg-type]
         lambda event: Caller(event.session << 32, ticket=event.prefix), told.append,
         header=lambda ticket: b"X: %d" % ticket,
@@ -515,7 +515,7 @@
     return i.RequestArrived(name, 0, 5000.0, tenant, 100, 0, 50, session, ticket)
 
 
-def fill(made: Gate, now: float, fullness: float) -> None:
+def fill(made: AdmissionGate, now: float, fullness: float) -> None:
     made.router.pool.zone_updated_at[0], made.router.pool.zone_load_ms[0] = (
         now,
         fullness * made.router.full_wait_ms,
@@ -523,7 +523,7 @@
 
 
 def test_the_gate_passes_on_what_is_let_in_and_gives_refusals_their_time() -> None:
-    told: list[Told] = []
+    told: list[Rejection] = []
     made = gate(told)
     sent = [a for a in made.handle(1.0, [arrived(f"a{n}") for n in range(8)]) if isinstance(a, i.Send)]
     assert len(sent) == 8 and made.door.under_way == 8 * 150.0
@@ -535,10 +535,10 @@
     assert "b0" in made.door.inside
     made.door.wronged[1] = 1.0
     (refuse,) = made.handle(101.0, [arrived("a9")])
-    assert isinstance(refuse, i.Refuse) and told[0].away.why == "share" and refuse.header == b""
+    assert isinstance(refuse, i.Refuse) and told[0].answer.why == "share" and refuse.header == b""
     fill(made, 200.0, 100.0)
     (refuse,) = made.handle(200.0, [arrived("b9", 1)])
-    assert isinstance(refuse, i.Refuse) and told[1].away.why == "full" and refuse.header == b"X: 2"
+    assert isinstance(refuse, i.Refuse) and told[1].answer.why == "full" and refuse.header == b"X: 2"
     fill(made, 200.0, 1.2)
     back = made.handle(200.0 + refuse.retry_after_ms, [arrived("back", 1, ticket=2)])
     assert any(isinstance(a, i.Send) and a.request == "back" for a in back)  # though the fleet is full
@@ -547,11 +547,11 @@
 
 
 def test_what_the_decisions_refuse_leaves_by_the_door() -> None:
-    told: list[Told] = []
+    told: list[Rejection] = []
     made = gate(told)
     made.handle(1.0, [i.ReplicaList(i.ListKind.WHOLE, ())])
     (refuse,) = made.handle(2.0, [arrived("a")])
-    assert isinstance(refuse, i.Refuse) and told[0].away.why == "full"
+    assert isinstance(refuse, i.Refuse) and told[0].answer.why == "full"
     assert not made._events and not made.door.inside
 
 
@@ -583,6 +583,6 @@
 
 def test_weights_are_quotas_where_all_are_told() -> None:
     quotas = (i.Tenant(0.5, 3.0), i.Tenant(0.5, 1.0))
-    assert weights(make_settings(tenants=quotas)) == (3.0, 1.0)
-    assert weights(make_settings(tenants=(i.Tenant(0.7), i.Tenant(0.3)))) == (0.7, 0.3)
-    assert weights(make_settings(tenants=())) == (1.0,)
+    assert tenant_weights(make_settings(tenants=quotas)) == (3.0, 1.0)
+    assert tenant_weights(make_settings(tenants=(i.Tenant(0.7), i.Tenant(0.3)))) == (0.7, 0.3)
+    assert tenant_weights(make_settings(tenants=())) == (1.0,)
--- a/tests/test_door_serving.py
+++ b/tests/test_admission_service.py
@@ -15,15 +15,15 @@
 from spoolbarrow import config, operator
 from spoolbarrow.cli.door import command
 from spoolbarrow.config import ConfigError
-from spoolbarrow.door.gate import Caller, Gate
-from spoolbarrow.door.keeper import TICKET, Keeper, Prepared
+from spoolbarrow.admission.gate import Caller, AdmissionGate
+from spoolbarrow.admission.service import TICKET, AdmissionService, Prepared
 from spoolbarrow.interface import RequestArrived
 from spoolbarrow.operator import DoorTable
 from tests.router_harness import ask, make_config, running_router, serve_all, wait_until
 from tests.test_cli import write_operator_file
 
 
-def full(scene: Any, gate: Gate, fullness: float) -> None:
+def full(scene: Any, gate: AdmissionGate, fullness: float) -> None:
     """As if probes had told so, from now on."""
     pool, router = gate.router.pool, gate.router
     pool.zone_updated_at[0], pool.zone_load_ms[0] = (
@@ -33,8 +33,8 @@
 
 
 @contextmanager
-def guarded(scene: Any, **changes: Any) -> Iterator[tuple[Keeper, Gate]]:
-    keeper = Keeper(scene.host, Prepared(DoorTable(**changes), scene.config))
+def guarded(scene: Any, **changes: Any) -> Iterator[tuple[AdmissionService, AdmissionGate]]:
+    keeper = AdmissionService(scene.host, Prepared(DoorTable(**changes), scene.config))
     gate = keeper._gate
     assert gate is not None
     try:
@@ -97,7 +97,7 @@
 
 def test_a_reload_changes_weights_and_switching_off_hands_on_who_waits() -> None:
     with running_router(serve_all) as (scene, _):
-        keeper = Keeper(scene.host, Prepared(DoorTable(max_wait_ms=60_000.0), scene.config))
+        keeper = AdmissionService(scene.host, Prepared(DoorTable(max_wait_ms=60_000.0), scene.config))
         gate = keeper._gate
         assert gate is not None
         full(scene, gate, 0.45)
--- a/tests/test_shadow.py
+++ b/tests/test_shadow.py
@@ -24,7 +24,7 @@
 from spoolbarrow.operator import ShadowTable, ShareTable
 from spoolbarrow.shadow import copier as copier_module
 from spoolbarrow.shadow.copier import ENDING, Copier, Prepared, Writer
-from spoolbarrow.shadow.reading import Reading, chain
+from spoolbarrow.shadow.answer_recorder import AnswerRecorder, digest_chain
 from spoolbarrow.spool import read_spool_file
 from tests.router_harness import (
     EVENTS,
@@ -147,16 +147,16 @@
 
 
 def test_digests_tell_common_openings_and_nothing_without_the_key() -> None:
-    one, other = chain(b"k" * 16, "the cat sat on"), chain(b"k" * 16, "the cat lay on")
+    one, other = digest_chain(b"k" * 16, "the cat sat on"), digest_chain(b"k" * 16, "the cat lay on")
     assert one[:16] == other[:16] and one[16:] != other[16:] and one[24:] != other[24:]
-    assert chain(b"j" * 16, "the cat sat on") != one
+    assert digest_chain(b"j" * 16, "the cat sat on") != one
 
 
 def test_an_answer_is_read_alike_however_it_is_cut() -> None:
     text = b"".join(EVENTS) + b": X-Backend-Load: x1=1\n\ndata: {odd\n\ndata: " + b"x" * 70_000
-    whole = Reading()
+    whole = AnswerRecorder()
     whole.feed(text, 1.0)
-    bytewise = Reading()
+    bytewise = AnswerRecorder()
     for n in range(len(text)):
         bytewise.feed(text[n : n + 1], 1.0)
     assert whole.told(b"k" * 16, True) == bytewise.told(b"k" * 16, True)
--- a/tests/test_shadow_decide.py
+++ b/tests/test_shadow_copy_controller.py
@@ -10,8 +10,8 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from spoolbarrow.shadow import decide as d
-from spoolbarrow.shadow.limits import Allowance, Breaker, Circuit, Gcra, room
+from spoolbarrow.shadow import copy_controller as d
+from spoolbarrow.shadow.limits import Allowance, CircuitBreaker, Circuit, Gcra, headroom
 
 ALL = d.Limits(
     share=1.0,
@@ -34,7 +34,7 @@
     return d.Limits(**{**{name: getattr(ALL, name) for name in ALL.__struct_fields__}, **changes})
 
 
-def taken(request: str, **changes: Any) -> d.Taken:
+def taken(request: str, **changes: Any) -> d.RequestReceived:
     plain: dict[str, Any] = {
         "cls": 0,
         "tenant": 0,
@@ -42,32 +42,32 @@
         "prompt_tokens": 10,
         "answer_tokens": 10,
     }
-    return d.Taken(request, **{**plain, "held_bytes": 100, **changes})
+    return d.RequestReceived(request, **{**plain, "held_bytes": 100, **changes})
 
 
-def ready(limits: d.Limits = ALL, engines: int = 2) -> d.Decider:
+def ready(limits: d.Limits = ALL, engines: int = 2) -> d.CopyController:
     """A decider with a warm pool, at 10,000 ms, its buckets full and its allowance whole."""
-    made = d.Decider(0.0, limits, 1)
+    made = d.CopyController(0.0, limits, 1)
     made.allowance.value = 1.0
-    made.handle(10_000.0, [d.Pool(tuple(d.Engine(f"c{n}") for n in range(engines)))])
+    made.handle(10_000.0, [d.CandidatePool(tuple(d.Engine(f"c{n}") for n in range(engines)))])
     return made
 
 
-def copies(actions: list[d.Action]) -> list[d.Copy]:
-    return [action for action in actions if isinstance(action, d.Copy)]
+def copies(actions: list[d.Action]) -> list[d.SendCopy]:
+    return [action for action in actions if isinstance(action, d.SendCopy)]
 
 
 # Which
 
 
 def test_a_conversation_is_copied_whole_or_not_at_all_and_alike_at_every_router() -> None:
-    one, other = (d.Decider(0.0, change(share=0.3, salt=b"x"), seed) for seed in (1, 2))
+    one, other = (d.CopyController(0.0, change(share=0.3, salt=b"x"), seed) for seed in (1, 2))
     picked = [one.wanted(0.0, taken(str(n))) for n in range(1, 10_001)]
     assert abs(sum(picked) / 10_000 - 0.3) < 0.02
     for n in range(1, 200):
         again = [other.wanted(0.0, taken(str(n + 50_000), session=n)) for _ in range(3)]
         assert set(again) == {picked[n - 1]}
-    salted = d.Decider(0.0, change(share=0.3, salt=b"y"), 1)
+    salted = d.CopyController(0.0, change(share=0.3, salt=b"y"), 1)
     assert [salted.wanted(0.0, taken(str(n))) for n in range(1, 200)] != picked[:199]
 
 
@@ -136,7 +136,7 @@
     assert made.dropped[f"pressure: {name}"] == 1
     made.handle(10_000.0, [d.Pressure()])
     assert copies(made.handle(11_000.0, [taken("100")]))
-    assert room(full + 1, free, full) == 0.0
+    assert headroom(full + 1, free, full) == 0.0
 
 
 def test_trouble_cuts_the_allowance_once_and_success_brings_it_back() -> None:
@@ -155,12 +155,12 @@
 # Back off
 
 
-def state(breaker: Breaker) -> Circuit:
+def state(breaker: CircuitBreaker) -> Circuit:
     return breaker.state
 
 
 def test_the_breaker_opens_tries_one_ever_more_seldom_and_closes() -> None:
-    made = Breaker(2, 100.0, 300.0)
+    made = CircuitBreaker(2, 100.0, 300.0)
     made.bad(0.0, False)
     made.bad(0.0, False)
     assert state(made) is Circuit.OPEN and not made.allows(99.0)
@@ -179,12 +179,12 @@
     made = ready()
     assert len(copies(made.handle(10_000.0, [taken(str(n)) for n in range(1, 5)]))) == 4
     said = made.handle(11_001.0, [])
-    assert [s.what for s in said if isinstance(s, d.Say)] == ["breaker open"]
+    assert [s.what for s in said if isinstance(s, d.LogEvent)] == ["breaker open"]
     assert not copies(made.handle(11_002.0, [taken("9")])) and made.dropped["breaker open"] == 1
     gone = made.handle(13_000.0, [])
-    assert {a.why for a in gone if isinstance(a, d.Abandon)} == {"deadline"} and not made.out()
+    assert {a.why for a in gone if isinstance(a, d.CancelCopy)} == {"deadline"} and not made.out()
     assert len(copies(made.handle(13_001.0, [taken("10"), taken("11")]))) == 1  # one tries
-    made.handle(13_100.0, [d.Started("10"), d.Ended("10", True)])
+    made.handle(13_100.0, [d.CopyStarted("10"), d.CopyEnded("10", True)])
     assert made.breaker.state is Circuit.CLOSED and made.allowance.value < 0.1
 
 
@@ -193,7 +193,7 @@
         made = ready()
         out = copies(made.handle(10_000.0, [taken("1"), taken("2")]))
         done = made.configure(10_001.0, change(share=0.0)) if off else made.stop(10_001.0)
-        assert {a.request for a in done if isinstance(a, d.Abandon)} == {c.request for c in out}
+        assert {a.request for a in done if isinstance(a, d.CancelCopy)} == {c.request for c in out}
         assert len(out) == 2 and not made.out()
         assert made._held == 0 and not made._in_flight
 
@@ -204,21 +204,21 @@
 def test_a_cold_engine_gets_less_a_draining_one_nothing_and_a_gone_ones_copies_end() -> None:
     made = ready(change(in_flight=20, engine_in_flight=10), engines=0)
     cold = d.Engine("cold", started_at_ms=10_000.0)
-    made.handle(10_000.0, [d.Pool((cold, d.Engine("old", serving=False)))])
+    made.handle(10_000.0, [d.CandidatePool((cold, d.Engine("old", serving=False)))])
     found = copies(made.handle(10_000.0, [taken(str(n)) for n in range(1, 11)]))
     assert {c.engine for c in found} == {"cold"} and len(found) == 2  # a fifth of ten
-    made.handle(10_000.0, [d.Pool((cold, d.Engine("old")))])
+    made.handle(10_000.0, [d.CandidatePool((cold, d.Engine("old")))])
     more = copies(made.handle(10_000.0, [taken(str(n)) for n in range(11, 16)]))
     assert {c.engine for c in more} == {"old"}
     restarted = d.Engine("cold", started_at_ms=12_000.0)
-    gone = made.handle(12_000.0, [d.Pool((restarted, d.Engine("old", serving=False)))])
-    assert {a.request for a in gone if isinstance(a, d.Abandon)} == {c.request for c in found}
+    gone = made.handle(12_000.0, [d.CandidatePool((restarted, d.Engine("old", serving=False)))])
+    assert {a.request for a in gone if isinstance(a, d.CancelCopy)} == {c.request for c in found}
     assert set(made.out().values()) == {"old"}
 
 
 def test_the_less_loaded_of_two_is_taken() -> None:
     made = ready(change(in_flight=20, engine_in_flight=20))
-    made.handle(10_000.0, [d.Report("c0", 40_000.0)])
+    made.handle(10_000.0, [d.LoadReport("c0", 40_000.0)])
     found = copies(made.handle(10_000.0, [taken(str(n)) for n in range(1, 6)]))
     assert {c.engine for c in found} == {"c1"}
 
@@ -229,7 +229,7 @@
     def __init__(self) -> None:
         super().__init__()
         self.now, self.number = 10_000.0, 0
-        self.made = d.Decider(0.0, ALL, 1)
+        self.made = d.CopyController(0.0, ALL, 1)
         self.made.allowance.value = 1.0
         self.pool: tuple[d.Engine, ...] = ()
         self.passed: list[tuple[float, int, int]] = []
@@ -266,15 +266,15 @@
         out = list(self.made.out())
         if out:
             name = out[which % len(out)]
-            events: list[d.Event] = [d.Started(name)] if started else []
-            self.told(self.made.handle(self.now, [*events, d.Ended(name, good)]))
+            events: list[d.Event] = [d.CopyStarted(name)] if started else []
+            self.told(self.made.handle(self.now, [*events, d.CopyEnded(name, good)]))
             assert name not in self.made.out()
 
     @rule(serving=st.lists(st.booleans(), max_size=4), fresh=st.booleans())
     def change_pool(self, serving: list[bool], fresh: bool) -> None:
         at = self.now if fresh else 0.0
         self.pool = tuple(d.Engine(f"c{n}", up, at) for n, up in enumerate(serving))
-        self.told(self.made.handle(self.now, [d.Pool(self.pool), d.Report("c0", 100.0)]))
+        self.told(self.made.handle(self.now, [d.CandidatePool(self.pool), d.LoadReport("c0", 100.0)]))
         assert set(self.made.out().values()) <= {e.name for e in self.pool}
 
     @rule(lag=st.sampled_from([0.0, 10.0, 30.0]), memory=st.sampled_from([0.1, 0.7, 0.9]))
--- a/tests/test_shadow_report.py
+++ b/tests/test_shadow_report.py
@@ -12,8 +12,8 @@
 
 from spoolbarrow.cli import main
 from spoolbarrow.shadow import compare as c
-from spoolbarrow.shadow.page import to_csv, to_html
-from spoolbarrow.shadow.reading import chain
+from spoolbarrow.shadow.render import to_csv, to_html
+from spoolbarrow.shadow.answer_recorder import digest_chain
 from spoolbarrow.spool import Spool
 
 KEY = b"k" * 16
@@ -33,7 +33,7 @@
         "octets": 50,
         "length": len(text),
         "cut": False,
-        "words": chain(KEY, text),
+        "words": digest_chain(KEY, text),
         **changes,
     }
 
