--- a/benchmarks/flows.py
+++ b/benchmarks/flows.py
@@ -30,8 +30,8 @@
 from spoolbarrow.flows import encode  # noqa: E402
 from spoolbarrow.flows.collector import Listener  # noqa: E402
 from spoolbarrow.flows.decode import Message, Session  # noqa: E402
-from spoolbarrow.flows.elements import CONNECTION, REQUESTS  # noqa: E402
-from spoolbarrow.flows.encode import IPFIX, Stream, Writer  # noqa: E402
+from spoolbarrow.flows.elements import CONNECTION_TEMPLATE, REQUEST_TEMPLATE  # noqa: E402
+from spoolbarrow.flows.encode import IPFIX, ExportStream, RecordWriter  # noqa: E402
 from spoolbarrow.flows.sender import Sender  # noqa: E402
 from spoolbarrow.net.log import default_log  # noqa: E402
 from spoolbarrow.operator import Collector, FlowsTable  # noqa: E402
@@ -87,7 +87,7 @@
         "packetDeltaCount",
         "reversePacketDeltaCount",
     )
-    for record in rig.flows(CONNECTION.number):
+    for record in rig.flows(CONNECTION_TEMPLATE.number):
         if record["routerConnectionSide"] == 0:
             total = sums.setdefault(record["sourceTransportPort"], [0] * 4)
             for n, name in enumerate(names):
@@ -108,7 +108,7 @@
 
 def rates(number: int) -> dict[str, float]:
     """Records a second that are written and read, and read by a library."""
-    writer, stream = Writer(CONNECTION), Stream(IPFIX, 1, OWN, 16_384, 0.0)
+    writer, stream = RecordWriter(CONNECTION_TEMPLATE), ExportStream(IPFIX, 1, OWN, 16_384, 0.0)
     ends = (encode.ipv4("127.0.0.1"), encode.ipv4("127.0.0.2"), 4000, 7070, 6)
     values = (1, 2, 3, *ends, 100, 2, 48, 1, 300, 3, 200, 2, 1, 3, 0, 5, 0, 120)
     messages = stream.template_messages(0.0)
@@ -148,7 +148,7 @@
     table = FlowsTable([str(where)], flush_ms=1.0)
     statistics_record = encode.statistics_writer.record(1, 0, 0, 0, 0, 0, 0)
     sender = Sender(where, table, list, lambda stream, queue: statistics_record, 0.0)
-    writer, before = Writer(REQUESTS), 0
+    writer, before = RecordWriter(REQUEST_TEMPLATE), 0
     for n in range(number):
         sender.queue.add(writer.record(1, 2, 3, n, 0, 0, 1, 4, 1, 1, 20, 60, 600))
         if n % 500 == 499:
@@ -180,11 +180,11 @@
             load.run()
             cpu = {kind: used - before[kind] for kind, used in rig.cpu().items()}
             for _ in range(100):  # the last records are on their way
-                if len(rig.flows(REQUESTS.number)) >= load.asked["on"] + 1:
+                if len(rig.flows(REQUEST_TEMPLATE.number)) >= load.asked["on"] + 1:
                     break
                 gevent.sleep(0.05)
             gevent.sleep(1.0)
-            requests = len(rig.flows(REQUESTS.number)) - 1  # one was asked to see whether it serves
+            requests = len(rig.flows(REQUEST_TEMPLATE.number)) - 1  # one was asked to see whether it serves
             records = sum(len(m.records) for m in rig.messages)
             off = differences(rig, load)
             stalled = rig.times_stalled()
--- a/spoolbarrow/cli/flows.py
+++ b/spoolbarrow/cli/flows.py
@@ -22,8 +22,8 @@
 from spoolbarrow.cli.errors import BadArgument
 from spoolbarrow.config import CannotListen
 from spoolbarrow.errors import MissingPackage
-from spoolbarrow.flows import tables
-from spoolbarrow.flows.collector import Listener, read_file, server_context
+from spoolbarrow.flows import analysis
+from spoolbarrow.flows.collector import Listener, read_ipfix_file, server_tls_context
 from spoolbarrow.flows.decode import FlowError, Message
 
 ENTERPRISE = click.option(
@@ -31,7 +31,7 @@
 )
 FORM = click.option("--format", "form", type=click.Choice(["table", "json", "csv"]), default="table")
 FILES = click.argument("files", nargs=-1, required=True, type=click.Path(path_type=Path, exists=True))
-KIND = click.option("--kind", type=click.Choice([*tables.KINDS, "all"]), default="all", show_default=True)
+KIND = click.option("--kind", type=click.Choice([*analysis.ROW_KINDS, "all"]), default="all", show_default=True)
 TEMPLATES_KEPT = 64  # messages with templates kept for the beginnings of new files, each exporter
 # What people read: the rest is in JSON and CSV.
 NOT_IN_TABLES = frozenset({"kind", "exporter", "class_index", "tenant_index", "engine_flow", "flow"})
@@ -71,7 +71,7 @@
     Prints each record, and keeps files with --directory. What could not be read is counted at the end, and
     then the exit status is 1.
     """
-    end, names, seen = Event(), tables.Names(), 0
+    end, names, seen = Event(), analysis.NameTable(), 0
     writer = Printer(form, stream=True)
     keeper = Keeper(directory, file_bytes) if directory is not None else None
 
@@ -79,7 +79,7 @@
         nonlocal seen
         if keeper is not None:
             keeper.keep(exporter, message, data)
-        for row in tables.rows([(exporter, message)], names):
+        for row in analysis.flow_rows([(exporter, message)], names):
             if kind in ("all", row["kind"]) and not (records and seen >= records):
                 writer.row(row)
                 seen += 1
@@ -96,7 +96,7 @@
             if not (ca and certificate and key):
                 raise BadArgument(text, "tls:// needs --ca, --certificate and --key")
             try:
-                tls = server_context(ca, certificate, key)
+                tls = server_tls_context(ca, certificate, key)
             except OSError as error:
                 raise BadArgument("--ca, --certificate, --key", str(error)) from error
         try:
@@ -133,7 +133,7 @@
 
 @command.command()
 @FILES
-@click.option("--by", type=click.Choice(tables.BY), default="tenant", show_default=True)
+@click.option("--by", type=click.Choice(analysis.RANK_KEYS), default="tenant", show_default=True)
 @click.option("--start", type=click.DateTime(), help="Flows that ended from then on (UTC).")
 @click.option("--end", type=click.DateTime(), help="Flows that ended until then (UTC).")
 @click.option("--last", type=float, help="Instead: of the last so many seconds in the files.")
@@ -158,7 +158,7 @@
     if last is not None:
         begin = max((row["end_ms"] for row in found), default=0.0) - last * 1000
     writer = Printer(form)
-    for rank in tables.top(found, by, begin, until)[:most]:
+    for rank in analysis.rank_flows(found, by, begin, until)[:most]:
         writer.row({by: rank.name, **{name: getattr(rank, name) for name in rank._fields[1:]}})
     writer.end()
     return reader.status()
@@ -172,14 +172,14 @@
     """Hold request records against the router's log; name each difference, and exit with 1 for any."""
     reader = Reader(files, enterprise)
     differences = 0
-    for text in tables.verify(reader.rows(), _log_lines(log)):
+    for text in analysis.differences_from_log(reader.rows(), _log_lines(log)):
         differences += 1
         click.echo(text)
     click.echo(f"{differences} differences")
     return 1 if differences else reader.status()
 
 
-def _log_lines(log: Iterable[bytes]) -> Iterator[tables.Row]:
+def _log_lines(log: Iterable[bytes]) -> Iterator[analysis.Row]:
     for line in log:
         try:
             told = orjson.loads(line)
@@ -196,10 +196,10 @@
         self._files, self._enterprise = files, enterprise
         self._faulty = 0
 
-    def rows(self) -> Iterator[tables.Row]:
+    def rows(self) -> Iterator[analysis.Row]:
         """All rows, file by file."""
         for path in self._files:
-            yield from tables.rows((path.name, message) for message in self._messages(path))
+            yield from analysis.flow_rows((path.name, message) for message in self._messages(path))
 
     def status(self) -> int:
         """The command's exit status."""
@@ -207,7 +207,7 @@
 
     def _messages(self, path: Path) -> Iterator[Message]:
         try:
-            yield from read_file(path, self._enterprise)
+            yield from read_ipfix_file(path, self._enterprise)
         except FlowError as error:
             self._faulty += 1
             tell(error, f"{path}: ")
@@ -218,10 +218,10 @@
 
     def __init__(self, form: str, stream: bool = False) -> None:
         self._form, self._stream = form, stream
-        self._rows: list[tables.Row] = []
+        self._rows: list[analysis.Row] = []
         self._csv: dict[tuple[str, ...], Any] = {}
 
-    def row(self, row: tables.Row) -> None:
+    def row(self, row: analysis.Row) -> None:
         """One more."""
         if self._form == "json":
             sys.stdout.buffer.write(orjson.dumps(row, option=orjson.OPT_APPEND_NEWLINE))
--- a/spoolbarrow/cli/store.py
+++ b/spoolbarrow/cli/store.py
@@ -81,7 +81,7 @@
         config.parse_address("--listen", listen),
         config.parse_address("--control", control),
         directory / f"{name}.store",
-        Settings(election_ms=1000.0, beat_ms=100.0),
+        Settings(election_timeout_ms=1000.0, heartbeat_ms=100.0),
         most_pages,
     )
     default_log.start()
--- a/spoolbarrow/flows/tables.py
+++ b/spoolbarrow/flows/analysis.py
@@ -7,16 +7,16 @@
 from typing import Any, NamedTuple
 
 from spoolbarrow.flows.decode import Message
-from spoolbarrow.flows.elements import CONNECTION, END_REASONS, NAMED, NONE_MS, OUTCOMES, REQUESTS
+from spoolbarrow.flows.elements import CONNECTION_TEMPLATE, END_REASONS, NAMED, NONE_MS, OUTCOMES, REQUEST_TEMPLATE
 
 Row = dict[str, Any]
-KINDS = (CONNECTION.name, REQUESTS.name)
-BY = ("tenant", "class", "engine", "address")
+ROW_KINDS = (CONNECTION_TEMPLATE.name, REQUEST_TEMPLATE.name)
+RANK_KEYS = ("tenant", "class", "engine", "address")
 SKEW_MS = 5000.0  # a log's line and a record of the same request are not further apart
 TOLERANCE_MS = 1  # each side rounds for itself
 
 
-class Names:
+class NameTable:
     """What exporters call the numbers in their records, by exporter and domain."""
 
     def __init__(self) -> None:
@@ -32,9 +32,9 @@
         return self._names.get((exporter, domain, NAMED.index(kind), index), f"#{index}" if index else "")
 
 
-def rows(told: Iterable[tuple[str, Message]], names: Names | None = None) -> Iterator[Row]:
+def flow_rows(told: Iterable[tuple[str, Message]], names: NameTable | None = None) -> Iterator[Row]:
     """A row for each connection and request record, in their order."""
-    names = names or Names()
+    names = names or NameTable()
     for exporter, message in told:
         for record in message.records:
             values, domain = record.values, message.domain
@@ -47,7 +47,7 @@
                 yield _connection(exporter, domain, values, names)
 
 
-def _connection(exporter: str, domain: int, v: Row, names: Names) -> Row:
+def _connection(exporter: str, domain: int, v: Row, names: NameTable) -> Row:
     return {
         "kind": "connection",
         "exporter": exporter,
@@ -68,7 +68,7 @@
     }
 
 
-def _request(exporter: str, domain: int, v: Row, names: Names) -> Row:
+def _request(exporter: str, domain: int, v: Row, names: NameTable) -> Row:
     def named(kind: str, element: str) -> str:
         # A class's or a tenant's number may be 0; an engine's is none then.
         index = v[element]
@@ -108,7 +108,7 @@
     first_ms: float | None  # mean time to the first event
 
 
-def top(found: Iterable[Row], by: str, start_ms: float = 0.0, end_ms: float = float("inf")) -> list[Rank]:
+def rank_flows(found: Iterable[Row], by: str, start_ms: float = 0.0, end_ms: float = float("inf")) -> list[Rank]:
     """Who had most, over a span of ends of flows: by tenant, class, engine or client's address."""
     tables: dict[str, list[Row]] = defaultdict(list)
     for row in found:
@@ -143,7 +143,7 @@
     )
 
 
-def verify(found: Iterable[Row], log: Iterable[Row]) -> Iterator[str]:
+def differences_from_log(found: Iterable[Row], log: Iterable[Row]) -> Iterator[str]:
     """Each difference between request records and the router's own log, by the request's number.
 
     A log of a restarted router uses numbers again: of several, the nearest in time is meant.
--- a/spoolbarrow/flows/collector.py
+++ b/spoolbarrow/flows/collector.py
@@ -138,7 +138,7 @@
         log("flow_message_refused", exporter=name, octet=error.offset, rule=error.rule)
 
 
-def server_context(ca: str, certificate: str, key: str) -> ssl.SSLContext:
+def server_tls_context(ca: str, certificate: str, key: str) -> ssl.SSLContext:
     """A collector's side of TLS: exporters must show a certificate that `ca` signed. OSError, SSLError."""
     from gevent import ssl as gevent_ssl
 
@@ -150,7 +150,7 @@
     return context
 
 
-def read_file(path: Path, enterprise: int) -> Iterator[Message]:
+def read_ipfix_file(path: Path, enterprise: int) -> Iterator[Message]:
     """The messages of an IPFIX file, plain or zstd; FlowError where it breaks a rule.
 
     What a torn tail leaves whole is read; then a FlowError tells where the file ends.
--- a/spoolbarrow/flows/elements.py
+++ b/spoolbarrow/flows/elements.py
@@ -168,7 +168,7 @@
 END_REASONS = {1: "idle", 2: "active", 3: "ended", 4: "forced", 5: "resources"}  # flowEndReason (RFC 5102)
 
 _TWO_WAY = (OCTETS, PACKETS, PAYLOAD, PAYLOAD_PACKETS)
-CONNECTION = Template(
+CONNECTION_TEMPLATE = Template(
     256,
     "connection",
     (
@@ -190,7 +190,7 @@
         ROUND_TRIP,
     ),
 )
-REQUESTS = Template(
+REQUEST_TEMPLATE = Template(
     257,
     "request",
     (
@@ -238,7 +238,7 @@
     2,
 )
 SAMPLING = Template(261, "sampling", (DOMAIN, SELECTOR_ALGORITHM, SAMPLING_PROBABILITY), 1)
-TEMPLATES = (CONNECTION, REQUESTS, NAMES, STATISTICS, TYPES, SAMPLING)
+TEMPLATES = (CONNECTION_TEMPLATE, REQUEST_TEMPLATE, NAMES, STATISTICS, TYPES, SAMPLING)
 HASH_FILTERING = 6  # selectorAlgorithm: hash-based (RFC 5477, section 8.2.2)
 
 # NetFlow v9 has no enterprise elements (RFC 3954): it carries connections, and no requests or names.
--- a/spoolbarrow/flows/encode.py
+++ b/spoolbarrow/flows/encode.py
@@ -51,7 +51,7 @@
     octets: int = 0
 
 
-class Writer:
+class RecordWriter:
     """Writes the records of one template."""
 
     def __init__(self, template: Template) -> None:
@@ -101,11 +101,11 @@
 
 def type_records(enterprise: int) -> list[Record]:
     """What the program's own elements are, for collectors that never heard of them (RFC 5610)."""
-    writer = Writer(TYPES)
+    writer = RecordWriter(TYPES)
     return [writer.record(enterprise, e.number, e.kind, e.semantics, e.units, e.name) for e in OWN_ELEMENTS]
 
 
-class Stream:
+class ExportStream:
     """The messages to one collector: IPFIX's Transport Session, or NetFlow's Export Stream."""
 
     def __init__(self, version: int, domain: int, enterprise: int, most: int, origin: float) -> None:
@@ -187,4 +187,4 @@
     return _SET.pack(number, _SET.size + len(body) + len(padding)) + body + padding
 
 
-name_writer, statistics_writer, sampling_writer = Writer(NAMES), Writer(STATISTICS), Writer(SAMPLING)
+name_writer, statistics_writer, sampling_writer = RecordWriter(NAMES), RecordWriter(STATISTICS), RecordWriter(SAMPLING)
--- a/spoolbarrow/flows/exporter.py
+++ b/spoolbarrow/flows/exporter.py
@@ -19,14 +19,14 @@
 from spoolbarrow.config import CannotWrite, Config, ConfigError, NeedsPackage
 from spoolbarrow.flows import encode, meter
 from spoolbarrow.flows.elements import (
-    CONNECTION,
+    CONNECTION_TEMPLATE,
     HASH_FILTERING,
     NAMED,
     OUTCOMES,
-    REQUESTS,
+    REQUEST_TEMPLATE,
     V9_CONNECTION,
 )
-from spoolbarrow.flows.encode import Record, Stream, Writer, ipv4, uptime_ms
+from spoolbarrow.flows.encode import Record, ExportStream, RecordWriter, ipv4, uptime_ms
 from spoolbarrow.flows.queue import RecordQueue
 from spoolbarrow.flows.sender import Sender, Sink, now_ms
 from spoolbarrow.net import tcpinfo
@@ -122,8 +122,8 @@
         self._answers: dict[str, int] = {}  # octets passed on, by request
         self._engines = Engines()
         self._sinks: dict[str, Sink] = {}
-        self._connection, self._request = Writer(CONNECTION), Writer(REQUESTS)
-        self._v9 = Writer(V9_CONNECTION)
+        self._connection, self._request = RecordWriter(CONNECTION_TEMPLATE), RecordWriter(REQUEST_TEMPLATE)
+        self._v9 = RecordWriter(V9_CONNECTION)
         self.faults = 0  # connections that could not be read
         self.apply(prepared)
         host.observers.add(self)
@@ -319,7 +319,7 @@
         told.append(encode.sampling_writer.record(self._table.domain_id, HASH_FILTERING, share))
         return told
 
-    def _statistics(self, stream: Stream, queue: RecordQueue) -> Record:
+    def _statistics(self, stream: ExportStream, queue: RecordQueue) -> Record:
         return encode.statistics_writer.record(
             os.getpid(),
             stream.messages,
--- a/spoolbarrow/flows/files.py
+++ b/spoolbarrow/flows/files.py
@@ -13,7 +13,7 @@
 import gevent
 from gevent.event import Event
 
-from spoolbarrow.flows.encode import IPFIX, Record, Stream
+from spoolbarrow.flows.encode import IPFIX, Record, ExportStream
 from spoolbarrow.flows.queue import RecordQueue
 from spoolbarrow.flows.sender import RECORDS_AT_ONCE, STATISTICS_MS, now_ms
 from spoolbarrow.net.log import log, log_exception
@@ -34,12 +34,12 @@
         collector: Collector,
         table: FlowsTable,
         options: Callable[[], list[Record]],
-        statistics: Callable[[Stream, RecordQueue], Record],
+        statistics: Callable[[ExportStream, RecordQueue], Record],
         origin: float,
     ) -> None:
         self.collector, self._table, self._options, self._statistics = collector, table, options, statistics
         self.queue = RecordQueue(table.queue_records, table.queue_bytes)
-        self.stream = Stream(IPFIX, table.domain_id, table.enterprise, FILE_MESSAGE, origin)
+        self.stream = ExportStream(IPFIX, table.domain_id, table.enterprise, FILE_MESSAGE, origin)
         self._spool = Spool(Path(collector.directory), ENDING, table.file_keep)
         self._statistics_at = 0.0
         self._failed = False
--- a/spoolbarrow/flows/sender.py
+++ b/spoolbarrow/flows/sender.py
@@ -19,7 +19,7 @@
 from gevent import socket
 from gevent.event import Event
 
-from spoolbarrow.flows.encode import IPFIX, V9, Record, Stream
+from spoolbarrow.flows.encode import IPFIX, V9, Record, ExportStream
 from spoolbarrow.flows.queue import RecordQueue
 from spoolbarrow.net import tcpinfo
 from spoolbarrow.net.log import log, log_exception
@@ -136,7 +136,7 @@
         collector: Collector,
         table: FlowsTable,
         options: Callable[[], list[Record]],
-        statistics: Callable[[Stream, RecordQueue], Record],
+        statistics: Callable[[ExportStream, RecordQueue], Record],
         origin: float,
         tls: Any = None,
     ) -> None:
@@ -146,7 +146,7 @@
         udp = collector.kind == "udp"
         most = table.mtu - UDP_OVERHEAD if udp else TCP_MESSAGE
         version = IPFIX if table.format == "ipfix" else V9
-        self.stream = Stream(version, table.domain_id, table.enterprise, most, origin)
+        self.stream = ExportStream(version, table.domain_id, table.enterprise, most, origin)
         self._backoff = Backoff(table.retry_least_ms, table.retry_most_ms, random.Random())
         self._unacknowledged = Unacknowledged()
         self._sock: Any = None
--- a/spoolbarrow/lab/quorum.py
+++ b/spoolbarrow/lab/quorum.py
@@ -20,7 +20,7 @@
 from spoolbarrow.store.raft import (
     Append,
     Entry,
-    Hard,
+    HardState,
     Install,
     Known,
     Message,
@@ -79,7 +79,7 @@
         self.life = 0
         self.leap = 0.0  # of its clock
         # The disk:
-        self.hard, self.snapshot = Hard(), Snapshot()
+        self.hard, self.snapshot = HardState(), Snapshot()
         self.entries: list[Entry] = []
         self.lives: Mapping[str, int] = {}
         self.kept: list[Saved] = []  # copies of it, each made while no process ran
@@ -95,7 +95,7 @@
 
     def lay_back(self, saved: Saved) -> None:
         """An older file stands in its place."""
-        self.hard, self.snapshot, self.lives = saved.hard, saved.snapshot, saved.lives
+        self.hard, self.snapshot, self.lives = saved.hard_state, saved.snapshot, saved.incarnations
         self.entries, self.old = list(saved.entries), True
 
 
@@ -105,7 +105,7 @@
     def __init__(self, seed: int, size: int = 3, make: Callable[..., Raft] = Raft, aim: Aim = ANY) -> None:
         self.rng, self.make, self.aim = Random(seed), make, aim
         # Small batches, so that a log is mended in many steps.
-        self.settings = Settings(batch=2, spread=SPREADS[seed % len(SPREADS)])
+        self.settings = Settings(batch_entries=2, election_jitter=SPREADS[seed % len(SPREADS)])
         self.names = [f"m{n}" for n in range(size)]
         self.members = {name: Member(name) for name in self.names}
         self.now = 0.0
@@ -194,7 +194,7 @@
         others = [one for one in self.members.values() if one is not member]
         quorum = len(self.names) // 2 + 1
         known = sorted(one.lives.get(name, 0) for one in others)[quorum - 2]  # by all but too few to be asked
-        kept = [saved for saved in member.kept if saved.lives.get(name, 0) < known]
+        kept = [saved for saved in member.kept if saved.incarnations.get(name, 0) < known]
         if kept and sum(one.old for one in others) + 1 < quorum:
             self.restored += 1
             member.lay_back(self.rng.choice(kept))
@@ -235,7 +235,7 @@
             write()
         raft = member.raft
         assert raft is not None
-        member.old &= not raft.sure
+        member.old &= not raft.participating
         for message in ready.messages:
             self.send(message)
             voting = isinstance(message, Vote) and message.granted and not message.pre
@@ -253,17 +253,17 @@
             self.do(member, raft.compact(member.applied, state))
 
     def _writes(self, member: Member, ready: Ready) -> Iterator[Callable[[], None]]:
-        if ready.hard is not None:
-            yield lambda: setattr(member, "hard", ready.hard)
-        if ready.lives is not None:
-            yield lambda: setattr(member, "lives", ready.lives)
-        if ready.snapshot is not None or ready.truncate is not None or ready.entries:
+        if ready.hard_state is not None:
+            yield lambda: setattr(member, "hard", ready.hard_state)
+        if ready.incarnations is not None:
+            yield lambda: setattr(member, "lives", ready.incarnations)
+        if ready.snapshot is not None or ready.truncate_from is not None or ready.entries:
             yield lambda: self._save_log(member, ready)
 
     def _save_log(self, member: Member, ready: Ready) -> None:
         entries = member.entries
-        if ready.truncate is not None:
-            entries = [entry for entry in entries if entry.index < ready.truncate]
+        if ready.truncate_from is not None:
+            entries = [entry for entry in entries if entry.index < ready.truncate_from]
         if ready.snapshot is not None:
             member.snapshot = ready.snapshot
             entries = [entry for entry in entries if entry.index > ready.snapshot.index]
@@ -381,7 +381,7 @@
 
     def _ready(self) -> Ready:
         ready = super()._ready()
-        return ready if ready.hard is None else structs.replace(ready, hard=Hard(ready.hard.term, ""))
+        return ready if ready.hard_state is None else structs.replace(ready, hard_state=HardState(ready.hard_state.term, ""))
 
 
 class VotesTwice(Raft):
@@ -394,7 +394,7 @@
 class VotesForStale(Raft):
     """Votes for members whose logs lack what is committed."""
 
-    def _as_fresh(self, ask: object) -> bool:
+    def _log_up_to_date(self, ask: object) -> bool:
         return True
 
 
@@ -404,17 +404,17 @@
     def _committable(self, index: int) -> bool:
         return True
 
-    def _add(self, data: bytes) -> Entry:
+    def _append_entry(self, data: bytes) -> Entry:
         if not data:  # nor does it mark its term
-            self._advance()
+            self._advance_commit()
             return Entry(self.last_index, self.term)
-        return super()._add(data)
+        return super()._append_entry(data)
 
 
 class AppendsBlindly(Raft):
     """Takes entries whatever comes before them."""
 
-    def _follows(self, message: Append) -> bool:
+    def _log_matches(self, message: Append) -> bool:
         return message.prev_index <= self.last_index
 
 
@@ -428,7 +428,7 @@
 class CommitsBeyond(Raft):
     """Takes for committed what it has not compared with the leader's log."""
 
-    def _known_committed(self, message: Append, match: int) -> int:
+    def _matched_commit(self, message: Append, match: int) -> int:
         return min(message.commit, self.last_index)
 
 
@@ -451,25 +451,25 @@
 class CountsLost(Raft):
     """Counts on what a member had before it began with an older file, and on those that count for nothing."""
 
-    def _begins(self, peer: object, answer: object) -> bool:
+    def _is_new_incarnation(self, peer: object, answer: object) -> bool:
         return False
 
-    def _counts(self, answer: object) -> bool:
+    def _counts_for_commit(self, answer: object) -> bool:
         return True
 
 
 class TrustsItsFile(Raft):
     """Takes part whatever others know of its later lives."""
 
-    def _knows(self, known: Known) -> None:
-        super()._knows(structs.replace(known, life=min(known.life, self.lives.get(self.me, 0))))
+    def _receive_known(self, known: Known) -> None:
+        super()._receive_known(structs.replace(known, life=min(known.life, self.incarnations.get(self.me, 0))))
 
 
 class SureTooSoon(Raft):
     """Takes part again as soon as others have answered, whatever it lacks."""
 
-    def _has_all(self) -> bool:
-        return self._not_behind()
+    def _caught_up(self) -> bool:
+        return self._confirmed_current()
 
 
 MUTANTS = (
--- a/spoolbarrow/store/disk.py
+++ b/spoolbarrow/store/disk.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 
 from spoolbarrow.errors import Problem
-from spoolbarrow.store.raft import Entry, Hard, Ready, Saved, Snapshot
+from spoolbarrow.store.raft import Entry, HardState, Ready, Saved, Snapshot
 
 APPLICATION = 0x5B_A9_20_77  # marks files of this program
 VERSION = 1
@@ -91,7 +91,7 @@
         except sqlite3.Error as error:
             raise DiskError(f"{self.path}: {error}") from error
         return Saved(
-            Hard(*hard) if hard else Hard(),
+            HardState(*hard) if hard else HardState(),
             Snapshot(*snapshot) if snapshot else Snapshot(),
             tuple(Entry(*row) for row in log),
             dict(lives),
@@ -99,18 +99,18 @@
 
     def save(self, ready: Ready) -> None:
         """All that must be on disk before its messages leave; DiskError, and nothing of it is saved."""
-        written = (ready.hard, ready.lives, ready.snapshot, ready.truncate)
+        written = (ready.hard_state, ready.incarnations, ready.snapshot, ready.truncate_from)
         if all(part is None for part in written) and not ready.entries:
             return
         run = self._file.execute
         try:
             run("begin immediate")
-            if ready.hard is not None:
-                run("replace into hard values (1, ?, ?)", (ready.hard.term, ready.hard.vote))
-            if ready.lives is not None:
-                self._file.executemany("replace into lives values (?, ?)", ready.lives.items())
-            if ready.truncate is not None:
-                run("delete from log where place >= ?", (ready.truncate,))
+            if ready.hard_state is not None:
+                run("replace into hard values (1, ?, ?)", (ready.hard_state.term, ready.hard_state.vote))
+            if ready.incarnations is not None:
+                self._file.executemany("replace into lives values (?, ?)", ready.incarnations.items())
+            if ready.truncate_from is not None:
+                run("delete from log where place >= ?", (ready.truncate_from,))
             if ready.snapshot is not None:
                 its = ready.snapshot
                 run("replace into snapshot values (1, ?, ?, ?)", (its.index, its.term, its.data))
--- a/spoolbarrow/store/member.py
+++ b/spoolbarrow/store/member.py
@@ -1,6 +1,6 @@
 """One member's process: consensus between its disk, the other members and whoever asks.
 
-Owns the listener for members, whose messages come as msgpack behind four bytes of length; `callers` has the
+Owns the listener for members, whose messages come as msgpack behind four bytes of length; `control_server` has the
 one for callers. To each other member goes one connection with a bounded queue that drops what is oldest:
 consensus says again what was lost. Where the disk fails, the member says so
 and takes no more part, until it is started again; its last state is told as before.
@@ -37,7 +37,7 @@
 from spoolbarrow.net.log import log, log_exception
 from spoolbarrow.store import faults as f
 from spoolbarrow.store import state as s
-from spoolbarrow.store.callers import Call, Callers
+from spoolbarrow.store.control_server import Call, Callers
 from spoolbarrow.store.disk import Disk, DiskError
 from spoolbarrow.store.raft import (
     Append,
@@ -136,7 +136,7 @@
             done = self._state.apply(entry.index, entry.data)
             if done is not None and done[0] in self._waiting:
                 self._waiting[done[0]].set(done[1])
-        for name in ready.behind:
+        for name in ready.stale_members:
             log("store_member_behind", member=name, told_by=self.name, why=OLDER)
         now = (self._raft.role.value, self._raft.leader)
         if now != self._told:
@@ -291,7 +291,7 @@
             "keys": len(self._state.documents),
             "dropped": self.dropped,
             "fault": self.fault,
-            "behind": raft.behind,
+            "behind": raft.stale,
         }
 
     def close(self) -> None:
--- a/spoolbarrow/store/raft.py
+++ b/spoolbarrow/store/raft.py
@@ -2,8 +2,8 @@
 
 After D. Ongaro and J. Ousterhout, "In Search of an Understandable Consensus Algorithm" (USENIX ATC 2014),
 with pre-votes and quorum checks of Ongaro's thesis (2014, 9.6 and 6.2). The caller owns disk, network and
-clock. What `handle`, `propose` and `compact` return is carried out in this order: save `hard`; save as one
-write `snapshot`, what `truncate` drops, and `entries`; only then send `messages`; then apply `snapshot` and
+clock. What `handle`, `propose` and `compact` return is carried out in this order: save `hard_state`; save as one
+write `snapshot`, what `truncate_from` drops, and `entries`; only then send `messages`; then apply `snapshot` and
 `committed`. A caller that stops anywhere in between and begins again from what it saved breaks nothing.
 
 A process of a member that begins takes no part until others have said what they know of its earlier ones:
@@ -30,7 +30,7 @@
     """What a member takes itself for."""
 
     FOLLOWER = "follower"
-    ASKING = "asking"  # whether others would vote for it, before it disturbs anybody
+    PRE_CANDIDATE = "asking"  # whether others would vote for it, before it disturbs anybody
     CANDIDATE = "candidate"
     LEADER = "leader"
 
@@ -43,7 +43,7 @@
     data: bytes = b""
 
 
-class Hard(Struct, frozen=True):
+class HardState(Struct, frozen=True):
     """What must be on disk before any answer leaves: the term, and who has this member's vote in it."""
 
     term: int = 0
@@ -61,10 +61,10 @@
 class Saved(Struct, frozen=True):
     """What a member begins from."""
 
-    hard: Hard = Hard()
+    hard_state: HardState = HardState()
     snapshot: Snapshot = Snapshot()
     entries: tuple[Entry, ...] = ()
-    lives: Mapping[str, int] = {}  # the last life known of each member, its own among them
+    incarnations: Mapping[str, int] = {}  # the last life known of each member, its own among them
 
 
 class Message(Struct, frozen=True, kw_only=True, tag=True):
@@ -136,23 +136,23 @@
 class Settings(Struct, frozen=True, kw_only=True):
     """Times in milliseconds."""
 
-    election_ms: float = 300.0  # followers wait so long for a leader
-    spread: float = 1.0  # and up to this share longer, at random
-    beat_ms: float = 60.0
-    batch: int = 64  # entries in one message
+    election_timeout_ms: float = 300.0  # followers wait so long for a leader
+    election_jitter: float = 1.0  # and up to this share longer, at random
+    heartbeat_ms: float = 60.0
+    batch_entries: int = 64  # entries in one message
 
 
 class Ready(Struct):
     """What is to be done, in the order of the fields."""
 
-    hard: Hard | None = None
-    lives: Mapping[str, int] | None = None  # saved with `hard`
+    hard_state: HardState | None = None
+    incarnations: Mapping[str, int] | None = None  # saved with `hard_state`
     snapshot: Snapshot | None = None
-    truncate: int | None = None  # the first index that no longer holds
+    truncate_from: int | None = None  # the first index that no longer holds
     entries: tuple[Entry, ...] = ()
     messages: list[Message] = field(default_factory=list)
     committed: tuple[Entry, ...] = ()
-    behind: tuple[str, ...] = ()  # members newly found to have begun with an older file
+    stale_members: tuple[str, ...] = ()  # members newly found to have begun with an older file
 
 
 class Peer:
@@ -191,21 +191,21 @@
         self.quorum = len(members) // 2 + 1
         self.settings, self._rng = settings, rng
         self.now = now
-        self.term, self.vote = saved.hard.term, saved.hard.vote
+        self.term, self.vote = saved.hard_state.term, saved.hard_state.vote
         self.snapshot, self.log = saved.snapshot, list(saved.entries)
         self.role, self.leader = Role.FOLLOWER, ""
         self.commit = self._applied = saved.snapshot.index
         self.peers: dict[str, Peer] = {}
         self._votes: set[str] = set()
         self._led_at = -1e18  # a leader of this term was last heard
-        self._saved_hard = saved.hard
+        self._saved_hard = saved.hard_state
         self._stable = self.last_index  # what is saved of the log
         self._truncate: int | None = None
         self._installed: Snapshot | None = None
         self._out: list[Message] = []
         self._wait_anew()
-        self.lives, self._saved_lives = dict(saved.lives), dict(saved.lives)
-        self.sure = self.behind = False  # whether it takes part; whether its file is known to be an older one
+        self.incarnations, self._saved_lives = dict(saved.incarnations), dict(saved.incarnations)
+        self.participating = self.stale = False  # whether it takes part; whether its file is known to be an older one
         self._mark = rng.getrandbits(32)
         self._begun_at, self._said_at = now, -1e18
         self._known: dict[str, Known] = {}
@@ -230,7 +230,7 @@
         self.now = max(self.now, now)
         if self.role is not Role.LEADER:
             return None
-        entry = self._add(data)
+        entry = self._append_entry(data)
         for name, peer in self.peers.items():
             if not peer.waiting:
                 self._send_entries(name, peer)
@@ -262,8 +262,8 @@
     # Elections
 
     def _wait_anew(self) -> None:
-        late = self.settings.spread * self._rng.random()
-        self._deadline = self.now + self.settings.election_ms * (1.0 + late)
+        late = self.settings.election_jitter * self._rng.random()
+        self._deadline = self.now + self.settings.election_timeout_ms * (1.0 + late)
 
     def _follow(self, term: int, leader: str = "") -> None:
         if term > self.term:
@@ -277,23 +277,23 @@
         """Whether a leader lives, as far as this member knows: then nobody else is voted for."""
         if self.role is Role.LEADER:
             return True
-        return self.leader != "" and self.now - self._led_at < self.settings.election_ms
+        return self.leader != "" and self.now - self._led_at < self.settings.election_timeout_ms
 
     def _tick(self) -> None:
         self._say_hello()
         if self.role is Role.LEADER:
-            heard = sum(self.now - peer.heard_at < self.settings.election_ms for peer in self.peers.values())
+            heard = sum(self.now - peer.heard_at < self.settings.election_timeout_ms for peer in self.peers.values())
             if heard + 1 < self.quorum:
                 self._follow(self.term)  # it may be the one that is cut off: clients are to be told no
                 return
             for name, peer in self.peers.items():
-                if self.now - peer.sent_at >= self.settings.beat_ms:
+                if self.now - peer.sent_at >= self.settings.heartbeat_ms:
                     self._send_entries(name, peer)
-        elif self.sure and self.now >= self._deadline:
+        elif self.participating and self.now >= self._deadline:
             self._ask(pre=True)
 
     def _ask(self, pre: bool) -> None:
-        self.role, self.leader = (Role.ASKING if pre else Role.CANDIDATE), ""
+        self.role, self.leader = (Role.PRE_CANDIDATE if pre else Role.CANDIDATE), ""
         if not pre:
             self.term, self.vote = self.term + 1, self.me
         self._votes = {self.me}
@@ -314,7 +314,7 @@
     def _count(self) -> None:
         if len(self._votes) < self.quorum:
             return
-        if self.role is Role.ASKING:
+        if self.role is Role.PRE_CANDIDATE:
             self._ask(pre=False)
         elif self.role is Role.CANDIDATE:
             self._lead()
@@ -322,14 +322,14 @@
     def _lead(self) -> None:
         self.role, self.leader = Role.LEADER, self.me
         self.peers = {name: Peer(self.last_index, self.now) for name in self.others}
-        self._add(b"")  # entries of older terms are committed only behind one of its own
+        self._append_entry(b"")  # entries of older terms are committed only behind one of its own
         for name, peer in self.peers.items():
             self._send_entries(name, peer)
 
     def _last_term(self) -> int:
         return self.log[-1].term if self.log else self.snapshot.term
 
-    def _as_fresh(self, ask: Ask) -> bool:
+    def _log_up_to_date(self, ask: Ask) -> bool:
         """Whether the asker's log holds all that can be committed here."""
         return (ask.last_term, ask.last_index) >= (self._last_term(), self.last_index)
 
@@ -338,14 +338,14 @@
 
     def _asked(self, ask: Ask) -> None:
         if ask.pre:
-            granted = self.sure and ask.term > self.term and self._as_fresh(ask) and not self._led()
+            granted = self.participating and ask.term > self.term and self._log_up_to_date(ask) and not self._led()
             term = ask.term if granted else self.term
         else:
             if ask.term > self.term:
                 if self._led():
                     return
                 self._follow(ask.term)
-            granted = self.sure and self._may_vote(ask) and self._as_fresh(ask)
+            granted = self.participating and self._may_vote(ask) and self._log_up_to_date(ask)
             term = self.term
             if granted:
                 self.vote = ask.src
@@ -362,7 +362,7 @@
         )
 
     def _voted(self, vote: Vote) -> None:
-        wanted = Role.ASKING if vote.pre else Role.CANDIDATE
+        wanted = Role.PRE_CANDIDATE if vote.pre else Role.CANDIDATE
         term = self.term + 1 if vote.pre else self.term
         if vote.granted and self.role is wanted and vote.term == term:
             self._votes.add(vote.src)
@@ -372,13 +372,13 @@
 
     def _life(self) -> int:
         """Its own, where it takes part."""
-        return self.lives[self.me] if self.sure else 0
+        return self.incarnations[self.me] if self.participating else 0
 
     def _say_hello(self) -> None:
         """To all until it is sure, then to those that do not know it yet."""
-        every = self.settings.election_ms if self.sure else self.settings.beat_ms
-        life = self.lives.get(self.me, 0)
-        unheard = [name for name in self.others if not self.sure or self._told.get(name, 0) < life]
+        every = self.settings.election_timeout_ms if self.participating else self.settings.heartbeat_ms
+        life = self.incarnations.get(self.me, 0)
+        unheard = [name for name in self.others if not self.participating or self._told.get(name, 0) < life]
         if not unheard or self.now - self._said_at < every:
             return
         self._said_at = self.now
@@ -390,12 +390,12 @@
                     term=self.term,
                     life=life,
                     mark=self._mark,
-                    sure=self.sure,
+                    sure=self.participating,
                 )
             )
 
     def _hello(self, hello: Hello) -> None:
-        last = self.lives.get(hello.src, 0)
+        last = self.incarnations.get(hello.src, 0)
         if hello.sure:
             self._lives(hello.src, hello.life)
         elif hello.life < last and self._found.get(hello.src) != hello.mark and self.role is Role.LEADER:
@@ -406,46 +406,46 @@
                 src=self.me,
                 dst=hello.src,
                 term=self.term,
-                life=self.lives.get(hello.src, 0),
+                life=self.incarnations.get(hello.src, 0),
                 mark=hello.mark,
                 last_index=self.last_index,
                 leads=self.role is Role.LEADER,
-                sure=self.sure,
+                sure=self.participating,
             )
         )
 
     def _lives(self, name: str, life: int) -> bool:
         """Keep a member's life, if one is told; False for one that has ended."""
         if life:
-            self.lives[name] = max(life, self.lives.get(name, 0))
-        return not life or life == self.lives[name]
+            self.incarnations[name] = max(life, self.incarnations.get(name, 0))
+        return not life or life == self.incarnations[name]
 
-    def _knows(self, known: Known) -> None:
+    def _receive_known(self, known: Known) -> None:
         if known.mark != self._mark:
             return
         self._known[known.src] = known
         self._told[known.src] = known.life
-        if known.life > self.lives.get(self.me, 0) and not self.behind:
-            self.sure, self.behind = False, True  # what it voted and answered for since is not there
+        if known.life > self.incarnations.get(self.me, 0) and not self.stale:
+            self.participating, self.stale = False, True  # what it voted and answered for since is not there
             self._behind.append(self.me)
             self._follow(self.term)
         self._be_sure()
 
     def _be_sure(self) -> None:
-        if self.sure or not (self._has_all() if self.behind else self._not_behind()):
+        if self.participating or not (self._caught_up() if self.stale else self._confirmed_current()):
             return
         lives = [known.life for known in self._known.values()]
-        self.lives[self.me] = max([self.lives.get(self.me, 0), *lives]) + 1
-        self.sure, self.behind = True, False
+        self.incarnations[self.me] = max([self.incarnations.get(self.me, 0), *lives]) + 1
+        self.participating, self.stale = True, False
         self._said_at = -1e18
         self._wait_anew()
 
-    def _not_behind(self) -> bool:
+    def _confirmed_current(self) -> bool:
         """As many know of no later life as it needs to be of use, and the rest had its time to answer."""
-        patient = self.now - self._begun_at < self.settings.election_ms
+        patient = self.now - self._begun_at < self.settings.election_timeout_ms
         return len(self._known) >= (len(self.others) if patient else self.quorum - 1)
 
-    def _has_all(self) -> bool:
+    def _caught_up(self) -> bool:
         """Whether its log holds all that it can have answered for: a majority without it answered, nobody of
         it in a later term than a leader, whose log it has up to where that was then."""
         told = [known for known in self._known.values() if known.sure]
@@ -463,7 +463,7 @@
         if isinstance(message, Hello):
             return self._hello(message)
         if isinstance(message, Known):
-            return self._knows(message)
+            return self._receive_known(message)
         if isinstance(message, Ask):
             return self._asked(message)
         if message.term > self.term and not (isinstance(message, Vote) and message.pre and message.granted):
@@ -488,20 +488,20 @@
         elif isinstance(message, Appended) and self.role is Role.LEADER:
             self._appended(message)
 
-    def _add(self, data: bytes) -> Entry:
+    def _append_entry(self, data: bytes) -> Entry:
         entry = Entry(self.last_index + 1, self.term, data)
         self.log.append(entry)
-        self._advance()
+        self._advance_commit()
         return entry
 
-    def _follows(self, message: Append) -> bool:
+    def _log_matches(self, message: Append) -> bool:
         """Whether the log is the leader's up to the place before the entries; what is committed is."""
         return message.prev_index < self.snapshot.index or (
             self.term_at(message.prev_index) == message.prev_term
         )
 
     def _append(self, message: Append) -> None:
-        if not self._follows(message):
+        if not self._log_matches(message):
             return self._answer(message.src, min(self.last_index, message.prev_index - 1), False)
         for entry in message.entries:
             if entry.index <= self.snapshot.index:
@@ -515,14 +515,14 @@
             if entry.index == self.last_index + 1:
                 self.log.append(entry)
         match = message.prev_index + len(message.entries)
-        self.commit = max(self.commit, self._known_committed(message, match))
+        self.commit = max(self.commit, self._matched_commit(message, match))
         self._answer(message.src, max(match, self.snapshot.index), True)
 
     def _conflicts(self, entry: Entry) -> bool:
         """Whether another entry stands in its place: one that is there already must stay, with all behind."""
         return entry.index <= self.last_index and self.term_at(entry.index) != entry.term
 
-    def _known_committed(self, message: Append, match: int) -> int:
+    def _matched_commit(self, message: Append, match: int) -> int:
         """What lies behind the last matching entry may be another leader's."""
         return min(message.commit, match)
 
@@ -569,34 +569,34 @@
                 prev_index=peer.next - 1,
                 prev_term=term,
                 commit=self.commit,
-                entries=tuple(self.log[first : first + self.settings.batch]),
+                entries=tuple(self.log[first : first + self.settings.batch_entries]),
             )
         )
 
     def _appended(self, answer: Appended) -> None:
         peer = self.peers[answer.src]
         peer.heard_at, peer.waiting = self.now, False
-        if self._begins(peer, answer):
+        if self._is_new_incarnation(peer, answer):
             peer.life, peer.match = answer.life, 0
         if answer.ok:
-            peer.match = max(peer.match, answer.index if self._counts(answer) else 0)
+            peer.match = max(peer.match, answer.index if self._counts_for_commit(answer) else 0)
             peer.next = max(peer.next, answer.index + 1)
-            self._advance()
+            self._advance_commit()
             if peer.next <= self.last_index:
                 self._send_entries(answer.src, peer)
         else:
             peer.next = max(peer.match + 1, min(peer.next - 1, answer.index + 1))
             self._send_entries(answer.src, peer)
 
-    def _begins(self, peer: Peer, answer: Appended) -> bool:
+    def _is_new_incarnation(self, peer: Peer, answer: Appended) -> bool:
         """Whether another process answers: what those before it had is not known to be there."""
         return answer.life != peer.life
 
-    def _counts(self, answer: Appended) -> bool:
+    def _counts_for_commit(self, answer: Appended) -> bool:
         """Whether what it has will be there if its file is."""
         return answer.life > 0
 
-    def _advance(self) -> None:
+    def _advance_commit(self) -> None:
         """Commit what a quorum has."""
         for index in range(self.last_index, self.commit, -1):
             having = 1 + sum(peer.match >= index for peer in self.peers.values())
@@ -609,18 +609,18 @@
         return self.term_at(index) == self.term
 
     def _ready(self) -> Ready:
-        hard, base = Hard(self.term, self.vote), self.snapshot.index
+        hard, base = HardState(self.term, self.vote), self.snapshot.index
         ready = Ready(
-            hard=None if hard == self._saved_hard else hard,
-            lives=None if self.lives == self._saved_lives else dict(self.lives),
+            hard_state=None if hard == self._saved_hard else hard,
+            incarnations=None if self.incarnations == self._saved_lives else dict(self.incarnations),
             snapshot=self._installed,
-            truncate=self._truncate,
+            truncate_from=self._truncate,
             entries=tuple(self.log[self._stable - base :]),
             messages=self._out,
             committed=tuple(self.log[self._applied - base : self.commit - base]),
-            behind=tuple(self._behind),
+            stale_members=tuple(self._behind),
         )
-        self._saved_lives = dict(self.lives)
+        self._saved_lives = dict(self.incarnations)
         self._behind = []
         self._saved_hard, self._stable, self._applied = hard, self.last_index, self.commit
         self._installed = self._truncate = None
--- a/tests/test_flows.py
+++ b/tests/test_flows.py
@@ -33,8 +33,8 @@
 from spoolbarrow.flows import collector as fc
 from spoolbarrow.flows import encode, meter
 from spoolbarrow.flows.decode import Decoded, FlowError, Message, Session
-from spoolbarrow.flows.elements import CONNECTION, NONE_MS, OUTCOMES, REQUESTS, TEMPLATES, V9_CONNECTION
-from spoolbarrow.flows.encode import IPFIX, V9, Record, Stream, Writer
+from spoolbarrow.flows.elements import CONNECTION_TEMPLATE, NONE_MS, OUTCOMES, REQUEST_TEMPLATE, TEMPLATES, V9_CONNECTION
+from spoolbarrow.flows.encode import IPFIX, V9, Record, ExportStream, RecordWriter
 from spoolbarrow.flows.exporter import Exporter, Prepared
 from spoolbarrow.flows.queue import RecordQueue
 from spoolbarrow.flows.sender import Backoff, Unacknowledged
@@ -65,10 +65,10 @@
 def connection_record(number: int = 7, octets: int = 100) -> Record:
     ends = (encode.ipv4("127.0.0.1"), encode.ipv4("127.0.0.2"), 4000, 7070, 6)
     values = (1000, 2000, number, *ends, octets, 2, 48, 1, 300, 3, 200, 2, 1, 3, 0, 5, 0, 120)
-    return Writer(CONNECTION).record(*values, packets=5, octets=octets)
+    return RecordWriter(CONNECTION_TEMPLATE).record(*values, packets=5, octets=octets)
 
 
-def read_all(stream: Stream, records: list[Record], session: Session | None = None) -> list[Decoded]:
+def read_all(stream: ExportStream, records: list[Record], session: Session | None = None) -> list[Decoded]:
     session = session or Session(OWN)
     for data in stream.template_messages(5000.0):
         session.read(data, 0.0)
@@ -83,7 +83,7 @@
 
 def test_what_is_written_is_read_again() -> None:
     records = [connection_record(), *encode.type_records(OWN), encode.name_writer.record(1, 0, "acme" * 80)]
-    found = read_all(Stream(IPFIX, 9, OWN, 1372, 0.0), records)
+    found = read_all(ExportStream(IPFIX, 9, OWN, 1372, 0.0), records)
     assert found[0].values["sourceIPv4Address"] == "127.0.0.1"
     assert found[0].values["octetDeltaCount"] == 100 and found[0].values["reverseOctetDeltaCount"] == 300
     assert found[0].values["routerRoundTripMicroseconds"] == 120
@@ -93,11 +93,11 @@
 
 @pytest.mark.parametrize("version", [IPFIX, V9])
 def test_an_independent_reader_reads_the_same(version: int) -> None:
-    stream = Stream(version, 9, OWN, 1372, 0.0)
+    stream = ExportStream(version, 9, OWN, 1372, 0.0)
     if version == IPFIX:
         records = [connection_record(n, 100 + n) for n in range(50)]
     else:
-        writer = Writer(V9_CONNECTION)
+        writer = RecordWriter(V9_CONNECTION)
         ends = (encode.ipv4("127.0.0.1"), encode.ipv4("127.0.0.2"), 4000, 7070, 6)
         records = [writer.record(1000, 2000, n, *ends, 100 + n, 2, 300, 3, 3) for n in range(50)]
     messages = stream.template_messages(5000.0)
@@ -134,7 +134,7 @@
 def test_ten_thousand_mutated_messages_are_read_or_refused_with_a_place() -> None:
     luck = random.Random(7)
     for version in (IPFIX, V9):
-        stream = Stream(version, 9, OWN, 1372, 0.0)
+        stream = ExportStream(version, 9, OWN, 1372, 0.0)
         names = [encode.name_writer.record(1, 0, "acme")] if version == IPFIX else []
         data = stream.data_message([connection_record(), *names], 0.0)[0]
         sound = [*stream.template_messages(0.0), data]
@@ -172,7 +172,7 @@
 
 
 def test_templates_are_withdrawn_redefined_and_grow_old() -> None:
-    session, stream = Session(OWN, lifetime_ms=100.0), Stream(IPFIX, 9, OWN, 1372, 0.0)
+    session, stream = Session(OWN, lifetime_ms=100.0), ExportStream(IPFIX, 9, OWN, 1372, 0.0)
     for data in stream.template_messages(0.0):
         session.read(data, 0.0)
     data = stream.data_message([connection_record()], 0.0)[0]
@@ -189,7 +189,7 @@
 
 
 def test_gaps_in_the_numbers_are_counted() -> None:
-    session, stream = Session(OWN), Stream(IPFIX, 9, OWN, 1372, 0.0)
+    session, stream = Session(OWN), ExportStream(IPFIX, 9, OWN, 1372, 0.0)
     for data in stream.template_messages(0.0):
         session.read(data, 0.0)
     session.read(stream.data_message([connection_record()] * 2, 0.0)[0], 0.0)
@@ -534,14 +534,14 @@
             wait_until(lambda: scene.host.open_requests() == 0)
     assert [p.name for p in tmp_path.glob("*.torn")] == [leftover.with_suffix(".torn").name]
     found = [path for path in sorted(tmp_path.glob("*.ipfix.zst"))]
-    records = [r for path in found for m in fc.read_file(path, OWN) for r in m.records]
-    assert sum(r.template == REQUESTS.number for r in records) == 3
+    records = [r for path in found for m in fc.read_ipfix_file(path, OWN) for r in m.records]
+    assert sum(r.template == REQUEST_TEMPLATE.number for r in records) == 3
     whole = found[0].read_bytes()
     torn = tmp_path / "torn"
     for cut in range(len(whole) - 1, len(whole) - 40, -3):
         torn.write_bytes(whole[:cut])
         with pytest.raises(FlowError, match="torn"):
-            list(fc.read_file(torn, OWN))
+            list(fc.read_ipfix_file(torn, OWN))
 
 
 def test_five_hundred_connections_at_once_are_each_told_and_nothing_is_kept_of_them() -> None:
@@ -585,7 +585,7 @@
     for name, authority in (("server", ca), ("client", ca if trusted else other)):
         authority.issue(tmp_path, name)
     (tmp_path / "ca.pem").write_bytes(ca.pem())
-    context = fc.server_context(*(str(tmp_path / n) for n in ("ca.pem", "server.pem", "server.key")))
+    context = fc.server_tls_context(*(str(tmp_path / n) for n in ("ca.pem", "server.pem", "server.key")))
     told = operator.TlsTable(*(str(tmp_path / n) for n in ("ca.pem", "client.pem", "client.key")))
     with (
         running_router(serve_all) as (scene, _),
@@ -700,7 +700,7 @@
             router.kill()
             collector.kill()
             engine.close()
-    records = [r for path in kept.glob("*.ipfix.zst") for m in fc.read_file(path, OWN) for r in m.records]
+    records = [r for path in kept.glob("*.ipfix.zst") for m in fc.read_ipfix_file(path, OWN) for r in m.records]
     assert sum("routerRequestNumber" in record.values for record in records) == 1
 
 
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -22,7 +22,7 @@
     Appended,
     Ask,
     Entry,
-    Hard,
+    HardState,
     Hello,
     Install,
     Known,
@@ -43,7 +43,7 @@
     hellos: list[Any] = made.handle(0.0).messages
     for hello in hellos:
         hellos += made.handle(0.0, known(hello, hello.life)).messages
-    assert made.sure
+    assert made.participating
     return made
 
 
@@ -79,7 +79,7 @@
     made.handle(now)
     for pre in (True, False):
         for name in members[1:]:
-            made.handle(now, Vote(src=name, dst="m0", term=saved.hard.term + 1, granted=True, pre=pre))
+            made.handle(now, Vote(src=name, dst="m0", term=saved.hard_state.term + 1, granted=True, pre=pre))
     assert made.role is Role.LEADER
     return made, now
 
@@ -87,7 +87,7 @@
 def a_vote_outlives_its_process(make: type[Raft]) -> None:
     ready = member(make).handle(1.0, ask("m1", 1))
     assert ready.messages == [Vote(src="m0", dst="m1", term=1, granted=True, life=1)]
-    again = member(make, Saved(ready.hard or Hard()))
+    again = member(make, Saved(ready.hard_state or HardState()))
     (answer,) = again.handle(2.0, ask("m2", 1)).messages
     assert isinstance(answer, Vote) and not answer.granted
 
@@ -100,7 +100,7 @@
 
 
 def no_vote_for_a_log_that_lacks_entries(make: type[Raft]) -> None:
-    saved = Saved(Hard(3, ""), Snapshot(), log(1, 3))
+    saved = Saved(HardState(3, ""), Snapshot(), log(1, 3))
     for last in ((1, 9), (3, 1)):
         (answer,) = member(make, saved).handle(1.0, ask("m1", 4, last)).messages
         assert isinstance(answer, Vote) and not answer.granted
@@ -109,7 +109,7 @@
 def an_older_terms_entry_is_committed_only_behind_one_of_its_own(make: type[Raft]) -> None:
     """Figure 8: an entry of term 2 lies on a majority in term 4, and may yet be replaced by one of term 3."""
     five = [*MEMBERS, "m3", "m4"]
-    leader, now = lead(make, Saved(Hard(3, ""), Snapshot(), log(1, 2)), five)
+    leader, now = lead(make, Saved(HardState(3, ""), Snapshot(), log(1, 2)), five)
     for name in ("m1", "m2"):
         ready = leader.handle(now, Appended(src=name, dst="m0", term=4, index=2, ok=True, life=1))
         assert not ready.committed and leader.commit == 0
@@ -119,30 +119,30 @@
 
 
 def what_is_not_compared_is_not_committed(make: type[Raft]) -> None:
-    made = member(make, Saved(Hard(1, ""), Snapshot(), log(1, 1, 1)))
+    made = member(make, Saved(HardState(1, ""), Snapshot(), log(1, 1, 1)))
     ready = made.handle(1.0, append(2, (1, 1), 3))  # what lies behind the first may be another leader's
     assert [entry.index for entry in ready.committed] == [1]
 
 
 def entries_follow_what_the_leader_has(make: type[Raft]) -> None:
-    made = member(make, Saved(Hard(1, ""), Snapshot(), log(1, 1)))
+    made = member(make, Saved(HardState(1, ""), Snapshot(), log(1, 1)))
     (answer,) = made.handle(1.0, append(3, (2, 2), 0, Entry(3, 3))).messages
     assert answer == Appended(src="m0", dst="m1", term=3, index=1, ok=False, life=1) and made.last_index == 2
 
 
 def what_another_leader_wrote_gives_way(make: type[Raft]) -> None:
-    made = member(make, Saved(Hard(1, ""), Snapshot(), log(1, 1, 1)))
+    made = member(make, Saved(HardState(1, ""), Snapshot(), log(1, 1, 1)))
     ready = made.handle(1.0, append(2, (1, 1), 0, Entry(2, 2, b"new")))
-    assert (ready.truncate, ready.entries, made.last_index) == (2, (Entry(2, 2, b"new"),), 2)
+    assert (ready.truncate_from, ready.entries, made.last_index) == (2, (Entry(2, 2, b"new"),), 2)
     late = made.handle(2.0, append(2, (0, 0), 0, Entry(1, 1, b"1")))  # overtaken: it takes nothing back
-    assert late.truncate is None and made.last_index == 2
+    assert late.truncate_from is None and made.last_index == 2
 
 
 def a_majority_is_more_than_half(make: type[Raft]) -> None:
     made = member(make, members=[*MEMBERS, "m3"])
     made.handle(700.0)
     made.handle(700.0, Vote(src="m1", dst="m0", term=1, granted=True, pre=True))
-    assert made.role is Role.ASKING
+    assert made.role is Role.PRE_CANDIDATE
 
 
 def what_is_answered_for_is_saved(make: type[Raft]) -> None:
@@ -156,7 +156,7 @@
 
 
 def what_a_member_had_before_it_began_with_an_older_file_is_not_counted(make: type[Raft]) -> None:
-    leader, now = lead(make, Saved(Hard(3, ""), Snapshot(), log(1, 2)), [*MEMBERS, "m3", "m4"])
+    leader, now = lead(make, Saved(HardState(3, ""), Snapshot(), log(1, 2)), [*MEMBERS, "m3", "m4"])
 
     def hear(src: str, index: int, ok: bool, life: int) -> int:
         leader.handle(now, Appended(src=src, dst="m0", term=4, index=index, ok=ok, life=life))
@@ -170,19 +170,19 @@
 
 
 def who_began_with_an_older_file_takes_no_part_until_it_has_all(make: type[Raft]) -> None:
-    saved = Saved(Hard(1, ""), Snapshot(), log(1), {"m0": 1})
+    saved = Saved(HardState(1, ""), Snapshot(), log(1), {"m0": 1})
     made = make("m0", MEMBERS, 0.0, Random(1), saved, r.Settings())
     hello, other = made.handle(0.0).messages
     leads: Any = {"term": 2, "last_index": 3, "leads": True}
-    assert made.handle(1.0, known(hello, 2, **leads)).behind == ("m0",)
+    assert made.handle(1.0, known(hello, 2, **leads)).stale_members == ("m0",)
     made.handle(700.0, known(other, 1))  # whoever knows nothing of its later life
     (answer,) = (told for told in made.handle(701.0, ask("m2", 3, (9, 9))).messages if isinstance(told, Vote))
-    assert not answer.granted and made.role is Role.FOLLOWER and made.behind
+    assert not answer.granted and made.role is Role.FOLLOWER and made.stale
     made.handle(702.0, known(hello, 2, **{**leads, "term": 3}))
     for entry in (Entry(2, 3), Entry(3, 3)):
-        assert not made.sure
+        assert not made.participating
         made.handle(703.0, append(3, (made.term_at(entry.index - 1) or 0, entry.index - 1), 0, entry))
-    assert made.sure and made.lives["m0"] == 3
+    assert made.participating and made.incarnations["m0"] == 3
 
 
 DIALOGUES = [
@@ -235,7 +235,7 @@
 
 
 def test_a_member_that_lacks_what_is_no_longer_kept_gets_the_snapshot() -> None:
-    leader, now = lead(Raft, Saved(Hard(1, ""), Snapshot(5, 1, b"state"), ()))
+    leader, now = lead(Raft, Saved(HardState(1, ""), Snapshot(5, 1, b"state"), ()))
     (sent,) = leader.handle(now, Appended(src="m1", dst="m0", term=2, index=0, ok=False)).messages
     assert sent == Install(src="m0", dst="m1", term=2, snapshot=Snapshot(5, 1, b"state"))
     other = Raft("m1", MEMBERS, 0.0, Random(2), Saved(), r.Settings())
@@ -294,7 +294,7 @@
 
 @pytest.mark.parametrize(
     "saved",
-    [Saved(entries=log(1, 1)[1:]), Saved(Hard(), Snapshot(3, 1), log(1))],
+    [Saved(entries=log(1, 1)[1:]), Saved(HardState(), Snapshot(3, 1), log(1))],
 )
 def test_what_is_no_log_is_not_begun_from(saved: Saved) -> None:
     with pytest.raises(ValueError, match="follow the snapshot"):
@@ -308,17 +308,17 @@
 
 def begun(path: Path) -> Disk:
     disk = Disk(path, "m0")
-    disk.save(r.Ready(hard=Hard(3, "m1"), entries=log(1, 2, 3)))
+    disk.save(r.Ready(hard_state=HardState(3, "m1"), entries=log(1, 2, 3)))
     return disk
 
 
 def test_what_is_saved_is_there_again(tmp_path: Path) -> None:
     disk = begun(tmp_path / "m0")
-    disk.save(r.Ready(truncate=3, entries=(Entry(3, 4, b"new"),)))
+    disk.save(r.Ready(truncate_from=3, entries=(Entry(3, 4, b"new"),)))
     disk.save(r.Ready(snapshot=Snapshot(2, 2, b"state")))
     disk.close()
     again = Disk(tmp_path / "m0", "m0")
-    assert again.load() == Saved(Hard(3, "m1"), Snapshot(2, 2, b"state"), (Entry(3, 4, b"new"),))
+    assert again.load() == Saved(HardState(3, "m1"), Snapshot(2, 2, b"state"), (Entry(3, 4, b"new"),))
     again.close()
 
 
@@ -327,10 +327,10 @@
     disk.allow(6)
     with pytest.raises(DiskError, match="full"):
         for index in range(4, 4000):
-            disk.save(r.Ready(hard=Hard(index, ""), entries=(Entry(index, 3, b"x" * 900),)))
+            disk.save(r.Ready(hard_state=HardState(index, ""), entries=(Entry(index, 3, b"x" * 900),)))
     saved = disk.load()
     last = saved.entries[-1].index
-    assert saved.hard.term == (last if last > 3 else 3)  # each save is there whole or not at all
+    assert saved.hard_state.term == (last if last > 3 else 3)  # each save is there whole or not at all
     disk.close()
 
 
--- a/tests/test_store_callers.py
+++ b/tests/test_store_control_server.py
@@ -11,7 +11,7 @@
 from gevent import socket
 
 from spoolbarrow.lab.cluster import free_ports
-from spoolbarrow.store import callers, faults
+from spoolbarrow.store import control_server, faults
 from spoolbarrow.store.state import MOST_VALUE
 from tests.router_harness import LISTEN, Client
 
@@ -19,7 +19,7 @@
 LONG = b"x" * (MOST_VALUE + 1)
 
 
-def answer(call: callers.Call) -> dict[str, Any]:
+def answer(call: control_server.Call) -> dict[str, Any]:
     if call.path == "/odd":
         raise ZeroDivisionError
     if call.path == "/led":
@@ -30,7 +30,7 @@
 @contextmanager
 def called() -> Iterator[int]:
     port = free_ports(1)[0]
-    made = callers.Callers((LISTEN, port), answer)
+    made = control_server.Callers((LISTEN, port), answer)
     try:
         yield port
     finally:
@@ -70,8 +70,8 @@
 
 
 def test_callers_that_say_nothing_are_cut_off(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(callers, "MOST_CALLERS", 2)
-    monkeypatch.setattr(callers, "WHOLE_S", 0.2)
+    monkeypatch.setattr(control_server, "MOST_CALLERS", 2)
+    monkeypatch.setattr(control_server, "WHOLE_S", 0.2)
     with called() as port:
         silent = [socket.create_connection((LISTEN, port), 20) for _ in range(4)]
         assert Client(port).send(b"GET /k HTTP/1.1\r\n\r\n").answer().status == 200
