--- a/spoolbarrow/cli/flows.py
+++ b/spoolbarrow/cli/flows.py
@@ -22,8 +22,8 @@
 from spoolbarrow.cli.errors import BadArgument
 from spoolbarrow.config import CannotListen
 from spoolbarrow.errors import MissingPackage
-from spoolbarrow.flows import tables
-from spoolbarrow.flows.collector import Listener, read_file, server_context
+from spoolbarrow.flows import analysis
+from spoolbarrow.flows.collector import Listener, read_ipfix_file, server_tls_context
 from spoolbarrow.flows.decode import FlowError, Message
 
 ENTERPRISE_OPTION = click.option(
@@ -34,7 +34,7 @@
     "files", nargs=-1, required=True, type=click.Path(path_type=Path, exists=True)
 )
 KIND_OPTION = click.option(
-    "--kind", type=click.Choice([*tables.KINDS, "all"]), default="all", show_default=True
+    "--kind", type=click.Choice([*analysis.ROW_KINDS, "all"]), default="all", show_default=True
 )
 MAX_TEMPLATE_MESSAGES = 64  # messages with templates, repeated at the start of new files, per exporter
 # Columns left out of tables for people; JSON and CSV have them.
@@ -75,7 +75,7 @@
     Prints each record, and stores files with --directory. Prints the numbers of lost records and malformed
     messages at the end; with any, the exit status is 1.
     """
-    stop, names, count = Event(), tables.Names(), 0
+    stop, names, count = Event(), analysis.NameTable(), 0
     writer = RowPrinter(form, stream=True)
     store = MessageStore(directory, file_bytes) if directory is not None else None
 
@@ -83,7 +83,7 @@
         nonlocal count
         if store is not None:
             store.write(exporter, message, data)
-        for row in tables.rows([(exporter, message)], names):
+        for row in analysis.flow_rows([(exporter, message)], names):
             if kind in ("all", row["kind"]) and not (records and count >= records):
                 writer.row(row)
                 count += 1
@@ -100,7 +100,7 @@
             if not (ca and certificate and key):
                 raise BadArgument(text, "tls:// needs --ca, --certificate and --key")
             try:
-                tls = server_context(ca, certificate, key)
+                tls = server_tls_context(ca, certificate, key)
             except OSError as error:
                 raise BadArgument("--ca, --certificate, --key", str(error)) from error
         try:
@@ -137,7 +137,7 @@
 
 @command.command()
 @FILES_ARGUMENT
-@click.option("--by", type=click.Choice(tables.BY), default="tenant", show_default=True)
+@click.option("--by", type=click.Choice(analysis.RANK_KEYS), default="tenant", show_default=True)
 @click.option("--start", type=click.DateTime(), help="Flows that ended at or after this time (UTC).")
 @click.option("--end", type=click.DateTime(), help="Flows that ended up to this time (UTC).")
 @click.option("--last", type=float, help="Instead: the last so many seconds in the files.")
@@ -162,7 +162,7 @@
     if last is not None:
         begin = max((row["end_ms"] for row in rows), default=0.0) - last * 1000
     writer = RowPrinter(form)
-    for rank in tables.top(rows, by, begin, until)[:most]:
+    for rank in analysis.rank_flows(rows, by, begin, until)[:most]:
         writer.row({by: rank.name, **{name: getattr(rank, name) for name in rank._fields[1:]}})
     writer.end()
     return reader.status()
@@ -176,14 +176,14 @@
     """Check request records against the router's log; print each difference, and exit with 1 for any."""
     reader = RecordReader(files, enterprise)
     differences = 0
-    for text in tables.verify(reader.rows(), _log_lines(log)):
+    for text in analysis.differences_from_log(reader.rows(), _log_lines(log)):
         differences += 1
         click.echo(text)
     click.echo(f"{differences} differences")
     return 1 if differences else reader.status()
 
 
-def _log_lines(log: Iterable[bytes]) -> Iterator[tables.Row]:
+def _log_lines(log: Iterable[bytes]) -> Iterator[analysis.Row]:
     for line in log:
         try:
             entry = orjson.loads(line)
@@ -200,10 +200,10 @@
         self._files, self._enterprise = files, enterprise
         self._faulty = 0
 
-    def rows(self) -> Iterator[tables.Row]:
+    def rows(self) -> Iterator[analysis.Row]:
         """All rows, file by file."""
         for path in self._files:
-            yield from tables.rows((path.name, message) for message in self._messages(path))
+            yield from analysis.flow_rows((path.name, message) for message in self._messages(path))
 
     def status(self) -> int:
         """The command's exit status."""
@@ -211,7 +211,7 @@
 
     def _messages(self, path: Path) -> Iterator[Message]:
         try:
-            yield from read_file(path, self._enterprise)
+            yield from read_ipfix_file(path, self._enterprise)
         except FlowError as error:
             self._faulty += 1
             print_problem(error, f"{path}: ")
@@ -222,10 +222,10 @@
 
     def __init__(self, form: str, stream: bool = False) -> None:
         self._form, self._stream = form, stream
-        self._rows: list[tables.Row] = []
+        self._rows: list[analysis.Row] = []
         self._csv: dict[tuple[str, ...], Any] = {}
 
-    def row(self, row: tables.Row) -> None:
+    def row(self, row: analysis.Row) -> None:
         """Print one row, or keep it for the table."""
         if self._form == "json":
             sys.stdout.buffer.write(orjson.dumps(row, option=orjson.OPT_APPEND_NEWLINE))
