--- a/benchmarks/cold_engines.py
+++ b/benchmarks/cold_engines.py
@@ -2,7 +2,7 @@
 
     python benchmarks/cold_engines.py [--short]
 
-Several sites' rule 4, 1 to 200 routers, and traffic of many kinds (`lab/opened.py`). The share of starts that
+Several sites' rule 4, 1 to 200 routers, and traffic of many kinds (`lab/slow_start_exposure.py`). The share of starts that
 fell is told with its interval (Clopper and Pearson, 95 %). `holds`: of all judged starts together no more
 than CHANCE fell, and engines of each site are open to USED of their budget at full load; a short run, of
 few starts, is judged by the interval's lower end and by 0.95 of USED.
@@ -18,7 +18,7 @@
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 
-from spoolbarrow.lab.opened import USUAL, Rule, Traffic, play
+from spoolbarrow.lab.slow_start_exposure import USUAL, Rule, Traffic, play
 
 RULES = {
     "first": Rule(0.34, 8600.0, 4.0, 2000.0),
@@ -31,18 +31,18 @@
     "usual": USUAL,
     "equal work": Traffic(work_sigma=0.0),
     "heavy work": Traffic(work_sigma=1.2),
-    "one busy router": Traffic(busiest=8.0),
-    "hot opening": Traffic(zipf=1.3, hot=0.3),
-    "hot opening, routers that know nothing": Traffic(zipf=1.3, hot=0.3, lead_ms=0.0),
-    "half of the routers end, begin or join": Traffic(churn=0.5),
-    "streams moved at once": Traffic(moved_ms=3000.0),
+    "one busy router": Traffic(busiest_factor=8.0),
+    "hot opening": Traffic(zipf=1.3, hot_share=0.3),
+    "hot opening, routers that know nothing": Traffic(zipf=1.3, hot_share=0.3, lead_ms=0.0),
+    "half of the routers end, begin or join": Traffic(restarted_share=0.5),
+    "streams moved at once": Traffic(resumed_ms=3000.0),
     "three attempts": Traffic(attempts=3),
     "load 0.4": Traffic(load=0.4),
     "load 1.2": Traffic(load=1.2),
     "load 3": Traffic(load=3.0),
-    "load 3 and a hot opening": Traffic(load=3.0, zipf=1.3, hot=0.3),
+    "load 3 and a hot opening": Traffic(load=3.0, zipf=1.3, hot_share=0.3),
     "one request a second": Traffic(per_engine_s=1.0),
-    "restarts told within 1.5 s": Traffic(told_ms=1500.0),
+    "restarts told within 1.5 s": Traffic(notified_within_ms=1500.0),
     "slow engines": Traffic(capacity=0.6),
 }
 TOLD_ONLY = ("slow engines",)  # not judged: a router does not know that they bear less than the mean
--- a/benchmarks/door.py
+++ b/benchmarks/door.py
@@ -30,7 +30,7 @@
 from spoolbarrow import interface as i  # noqa: E402
 from spoolbarrow.door import door as d  # noqa: E402
 from spoolbarrow.lab import policies  # noqa: E402
-from spoolbarrow.lab.account import percentile  # noqa: E402
+from spoolbarrow.lab.run_report import percentile  # noqa: E402
 from spoolbarrow.lab.doored import Doored  # noqa: E402
 from spoolbarrow.lab.scenario import convert, load_raw  # noqa: E402
 from spoolbarrow.lab.simulate import Simulation  # noqa: E402
@@ -170,12 +170,12 @@
     played = Simulation(scenario, "watched", seed)
     played.play()
     lead = scenario.lead_ms()
-    done = [r for r in played.callers.records if r.outcome == "served" and r.asked.at_ms + r.end_ms >= lead]
+    done = [r for r in played.clients.records if r.outcome == "served" and r.planned.at_ms + r.end_ms >= lead]
     windows: dict[int, list[float]] = {}
     for record in done:
-        n = int((record.asked.at_ms + record.end_ms - lead) // WINDOW_MS)
+        n = int((record.planned.at_ms + record.end_ms - lead) // WINDOW_MS)
         if (n + 1) * WINDOW_MS <= length_s * 1000.0:
-            windows.setdefault(n, [0.0, 0.0])[record.asked.tenant] += record.made
+            windows.setdefault(n, [0.0, 0.0])[record.planned.tenant] += record.made
     part = MEMBERS["cairn"] / sum(MEMBERS.values())
     errors = [abs(one / (one + other) - part) for one, other in windows.values()]
     watched = Watched.all
--- a/benchmarks/failover.py
+++ b/benchmarks/failover.py
@@ -29,7 +29,7 @@
 from spoolbarrow.lab.cluster import Cluster, Load  # noqa: E402
 from spoolbarrow.lab.scenario import convert  # noqa: E402
 from spoolbarrow.lab.simulate import Simulation  # noqa: E402
-from spoolbarrow.lab.zoned import Zoned  # noqa: E402
+from spoolbarrow.lab.failover_policy import FailoverRouter  # noqa: E402
 from spoolbarrow.operator import FailoverTable  # noqa: E402
 
 ZONES = {"a": 4, "b": 4, "c": 4}
@@ -161,8 +161,8 @@
         report = simulation.play()
         told[policy] = {key: report[key] for key in FROM_REPORT}
         if policy == "failover":
-            deciders = [node.decider for node in simulation.nodes.all]
-            changes = [one.changes for one in deciders if isinstance(one, Zoned)]
+            deciders = [node.policy for node in simulation.routers.all]
+            changes = [one.changes for one in deciders if isinstance(one, FailoverRouter)]
             known = [
                 now - LOST_MS
                 for its in changes
--- a/benchmarks/follow.py
+++ b/benchmarks/follow.py
@@ -25,7 +25,7 @@
 
 from spoolbarrow.lab.cluster import Cluster, Load, Process  # noqa: E402
 from spoolbarrow.lab.followed import until  # noqa: E402
-from spoolbarrow.lab.leases import Broken, play  # noqa: E402
+from spoolbarrow.lab.lease_histories import InvariantViolated, play  # noqa: E402
 from tests.test_fleet_follow import ALL, NAMES, OPERATOR, TTL_S, Fleet  # noqa: E402
 
 PERIOD_S = 0.1  # of OPERATOR
@@ -97,7 +97,7 @@
     for seed in range(seeds):
         try:
             play(seed)
-        except Broken as error:
+        except InvariantViolated as error:
             broken.append([seed, str(error)])
     result: dict[str, Any] = {"name": "follow", "histories": seeds, "broken": broken}
     with tempfile.TemporaryDirectory() as folder:
--- a/benchmarks/lab.py
+++ b/benchmarks/lab.py
@@ -23,11 +23,11 @@
 ROOT = Path(__file__).resolve().parent.parent
 sys.path[:0] = [str(ROOT), str(ROOT / "benchmarks")]
 
-from spoolbarrow.lab.emulate import Emulator  # noqa: E402
-from spoolbarrow.lab.load import Load  # noqa: E402
+from spoolbarrow.lab.emulator import Emulator  # noqa: E402
+from spoolbarrow.lab.load import LoadGenerator  # noqa: E402
 from spoolbarrow.lab.scenario import convert, load_raw  # noqa: E402
 from spoolbarrow.lab.simulate import simulate  # noqa: E402
-from spoolbarrow.lab.theory import Queue, agreement  # noqa: E402
+from spoolbarrow.lab.theory import Queue, compare_with_theory  # noqa: E402
 
 CALM = ROOT / "examples" / "lab" / "calm.toml"
 TIMES_REAL_TIME = 20.0
@@ -153,8 +153,8 @@
         }
     )  # fmt: skip
     with Emulator(scenario, 1, 3) as fleet:
-        targets = [("127.0.0.1", ports[0]) for ports in fleet.listing.ports.values()]
-        with Load(scenario, 1, targets, 3) as load:
+        targets = [("127.0.0.1", ports[0]) for ports in fleet.discovery.ports.values()]
+        with LoadGenerator(scenario, 1, targets, 3) as load:
             fleet.begin()
             load.begin(time.monotonic() + 0.2)
             records, figures = load.wait()
@@ -177,7 +177,7 @@
     same = all(one[key] == other[key] for key in one if key != "run")
     queues = {}
     for queue in QUEUES:
-        found = agreement(queue, 20_000 if short else 200_000, seed=7)
+        found = compare_with_theory(queue, 20_000 if short else 200_000, seed=7)
         slack = 0.0 if queue.servers == 1 else 1.0  # service is in whole steps of 1 ms, begun between them
         name = f"{'M/D' if queue.fixed else 'M/M'}/{queue.servers} at {queue.load}"
         queues[name] = {key: round(value, 3) for key, value in found._asdict().items()}
--- a/benchmarks/placement.py
+++ b/benchmarks/placement.py
@@ -3,7 +3,7 @@
     python benchmarks/placement.py [--short] [--module FILE ...] [--set NAME=VALUE ...] [--seeds N]
                                    [--routers N] [--engines N] [--length S] [--jobs N]
 
-The decisions are played on sites of two sorts (`spoolbarrow/lab/sites.py`): few openings, and hundreds.
+The decisions are played on sites of two sorts (`spoolbarrow/lab/random_scenarios.py`): few openings, and hundreds.
 Each `--module` is another text of the decision module, each `--set` this one with constants changed
 (`A=1,B=2`). Without either, the decisions are held against themselves with requests taken that are predicted
 to be late by half of their aim, which they must not lose to on either sort.
@@ -26,7 +26,7 @@
 from spoolbarrow.lab import policies  # noqa: E402
 from spoolbarrow.lab.scenario import Scenario  # noqa: E402
 from spoolbarrow.lab.simulate import simulate  # noqa: E402
-from spoolbarrow.lab.sites import site  # noqa: E402
+from spoolbarrow.lab.random_scenarios import random_scenario  # noqa: E402
 
 MODULE = ROOT / "spoolbarrow" / "router.py"
 LOADS = (0.25, 0.32, 0.4)
@@ -90,7 +90,7 @@
     if args.short:
         args.routers, args.engines, args.length = 100, 40, 8.0
     days = [
-        (many, seed, site(seed, many, args.routers, args.engines, LOADS[seed % len(LOADS)], args.length))
+        (many, seed, random_scenario(seed, many, args.routers, args.engines, LOADS[seed % len(LOADS)], args.length))
         for many in (False, True)
         for seed in range(1, 1 + args.seeds)
     ]
--- a/benchmarks/pools.py
+++ b/benchmarks/pools.py
@@ -30,9 +30,9 @@
 from spoolbarrow import interface as i  # noqa: E402
 from spoolbarrow.hash_ring import HashRing  # noqa: E402
 from spoolbarrow.lab import policies  # noqa: E402
-from spoolbarrow.lab.account import Record, percentile  # noqa: E402
-from spoolbarrow.lab.arrivals import asked  # noqa: E402
-from spoolbarrow.lab.policies import Decider, Truth  # noqa: E402
+from spoolbarrow.lab.run_report import Record, percentile  # noqa: E402
+from spoolbarrow.lab.arrivals import draw_requests  # noqa: E402
+from spoolbarrow.lab.policies import RoutingPolicy, EngineOracle  # noqa: E402
 from spoolbarrow.lab.scenario import Scenario, convert  # noqa: E402
 from spoolbarrow.lab.simulate import Simulation  # noqa: E402
 from spoolbarrow.pools import Engine, Pools, sketch, split  # noqa: E402
@@ -107,10 +107,10 @@
         self.sides.pop(request.id, None)
 
 
-def fixed(readers: frozenset[str], cls: int) -> Callable[[i.Settings, int, Truth], Decider]:
+def fixed(readers: frozenset[str], cls: int) -> Callable[[i.Settings, int, EngineOracle], RoutingPolicy]:
     """Routers with a split that never changes: one class reads, and these engines."""
 
-    def make(settings: i.Settings, seed: int, truth: Truth) -> Decider:
+    def make(settings: i.Settings, seed: int, truth: EngineOracle) -> RoutingPolicy:
         router = Sided(settings, seed)
         if readers:
             router.side = lambda event: event.cls == cls
@@ -283,14 +283,14 @@
     decide_ms: float = 0.0
 
 
-def play(scenario: Scenario, seed: int, make: Callable[[i.Settings, int, Truth], Decider]) -> Played:
+def play(scenario: Scenario, seed: int, make: Callable[[i.Settings, int, EngineOracle], RoutingPolicy]) -> Played:
     """One day with these routers."""
     policies.POLICIES["pools"] = make
     simulation = Simulation(scenario, "pools", seed)
     report = simulation.play()
     assert not report["rules_broken"], report["rules_broken"]
-    records = [r for r in simulation.callers.records if r.asked.at_ms >= scenario.lead_ms()]
-    by_class = [[r for r in records if r.asked.cls == n] for n in range(len(scenario.classes))]
+    records = [r for r in simulation.clients.records if r.planned.at_ms >= scenario.lead_ms()]
+    by_class = [[r for r in records if r.planned.cls == n] for n in range(len(scenario.classes))]
     return Played(
         report["worth"],
         [round(percentile([r.first_ms for r in some if r.first_ms >= 0.0], 95), 1) for some in by_class],
@@ -300,14 +300,14 @@
 
 
 def _pace(record: Record) -> float:
-    return (record.end_ms - record.first_ms) / max(1, record.asked.answer - 1)
+    return (record.end_ms - record.first_ms) / max(1, record.planned.answer - 1)
 
 
 def learnt(scenario: Scenario, seed: int) -> Played:
     """The same with the split learnt."""
     hub = Hub()
     played = play(scenario, seed, lambda settings, its, truth: Learning(settings, its, hub))
-    whole = scenario.whole_s() * scenario.routers
+    whole = scenario.total_s() * scenario.routers
     return msgspec.structs.replace(
         played, history=hub.history, moves=hub.moves, said=hub.said / whole,
         decide_ms=1000.0 * percentile(hub.took_s, 50),
@@ -316,7 +316,7 @@
 
 def any_engines(scenario: Scenario, seed: int, count: int) -> frozenset[str]:
     """So many engines of the day."""
-    return frozenset(sorted(Simulation(scenario, "random", seed).machines.by_id)[:count])
+    return frozenset(sorted(Simulation(scenario, "random", seed).engines.by_id)[:count])
 
 
 def compared(scenario: Scenario, seeds: tuple[int, ...], tries: list[int]) -> dict[str, Any]:
@@ -365,7 +365,7 @@
         part = day(0.45, 0.65, engines, phase_s * len(phases) - LEAD_S)
         turned = msgspec.structs.replace(part.classes["read"], new_tokens=(2400.0 * factor, 7200.0 * factor))
         part = msgspec.structs.replace(part, classes=part.classes | {"read": turned})
-        for one in asked(part, [], Random(f"{seed} {n}")):
+        for one in draw_requests(part, [], Random(f"{seed} {n}")):
             if n * phase_s <= one.at_ms / 1000.0 < (n + 1) * phase_s:
                 lines.append({"at_ms": one.at_ms, "class": ("read", "write")[one.cls], "prompt": one.prompt,
                               "answer": one.answer, "session": f"{one.session:x}"})  # fmt: skip
--- a/benchmarks/served.py
+++ b/benchmarks/served.py
@@ -3,7 +3,7 @@
     python benchmarks/served.py [--short] [--module FILE ...] [--day NAME ...] [--seeds N] [--routers N]
                                 [--engines N] [--length S] [--jobs N]
 
-Played on sites drawn at random (`spoolbarrow/lab/sites.py`), of both sorts: at four loads, and on a
+Played on sites drawn at random (`spoolbarrow/lab/random_scenarios.py`), of both sorts: at four loads, and on a
 quiet day on which all engines begin cold. Each `--module` is another text of the decision module, played on
 the same days.
 Told are means over the classes of all days, and the worst class. On the quiet day the longest tenth and the
@@ -29,10 +29,10 @@
 from placement import MODULE, decisions  # noqa: E402
 
 from spoolbarrow.lab import policies  # noqa: E402
-from spoolbarrow.lab.account import Record  # noqa: E402
+from spoolbarrow.lab.run_report import Record  # noqa: E402
 from spoolbarrow.lab.scenario import Scenario, Trouble  # noqa: E402
 from spoolbarrow.lab.simulate import Simulation  # noqa: E402
-from spoolbarrow.lab.sites import site  # noqa: E402
+from spoolbarrow.lab.random_scenarios import random_scenario  # noqa: E402
 
 LOADS = {"quiet": 0.25, "usual": 0.45, "busy": 0.7, "full": 1.1, "cold": 0.25}
 LEAST = {"quiet": 2.0 / 3.0, "usual": 0.5, "busy": 0.5, "full": 0.5, "cold": 0.5}
@@ -54,7 +54,7 @@
     """The part of sessions of which all turns are refused, and what chance would give."""
     sessions: dict[int, list[bool]] = defaultdict(list)
     for one in records:
-        sessions[one.asked.session].append(one.outcome in ("refused", "failed"))
+        sessions[one.planned.session].append(one.outcome in ("refused", "failed"))
     chance = sum(sum(turns) for turns in sessions.values()) / max(1, len(records))
     by_chance = sum(chance ** len(turns) for turns in sessions.values())
     return sum(map(all, sessions.values())) / len(sessions), by_chance / len(sessions)
@@ -62,7 +62,7 @@
 
 def of_class(records: list[Record]) -> Row:
     """What became of one class's requests."""
-    ranked = sorted(records, key=lambda one: one.asked.prompt, reverse=True)
+    ranked = sorted(records, key=lambda one: one.planned.prompt, reverse=True)
     first = round(len(ranked) * (TENTH if len(ranked) >= MANY else QUARTER))
     after = first + round(len(ranked) * NEXT)
     whole = max(share(ranked), 1e-9)
@@ -91,8 +91,8 @@
     day = Simulation(scenario, "played", seed)
     report = day.play()
     by_class: dict[int, list[Record]] = defaultdict(list)
-    for record in day.callers.records:
-        by_class[record.asked.cls].append(record)
+    for record in day.clients.records:
+        by_class[record.planned.cls].append(record)
     return {
         "worth": report["worth"],
         "broken": sum(report["rules_broken"].values()),
@@ -103,7 +103,7 @@
 
 def scenario_of(name: str, seed: int, many: bool, args: argparse.Namespace) -> Scenario:
     """A day of that name on the site of that seed."""
-    made = site(seed, many, args.routers, args.engines, LOADS[name], args.length)
+    made = random_scenario(seed, many, args.routers, args.engines, LOADS[name], args.length)
     if name != "cold":
         return made
     begin = (Trouble(name="cold_restart", begin_s=0.0, part=1.0),)
--- a/benchmarks/sessions.py
+++ b/benchmarks/sessions.py
@@ -35,8 +35,8 @@
 
 from spoolbarrow import interface as i  # noqa: E402
 from spoolbarrow import router as r  # noqa: E402
-from spoolbarrow.lab.account import percentile  # noqa: E402
-from spoolbarrow.lab.policies import POLICIES, Decider, Truth  # noqa: E402
+from spoolbarrow.lab.run_report import percentile  # noqa: E402
+from spoolbarrow.lab.policies import POLICIES, RoutingPolicy, EngineOracle  # noqa: E402
 from spoolbarrow.lab.scenario import Scenario, convert  # noqa: E402
 from spoolbarrow.lab.simulate import Simulation  # noqa: E402
 from spoolbarrow.sessions import cells  # noqa: E402
@@ -361,7 +361,7 @@
 class Heard:
     """Any decisions, and what their answers tell was found kept."""
 
-    def __init__(self, its: Decider, seen: dict[str, tuple[i.RequestArrived, int]]) -> None:
+    def __init__(self, its: RoutingPolicy, seen: dict[str, tuple[i.RequestArrived, int]]) -> None:
         self.its, self.seen = its, seen
         self.open: dict[str, i.RequestArrived] = {}
 
@@ -400,7 +400,7 @@
 class Sticky(Scenario, frozen=True):
     """A front that sends a session to the same router each time."""
 
-    def near(self, routers: list[int], session: int) -> list[int]:
+    def routers_in_zone(self, routers: list[int], session: int) -> list[int]:
         """One of them, by the session."""
         return [routers[session // 7 % len(routers)]]
 
@@ -421,13 +421,13 @@
 
 
 def play(
-    scenario: Scenario, make: Callable[[i.Settings, int], Decider], seed: int, asks: Asks
+    scenario: Scenario, make: Callable[[i.Settings, int], RoutingPolicy], seed: int, asks: Asks
 ) -> dict[str, Any]:
     """One day; what was found kept, of all prompts and of those of sessions that returned."""
     seen: dict[str, tuple[i.RequestArrived, int]] = {}
-    made: list[Decider] = []
+    made: list[RoutingPolicy] = []
 
-    def heard(settings: i.Settings, number: int, truth: Truth) -> Decider:
+    def heard(settings: i.Settings, number: int, truth: EngineOracle) -> RoutingPolicy:
         made.append(make(settings, number))
         return Heard(made[-1], seen)
 
@@ -436,7 +436,7 @@
     report = simulation.play()
     lead = scenario.lead_ms()
     prompts = kept = back = anew = 0
-    first = [x.first_ms for x in simulation.callers.records if x.asked.at_ms >= lead and x.first_ms >= 0.0]
+    first = [x.first_ms for x in simulation.clients.records if x.planned.at_ms >= lead and x.first_ms >= 0.0]
     left: dict[int, int] = {}  # tokens of each session's last turn
     begun = {session: at[0] for session, at in asks.items()}
     for one, found in seen.values():
@@ -470,7 +470,7 @@
         path = Path(folder) / "day.jsonl"
         asks = trace(path, mix, site, rate, length_s, seed)
         scenario = day(path, site, engines, routers, length_s, 0.25 * length_s, sticky)
-        makes: dict[str, Callable[[i.Settings, int], Decider]] = {
+        makes: dict[str, Callable[[i.Settings, int], RoutingPolicy]] = {
             "plain": lambda settings, number: r.Router(settings, number),
             "reserved": lambda settings, number: Told(settings, number, learnt, None),
             "oracle": lambda settings, number: Told(settings, number, learnt, asks),
@@ -512,7 +512,7 @@
     }  # fmt: skip
 
 
-def the(timed: Timed, settings: i.Settings, seed: int) -> Decider:
+def the(timed: Timed, settings: i.Settings, seed: int) -> RoutingPolicy:
     """This one, made before."""
     return timed
 
--- a/spoolbarrow/cli/lab.py
+++ b/spoolbarrow/cli/lab.py
@@ -11,7 +11,7 @@
 
 from spoolbarrow.cli.errors import BadArgument, LabRunFailed, NoResults
 from spoolbarrow.errors import MissingPackage
-from spoolbarrow.lab.scenario import Scenario, change, convert, load_raw
+from spoolbarrow.lab.scenario import Scenario, set_key, convert, load_raw
 
 SCENARIO = click.argument("scenario", type=click.Path(path_type=Path, exists=True, dir_okay=False))
 SETS = click.option("--set", "sets", multiple=True, metavar="KEY=VALUE", help="As `engines=100`.")
@@ -29,7 +29,7 @@
         key, equals, text = one.partition("=")
         if not equals:
             raise BadArgument(f"--set {one}", "wants KEY=VALUE")
-        change(raw, key, value_of(text))
+        set_key(raw, key, value_of(text))
     return convert(raw)
 
 
@@ -124,14 +124,14 @@
     """
     import gevent
 
-    from spoolbarrow.lab.emulate import Emulator
+    from spoolbarrow.lab.emulator import Emulator
 
     try:
         running = Emulator(read(scenario, sets), seed, processes, port, engine_port)
     except OSError as error:
         raise LabRunFailed("", str(error)) from error
     with running as fleet:
-        for n, address in enumerate(fleet.listing.addresses):
+        for n, address in enumerate(fleet.discovery.addresses):
             click.echo(f"router {n}: discovery at {address}")
         fleet.begin()
         click.echo("the day has begun; Ctrl-C ends it")
@@ -163,23 +163,23 @@
     import time
 
     from spoolbarrow.config import parse_address
-    from spoolbarrow.lab.account import account, to_csv
+    from spoolbarrow.lab.run_report import build_report, to_csv
 
     try:
-        from spoolbarrow.lab.load import Load
+        from spoolbarrow.lab.load import LoadGenerator
     except ImportError as error:
         raise MissingPackage("lab", error) from error
 
     day = read(scenario, sets)
     where = [parse_address("IP:PORT", one) for one in targets]
     try:
-        with Load(day, seed, where, processes, token_bytes) as running:
+        with LoadGenerator(day, seed, where, processes, token_bytes) as running:
             running.begin(time.monotonic() + 0.1)
             progress(running)
             records, figures = running.wait()
     except OSError as error:
         raise LabRunFailed("", str(error)) from error
-    report = account(day, records, []) | {"load": figures, "seed": seed}
+    report = build_report(day, records, []) | {"load": figures, "seed": seed}
     if table is not None:
         table.write_text(to_csv(day, records))
     tell(report, as_json)
@@ -223,11 +223,11 @@
         from spoolbarrow.lab import experiment as lab
     except ImportError as error:
         raise MissingPackage("lab", error) from error
-    found = lab.read(file)
+    found = lab.read_experiment(file)
     with Progress(transient=True) as bar:
         task = bar.add_task(found.name)
         place = into or file.parent / found.name
-        played = lab.play(
+        played = lab.run_experiment(
             found, file.parent, place, workers or os.cpu_count() or 1,
             lambda done, of: bar.update(task, completed=done, total=of),
         )  # fmt: skip
@@ -268,10 +268,10 @@
     """Draw the charts of the table in DIRECTORY, and a page that holds them."""
     try:
         from spoolbarrow.lab import charts
-        from spoolbarrow.lab.experiment import Table
+        from spoolbarrow.lab.experiment import ResultTable
     except ImportError as error:
         raise MissingPackage("lab", error) from error
-    rows = Table(directory).rows()
+    rows = ResultTable(directory).rows()
     if not rows:
         raise NoResults(str(directory), "no results")
     for path in charts.write(rows, into or directory, directory.name):
--- a/spoolbarrow/lab/arrivals.py
+++ b/spoolbarrow/lab/arrivals.py
@@ -22,7 +22,7 @@
 BURST_FACTOR = 2.0  # usual size of the trouble
 
 
-class Asked(Struct, frozen=True):
+class PlannedRequest(Struct, frozen=True):
     """A request's first try, as its client means it; lengths in tokens."""
 
     at_ms: float
@@ -33,7 +33,7 @@
     prompt: int
     shared: int
     answer: int
-    over: bool  # beyond its tenant's quota
+    over_quota: bool  # beyond its tenant's quota
 
 
 class Traced(Struct, forbid_unknown_fields=True):
@@ -74,7 +74,7 @@
     at = begin
     while True:
         at += rng.expovariate(mean_per_s * top)
-        if at >= scenario.whole_s():
+        if at >= scenario.total_s():
             return
         if top == 1.0 or rng.random() * top < rate(load, bursts, at):
             yield at
@@ -98,7 +98,7 @@
     return max(1, round(low * (high / low) ** rng.random())) if low > 0 else round(draw(value, rng))
 
 
-def asked(scenario: Scenario, troubles: Iterable[Trouble], rng: Random) -> list[Asked]:
+def draw_requests(scenario: Scenario, troubles: Iterable[Trouble], rng: Random) -> list[PlannedRequest]:
     """Every request of the day, in the order they are sent."""
     found = _traced(scenario) if scenario.load.trace else _drawn(scenario, troubles, rng)
     found.sort(key=lambda one: one.at_ms)
@@ -112,7 +112,7 @@
     return low_high(c.think_s)[1] * log(0.05) / log(1.0 - 1.0 / c.turns)
 
 
-def _drawn(scenario: Scenario, troubles: Iterable[Trouble], rng: Random) -> list[Asked]:
+def _drawn(scenario: Scenario, troubles: Iterable[Trouble], rng: Random) -> list[PlannedRequest]:
     lead = scenario.lead_s
     bursts = [msgspec.structs.replace(t, begin_s=t.begin_s + lead) for t in troubles if t.name == "burst"]
     classes = list(scenario.classes.values())
@@ -125,7 +125,7 @@
         openings.append((weights, [(_key(rng), _tokens(c.opening_tokens, rng)) for _ in range(c.openings)]))
     # Sessions that began before the day go on into it: else its first seconds would be too light.
     earlier = max((_age_s(c) for c in classes), default=0.0)
-    found: list[Asked] = []
+    found: list[PlannedRequest] = []
     for at in _times(scenario, scenario.load.per_engine * scenario.engines / turns, bursts, rng, -earlier):
         cls, tenant, session = _pick(by_class, rng), _pick(by_tenant, rng), _key(rng)
         c = classes[cls]
@@ -141,16 +141,16 @@
                 break
             context += _tokens(c.new_tokens, rng, c.new_sigma, room)
             answer = _tokens(c.answer_tokens, rng, c.answer_sigma, c.max_answer)
-            if 0.0 <= when < scenario.whole_s():
+            if 0.0 <= when < scenario.total_s():
                 found.append(
-                    Asked(when * 1000.0, cls, tenant, session, prefix, context, shared, answer, False)
+                    PlannedRequest(when * 1000.0, cls, tenant, session, prefix, context, shared, answer, False)
                 )
             context += answer
             when += draw(c.think_s, rng)
     return found
 
 
-def _traced(scenario: Scenario) -> list[Asked]:
+def _traced(scenario: Scenario) -> list[PlannedRequest]:
     classes, tenants = list(scenario.classes), list(scenario.tenants)
     decoder = msgspec.json.Decoder(Traced)
     found = []
@@ -169,9 +169,9 @@
                     raise ScenarioError(f"{place}: {error}") from error
                 if one.prompt < 1 or one.answer < 1 or not 0 <= one.shared <= one.prompt or one.at_ms < 0:
                     raise ScenarioError(f"{place}: lengths must be at least 1, shared within the prompt")
-                if one.at_ms < scenario.whole_s() * 1000.0:
+                if one.at_ms < scenario.total_s() * 1000.0:
                     found.append(
-                        Asked(
+                        PlannedRequest(
                             one.at_ms, cls, tenant, session or number, prefix, one.prompt,
                             one.shared if prefix else 0, one.answer, False,
                         )
@@ -181,7 +181,7 @@
     return found
 
 
-def _quotas(scenario: Scenario, found: list[Asked]) -> list[Asked]:
+def _quotas(scenario: Scenario, found: list[PlannedRequest]) -> list[PlannedRequest]:
     """Mark what each tenant sends beyond its quota (a token bucket)."""
     rates = [t.quota_per_engine * scenario.engines or inf for t in scenario.tenants.values()]
     level = [r * QUOTA_DEPTH_S for r in rates]
@@ -191,8 +191,8 @@
         for n, r in enumerate(rates):
             level[n] = min(r * QUOTA_DEPTH_S, level[n] + r * (one.at_ms - last) / 1000.0) if r < inf else inf
         last = one.at_ms
-        over = level[one.tenant] < 1.0
-        if not over:
+        over_quota = level[one.tenant] < 1.0
+        if not over_quota:
             level[one.tenant] -= 1.0
-        marked.append(msgspec.structs.replace(one, over=over))
+        marked.append(msgspec.structs.replace(one, over_quota=over_quota))
     return marked
--- a/spoolbarrow/lab/cluster.py
+++ b/spoolbarrow/lab/cluster.py
@@ -29,7 +29,7 @@
 from spoolbarrow.lab.cold import Figures
 from spoolbarrow.lab.loopback import address
 from spoolbarrow.lab.members import Members
-from spoolbarrow.lab.orders import NotObeyed
+from spoolbarrow.lab.line_commands import CommandFailed
 from spoolbarrow.lab.process import LISTEN as LISTEN
 from spoolbarrow.lab.process import Process as Process
 from spoolbarrow.lab.process import free_ports as free_ports
@@ -79,7 +79,7 @@
         tree: Path | None = None,
     ) -> None:
         if known not in KNOWN:
-            raise NotObeyed("known", f"one of {', '.join(KNOWN)}")
+            raise CommandFailed("known", f"one of {', '.join(KNOWN)}")
         self.folder, self.zones, self.zone_of, self._operator = folder, list(zones), list(routers), operator
         self._gated, self._control, self._at_once, self._with_members = gates, control, at_once, members
         self._known, self._figures, self._settings = known, figures, dict(settings or {})
--- a/spoolbarrow/lab/compare.py
+++ b/spoolbarrow/lab/compare.py
@@ -10,7 +10,7 @@
 
 import numpy as np
 
-from spoolbarrow.lab.experiment import Table
+from spoolbarrow.lab.experiment import ResultTable
 from spoolbarrow.lab.scenario import ScenarioError
 
 RESAMPLES = 4000
@@ -44,7 +44,7 @@
     place, _, chosen = text.partition(":")
     if not Path(place).is_dir():
         raise ScenarioError(f"{place}: no such directory")
-    rows = Table(Path(place)).rows()
+    rows = ResultTable(Path(place)).rows()
     wanted = dict(pair.partition("=")[::2] for pair in chosen.split(",") if pair)
     for key, value in wanted.items():
         if rows and key not in rows[0]:
--- a/spoolbarrow/lab/emulate.py
+++ b/spoolbarrow/lab/emulator.py
@@ -42,7 +42,7 @@
     first_port: int = 0  # of the first engine's listeners; 0: free ones
 
 
-def shifted(scenario: Scenario, seed: int) -> list[Planned]:
+def planned_troubles(scenario: Scenario, seed: int) -> list[Planned]:
     """The day's troubles, their times counted from the beginning of the lead."""
     return [
         msgspec.structs.replace(
@@ -75,7 +75,7 @@
     begun = lines.readline()
     if begun:
         clock.begun = float(begun)
-        for planned in shifted(job.scenario, job.seed):
+        for planned in planned_troubles(job.scenario, job.seed):
             if planned.trouble.name not in (*NOBODY, *ROUTERS):
                 for n in planned.victims:
                     if n in mine:
@@ -86,7 +86,7 @@
         engine.close()
 
 
-class Listing:
+class EmulatedDiscovery:
     """Discovery's listeners, one for each router."""
 
     def __init__(
@@ -221,14 +221,14 @@
 
 
 class Emulator:
-    """A running fleet; use as a context. `listing.addresses` has discovery's address for each router."""
+    """A running fleet; use as a context. `discovery.addresses` has discovery's address for each router."""
 
     def __init__(
         self, scenario: Scenario, seed: int, processes: int, first_port: int = 0, engine_port: int = 0
     ) -> None:
         self.scenario, self.seed, self.clock = scenario, seed, Clock()
         processes = max(1, min(processes, scenario.engines))
-        command = [sys.executable, "-c", "from spoolbarrow.lab.emulate import worker; worker()"]
+        command = [sys.executable, "-c", "from spoolbarrow.lab.emulator import worker; worker()"]
         self.workers: list[Any] = [
             subprocess.Popen(command, stdin=subprocess.PIPE, stdout=subprocess.PIPE) for _ in range(processes)
         ]
@@ -240,7 +240,7 @@
                 with gevent.Timeout(READY_S):
                     ready = msgspec.json.decode(one.stdout.readline())["ready"]
                 ports |= {int(n): found for n, found in ready.items()}
-            self.listing = Listing(scenario, self.clock, ports, seed, first_port)
+            self.discovery = EmulatedDiscovery(scenario, self.clock, ports, seed, first_port)
         except BaseException:
             self._end()
             raise
@@ -250,7 +250,7 @@
     def begin(self) -> None:
         """The day begins now."""
         self.clock.begun = time.monotonic()
-        self.listing.begin(shifted(self.scenario, self.seed))
+        self.discovery.begin(planned_troubles(self.scenario, self.seed))
         for one in self.workers:
             self._write(one, repr(self.clock.begun).encode())
 
@@ -259,7 +259,7 @@
 
         To be asked once the fleet has ended. Engines that serve again are told so, and forgotten here.
         """
-        told = self.listing.withdrawn
+        told = self.discovery.withdrawn
         sends = [send for one in self.figures for send in one["unwanted"]]
         return sum(at > told.get((name, router), float("inf")) + grace_ms for name, router, at in sends)
 
@@ -273,7 +273,7 @@
             if "figures" in change:
                 self.figures += change["figures"]
             else:
-                self.listing.changed(change)
+                self.discovery.changed(change)
 
     def _end(self) -> None:
         for one in self.workers:
@@ -293,6 +293,6 @@
         self, kind: type[BaseException] | None, error: BaseException | None, trace: TracebackType | None
     ) -> None:
         """End all its processes."""
-        self.listing.close()
+        self.discovery.close()
         self._end()
         gevent.joinall(self.hearing)
--- a/spoolbarrow/lab/engine.py
+++ b/spoolbarrow/lab/engine.py
@@ -18,15 +18,15 @@
 from random import Random
 from typing import NamedTuple
 
-from spoolbarrow.lab.kinds import Figures
+from spoolbarrow.lab.kinds import EngineParameters
 from spoolbarrow.lab.memory import Key, Memory
-from spoolbarrow.lab.reports import Load, Reports
-from spoolbarrow.lab.warmth import Warmth
+from spoolbarrow.lab.load_reports import Load, Reports
+from spoolbarrow.lab.warmup import Warmth
 
 LEAP = 32  # steps taken at once at most: memory is taken ahead for so many
 
 
-class Work(NamedTuple):
+class EngineRequest(NamedTuple):
     """A request as an engine sees it; lengths in tokens."""
 
     id: str
@@ -37,27 +37,27 @@
     session: Key = None  # names what follows it
 
 
-class Taken(Enum):
+class SubmitResult(Enum):
     """What becomes of a request that comes."""
 
-    TAKEN = "taken"
+    ACCEPTED = "taken"
     FULL = "full"  # turned away unseen
     ERROR = "error"
-    FELL = "fell"  # it was too much for a cold engine: the process dies
+    CRASHED = "fell"  # it was too much for a cold engine: the process dies
 
 
-class Kind(Enum):
+class EventKind(Enum):
     """What happened to a request."""
 
     STARTED = "started"  # its first token is made
     ENDED = "ended"  # its last token is made
 
 
-class Happening(NamedTuple):
+class EngineEvent(NamedTuple):
     """News of a request."""
 
     at: float
-    kind: Kind
+    kind: EventKind
     id: str
     kept: int  # prompt tokens that were not read
 
@@ -69,7 +69,7 @@
         "work", "came", "read", "target", "made", "kept", "cap", "opening", "opening_blocks", "rest", "drop",
     )  # fmt: skip
 
-    def __init__(self, work: Work, block: int, came: float) -> None:
+    def __init__(self, work: EngineRequest, block: int, came: float) -> None:
         self.work = work
         self.came = came
         self.read = 0  # tokens of context that are in memory and read
@@ -88,7 +88,7 @@
     """One process. `submit`, `cancel` and the rest first bring it to `now`; news is fetched by `advance`."""
 
     def __init__(
-        self, figures: Figures, rng: Random, now: float = 0.0, cold: bool = False, leap: int = LEAP
+        self, figures: EngineParameters, rng: Random, now: float = 0.0, cold: bool = False, leap: int = LEAP
     ) -> None:
         self.figures = figures
         self.leap = leap
@@ -111,40 +111,40 @@
         self.first_ms = self.grow_ms = 0.0  # the first step's length, and each one's more than the last
         self.reading: list[tuple[Job, int]] = []
         self.making: list[Job] = []
-        self.news: list[Happening] = []
+        self.news: list[EngineEvent] = []
 
     # --- from outside
 
-    def next_at(self) -> float:
+    def next_event_at(self) -> float:
         """When `advance` will next have something to do, ms; infinity while idle."""
         return self.end
 
-    def advance(self, now: float) -> list[Happening]:
+    def advance(self, now: float) -> list[EngineEvent]:
         """Bring it to `now`; what happened since the last call, in order."""
         while self.end <= now:
             self._finish_steps()
         news, self.news = self.news, []
         return news
 
-    def submit(self, now: float, work: Work) -> Taken:
+    def submit(self, now: float, work: EngineRequest) -> SubmitResult:
         """A request has come whole."""
         self._to(now)
         f = self.figures
         blocks = -(-(work.prompt + work.answer) // f.block_tokens)
         if blocks > f.blocks or work.prompt < 1 or work.answer < 1 or work.id in self.jobs:
-            return Taken.ERROR
+            return SubmitResult.ERROR
         if f.error_share > 0.0 and self.rng.random() < f.error_share:
-            return Taken.ERROR
+            return SubmitResult.ERROR
         if len(self.waiting) >= f.waiting + f.slots - len(self.running):
-            return Taken.FULL
+            return SubmitResult.FULL
         if self.warmth.take(now, work.prompt):
-            return Taken.FELL
+            return SubmitResult.CRASHED
         job = self.jobs[work.id] = Job(work, f.block_tokens, now)
         self.waiting.append(job)
         self.unread += job.target
         self.asked += job.target
         self._wake(now)
-        return Taken.TAKEN
+        return SubmitResult.ACCEPTED
 
     def cancel(self, now: float, request: str) -> None:
         """Its caller has gone: what the kind drops is dropped, at the end of the step under way."""
@@ -165,7 +165,7 @@
         wait = max(0.0, self.not_before - now)
         return max(wait, min(self.end - now, self.first_ms)) if self.reading else wait
 
-    def charge(self, now: float, work_ms: float) -> None:
+    def add_overhead(self, now: float, work_ms: float) -> None:
         """Work beside the steps (a handshake, a probe) makes the next one longer."""
         self.owed_ms += work_ms if self.running or self.waiting else 0.0
 
@@ -195,7 +195,7 @@
         self._to(now)
         return self.reports.read(now)
 
-    def found_kept(self, work: Work) -> int:
+    def cached_tokens(self, work: EngineRequest) -> int:
         """Prompt tokens of this request that are in memory now."""
         return self._found(Job(work, self.figures.block_tokens, 0.0))
 
@@ -388,7 +388,7 @@
             self.memory.fill(job.rest, job.read // block - job.opening_blocks)
             if job.read >= job.target:
                 if not job.made:
-                    self.news.append(Happening(now, Kind.STARTED, job.work.id, job.kept))
+                    self.news.append(EngineEvent(now, EventKind.STARTED, job.work.id, job.kept))
                 job.made += 1
                 self.made += 1
                 if job.made >= job.work.answer:
@@ -396,7 +396,7 @@
         self.unread -= read
         self.done_read += read
         for job in gone:
-            self.news.append(Happening(now, Kind.ENDED, job.work.id, job.kept))
+            self.news.append(EngineEvent(now, EventKind.ENDED, job.work.id, job.kept))
             if self.figures.keeps_answers:
                 self.memory.fill(job.rest, (job.work.prompt + job.made - 1) // block - job.opening_blocks)
             self._leave(job)
--- a/spoolbarrow/lab/experiment.py
+++ b/spoolbarrow/lab/experiment.py
@@ -22,7 +22,7 @@
 import orjson
 from msgspec import Struct
 
-from spoolbarrow.lab.scenario import ScenarioError, change, convert, load_raw
+from spoolbarrow.lab.scenario import ScenarioError, set_key, convert, load_raw
 
 PACKAGE = Path(__file__).resolve().parent.parent
 TABLE, JOURNAL = "results.parquet", "results.jsonl"
@@ -144,7 +144,7 @@
     return sha256(b"\0".join(path.read_bytes() for path in files)).hexdigest()[:16]
 
 
-def read(path: Path) -> Experiment:
+def read_experiment(path: Path) -> Experiment:
     """An experiment file; ScenarioError names the faulty key."""
     try:
         found = msgspec.convert(tomllib.loads(path.read_text()), Experiment)
@@ -171,7 +171,7 @@
             settings = dict(zip(experiment.grid, values, strict=True))
             changed = deepcopy(raw)
             for key, value in (experiment.settings | settings).items():
-                change(changed, key, value)
+                set_key(changed, key, value)
             convert(changed)
             for numbers in itertools.product(*experiment.constants.values()):
                 constants = dict(zip(experiment.constants, numbers, strict=True))
@@ -189,7 +189,7 @@
                     )
 
 
-def perform(job: Job) -> dict[str, Any]:
+def run_job(job: Job) -> dict[str, Any]:
     """Play one run in this process; its row."""
     from spoolbarrow import router
     from spoolbarrow.lab.simulate import simulate
@@ -234,7 +234,7 @@
     }
 
 
-class Table:
+class ResultTable:
     """The results in a directory: the Parquet table, and the journal of rows not yet in it."""
 
     def __init__(self, directory: Path) -> None:
@@ -280,11 +280,11 @@
         self.journal.unlink()
 
 
-def play(
+def run_experiment(
     experiment: Experiment, directory: Path, into: Path, workers: int, tell: Callable[[int, int], None]
 ) -> int:
     """Play what the table in `into` lacks; `tell` hears how many are done, and of how many. Runs played."""
-    table = Table(into)
+    table = ResultTable(into)
     known = {one["key"] for one in table.rows()}
     every = list(jobs(experiment, directory))
     left = [job for job in every if job.key() not in known]
@@ -296,7 +296,7 @@
         out: set[Future[dict[str, Any]]] = set()
         while left or out:
             while left and len(out) < 2 * workers:
-                out.add(pool.submit(perform, left.pop(0)))
+                out.add(pool.submit(run_job, left.pop(0)))
             finished, out = wait(out, return_when=FIRST_COMPLETED)
             for one in finished:
                 table.append(one.result())
--- a/spoolbarrow/lab/zoned.py
+++ b/spoolbarrow/lab/failover_policy.py
@@ -20,14 +20,14 @@
 )
 from spoolbarrow.router import Router
 
-PERIOD_MS = 100.0
+UPDATE_PERIOD_MS = 100.0
 TRIES = 4  # of a check: a probe waits a fourth of a check's time
 TIMER = "failover"
 FAILING = frozenset({i.Outcome.UNREACHABLE, i.Outcome.RESET})
 SAYS_NOTHING = frozenset({i.Outcome.CANCELLED, i.Outcome.MOOT})
 
 
-class Zoned:
+class FailoverRouter:
     """A router that takes failed zones out of service; zones go by their numbers."""
 
     def __init__(self, settings: i.Settings, seed: int) -> None:
@@ -69,7 +69,7 @@
         if weigh:
             self._armed = True
             passed += self._weigh(now, actions)
-            actions.append(i.SetTimer(TIMER, PERIOD_MS))
+            actions.append(i.SetTimer(TIMER, UPDATE_PERIOD_MS))
         return actions + self._router.handle(now, passed)
 
     def _hear(self, now: float, replica: str, outcome: i.Outcome) -> None:
--- a/spoolbarrow/lab/fleet.py
+++ b/spoolbarrow/lab/fleet.py
@@ -8,7 +8,7 @@
 from msgspec import Struct
 from msgspec.structs import replace
 
-from spoolbarrow.lab.kinds import Figures, draw, figures
+from spoolbarrow.lab.kinds import EngineParameters, draw, draw_engine
 from spoolbarrow.lab.scenario import Scenario, Trouble
 
 CELL = 8  # engines that are close to each other
@@ -39,7 +39,7 @@
     zone: int
     kind: int
     cell: int
-    figures: Figures
+    figures: EngineParameters
     weight: float = 1.0  # that the list tells
 
 
@@ -68,7 +68,7 @@
             n % scenario.zones,
             kind,
             n // CELL,
-            figures(scenario.kinds[names[kind]], rng),
+            draw_engine(scenario.kinds[names[kind]], rng),
         )
         for n, kind in enumerate(which)
     ]
@@ -95,7 +95,7 @@
 
 
 def moves(
-    planned: Planned, figures: Figures, rng: Random, begin: float
+    planned: Planned, figures: EngineParameters, rng: Random, begin: float
 ) -> list[tuple[float, str, tuple[Any, ...]]]:
     """What happens to one engine that a trouble hits: when, ms, which move, and with what.
 
--- a/spoolbarrow/lab/kinds.py
+++ b/spoolbarrow/lab/kinds.py
@@ -11,7 +11,7 @@
 Range = float | tuple[float, float]
 
 
-class Kind(Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
+class EngineKind(Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
     """One kind of engine as a scenario file describes it; every figure may be a range [low, high]."""
 
     share: float = 1.0  # of the fleet
@@ -45,7 +45,7 @@
     keeps_answers: bool = True
 
 
-class Figures(Struct, frozen=True, kw_only=True):
+class EngineParameters(Struct, frozen=True, kw_only=True):
     """One engine's own figures, drawn from its kind."""
 
     speed: float
@@ -93,10 +93,10 @@
     return low if low == high else rng.uniform(low, high)
 
 
-def faults(name: str, kind: Kind) -> list[str]:
+def faults(name: str, kind: EngineKind) -> list[str]:
     """What cannot be, each with its key."""
     found = []
-    for field in msgspec.structs.fields(Kind):
+    for field in msgspec.structs.fields(EngineKind):
         value = getattr(kind, field.name)
         if isinstance(value, (int, float, tuple)) and not isinstance(value, bool):
             low, high = low_high(value)
@@ -112,10 +112,10 @@
     return found
 
 
-def figures(kind: Kind, rng: Random) -> Figures:
+def draw_engine(kind: EngineKind, rng: Random) -> EngineParameters:
     """Draw an engine of this kind."""
     speed = draw(kind.speed, rng)
-    return Figures(
+    return EngineParameters(
         speed=speed,
         slots=max(1, round(draw(kind.slots, rng))),
         waiting=round(draw(kind.waiting, rng)),
--- a/spoolbarrow/lab/leases.py
+++ b/spoolbarrow/lab/lease_histories.py
@@ -32,7 +32,7 @@
 QUIET_MS = 20_000.0  # at the end nothing fails for so long: all must act alike by then
 
 
-class Broken(AssertionError):
+class InvariantViolated(AssertionError):
     """A history in which something does not hold."""
 
 
@@ -137,18 +137,18 @@
     def hold(self, now: float, before: LeaseRecord | None, after: LeaseRecord) -> None:
         """What must hold of each write."""
         if before is not None and after.epoch < before.epoch:
-            raise Broken(f"epoch {after.epoch} after {before.epoch}")
+            raise InvariantViolated(f"epoch {after.epoch} after {before.epoch}")
         self.played.epochs += before is None or after.epoch > before.epoch
         old, new = None if before is None else before.decision, after.decision
         if new is None:
             if old is not None:
-                raise Broken("a decision was lost")
+                raise InvariantViolated("a decision was lost")
             return
         number = (new.epoch, new.number)
         if old is not None and number < (old.epoch, old.number):
-            raise Broken(f"decision {number} after {(old.epoch, old.number)}")
+            raise InvariantViolated(f"decision {number} after {(old.epoch, old.number)}")
         if self.bodies.setdefault(number, new.body) != new.body:
-            raise Broken(f"decision {number} is two")
+            raise InvariantViolated(f"decision {number} is two")
         if old is None or number != (old.epoch, old.number):
             self.played.decisions += 1
             if old is not None:
@@ -161,14 +161,14 @@
         if acts is None:
             return
         if self.bodies.get((acts.epoch, acts.number)) != acts.body:
-            raise Broken("acts on what was never written")
+            raise InvariantViolated("acts on what was never written")
         gone = self.replaced.get((acts.epoch, acts.number), now)
         if now - gone > DECISION_TTL_LEASES * TTL_MS * (1 + SKEW) / (1 - SKEW) + LAG_MS:
-            raise Broken(f"acts on a decision replaced {now - gone:.0f} ms ago")
+            raise InvariantViolated(f"acts on a decision replaced {now - gone:.0f} ms ago")
 
 
 def play(seed: int, routers: int = 5, seconds: float = 120.0, fenced: bool = True) -> Played:
-    """One history; Broken where something does not hold, at its end too: all act on the same."""
+    """One history; InvariantViolated where something does not hold, at its end too: all act on the same."""
     history = History(seed, routers, fenced)
     end = seconds * 1000
     history.run(end)
@@ -178,5 +178,5 @@
     assert standing is not None
     numbers = {(one.epoch, one.number) if one is not None else None for one in acts}
     if None in numbers or len(numbers) > 2:  # a decision of the last moment may be known to some
-        raise Broken(f"at the end routers act on {numbers}")
+        raise InvariantViolated(f"at the end routers act on {numbers}")
     return history.played
--- a/spoolbarrow/lab/orders.py
+++ b/spoolbarrow/lab/line_commands.py
@@ -11,14 +11,14 @@
 from spoolbarrow.errors import Problem
 
 
-class NotObeyed(Problem):
+class CommandFailed(Problem):
     """A process of the lab answers a line with an error, or is asked for what it is not."""
 
     where = "the line, or the key"
     remedy = "See what the process takes, and whether it still runs."
 
 
-def obey_lines(seconds: float, obey: Callable[[str], str]) -> None:
+def serve_commands(seconds: float, obey: Callable[[str], str]) -> None:
     """Answer each line of standard input with one on standard output, until it ends or `seconds` are over."""
     ear = FileObject(sys.stdin.fileno(), "r", close=False)
 
--- a/spoolbarrow/lab/listing.py
+++ b/spoolbarrow/lab/listing.py
@@ -34,7 +34,7 @@
 from gevent.event import Event
 
 from spoolbarrow.lab import loopback
-from spoolbarrow.lab.orders import NotObeyed, obey_lines
+from spoolbarrow.lab.line_commands import CommandFailed, serve_commands
 from spoolbarrow.lab.standin import MOST_SECONDS, Door, converse
 from spoolbarrow.lab.wire import PLAIN, chunk
 
@@ -395,7 +395,7 @@
                 self._state(word)
             else:
                 self._mode(word, *rest)
-        except (NotObeyed, ValueError, TypeError, KeyError, OSError) as error:
+        except (CommandFailed, ValueError, TypeError, KeyError, OSError) as error:
             return f"error: {line[:80]}: {error}"
         return "ok"
 
@@ -422,7 +422,7 @@
 
     def _mode(self, named: str, mode: str) -> None:
         if mode not in MODES:
-            raise NotObeyed(mode, f"want one of {', '.join(MODES)}")
+            raise CommandFailed(mode, f"want one of {', '.join(MODES)}")
         if named == "*":
             self.modes = defaultdict(lambda: mode)
         else:
@@ -439,7 +439,7 @@
     loopback.most_files()
     made = Service(float(argv[1]), float(argv[2]) / 1000.0, float(argv[3]))
     print(made.door.port, flush=True)
-    obey_lines(float(argv[0]), made.obey)
+    serve_commands(float(argv[0]), made.obey)
 
 
 if __name__ == "__main__":
--- a/spoolbarrow/lab/load.py
+++ b/spoolbarrow/lab/load.py
@@ -21,8 +21,8 @@
 from gevent.fileobject import FileObjectPosix
 from hdrh.histogram import HdrHistogram
 
-from spoolbarrow.lab.account import Record
-from spoolbarrow.lab.arrivals import Asked, asked
+from spoolbarrow.lab.run_report import Record
+from spoolbarrow.lab.arrivals import PlannedRequest, draw_requests
 from spoolbarrow.lab.fleet import plan, stream
 from spoolbarrow.lab.kinds import draw
 from spoolbarrow.lab.scenario import Scenario
@@ -72,7 +72,7 @@
 def records(scenario: Scenario, seed: int) -> list[Record]:
     """The day's requests, the same in every process."""
     troubles = [planned.trouble for planned in plan(scenario, stream(seed, "troubles"))]
-    return [Record(one) for one in asked(scenario, troubles, stream(seed, "arrivals"))]
+    return [Record(one) for one in draw_requests(scenario, troubles, stream(seed, "arrivals"))]
 
 
 class Player:
@@ -104,9 +104,9 @@
         out = set()
         told = 0.0
         for _, record in self.mine:
-            while (ahead := record.asked.at_ms - self.now()) > 0.0:
+            while (ahead := record.planned.at_ms - self.now()) > 0.0:
                 gevent.sleep(min(ahead, SPAWN_AHEAD_MS) / 1000.0)
-            late = self.now() - record.asked.at_ms
+            late = self.now() - record.planned.at_ms
             self.late.record_value(max(LOWEST_US, int(late * 1000.0)))
             self.sent_late += late > LATE_MS
             greenlet = gevent.spawn(self._client, record, self._number(record))
@@ -131,11 +131,11 @@
         return Result(found, late, first, whole, late_share, self.unanswered)
 
     def _number(self, record: Record) -> str:
-        return f"{self.job.seed:x}-{record.asked.session:x}-{int(record.asked.at_ms * 1000.0):x}"
+        return f"{self.job.seed:x}-{record.planned.session:x}-{int(record.planned.at_ms * 1000.0):x}"
 
     def _client(self, record: Record, name: str) -> None:
         """One client with its tries."""
-        c, one = self.scenario.clients, record.asked
+        c, one = self.scenario.clients, record.planned
         shape = self.shapes[one.cls]
         for number in range(c.retries + 1):
             record.tries += 1
@@ -155,7 +155,7 @@
 
     def _try(self, record: Record, name: str, patience_ms: float) -> tuple[str, float]:
         """One try: how it ended, and when to come back, if that was told."""
-        near = self.scenario.near(self.believed, record.asked.session)
+        near = self.scenario.routers_in_zone(self.believed, record.planned.session)
         if not near:
             return "failed", 0.0
         target = near[int(self.rng.random() * len(near))]
@@ -164,7 +164,7 @@
         try:
             with gevent.Timeout(patience_ms / 1000.0, Patience()):
                 sock, kept = self._connection(target), True
-                request = self._request(record.asked, name, patience_ms)
+                request = self._request(record.planned, name, patience_ms)
                 try:
                     sock.sendall(request)
                     buffer = bytearray(65_536)
@@ -204,7 +204,7 @@
 
     def _stream(self, record: Record, sock: Any, parser: Any, body: bytes, target: int) -> str:
         """Read a stream that has begun to its end."""
-        record.first_ms = self.now() - record.asked.at_ms
+        record.first_ms = self.now() - record.planned.at_ms
         buffer = bytearray(65_536)
         tail = body
         sock.settimeout(STREAM_S)
@@ -216,8 +216,8 @@
             return "lost"
         if b"data: [DONE]" not in tail:
             return "lost"
-        record.end_ms = self.now() - record.asked.at_ms
-        record.made = record.asked.answer + record.asked.prompt - _kept(tail)
+        record.end_ms = self.now() - record.planned.at_ms
+        record.made = record.planned.answer + record.planned.prompt - _kept(tail)
         if parser.reusable:
             self._keep(target, sock)
         return "served"
@@ -232,7 +232,7 @@
         if len(self.idle[target]) > KEEP:
             self.idle[target].popleft().close()
 
-    def _request(self, one: Asked, name: str, patience_ms: float) -> bytes:
+    def _request(self, one: PlannedRequest, name: str, patience_ms: float) -> bytes:
         text = b"a" * (one.prompt * self.job.token_bytes)
         body = b'{"model":"lab","stream":true,"lab_answer":%d,"messages":[{"role":"user","content":"%s"}]}'
         body %= (one.answer, text)
@@ -275,7 +275,7 @@
     hearing.kill()
 
 
-class Load:
+class LoadGenerator:
     """Processes that send a day's requests; use as a context."""
 
     def __init__(
@@ -314,7 +314,7 @@
             self._write(one, msgspec.json.encode({"begin": begun}))
         self.hearing = [gevent.spawn(self._hear, n) for n in range(len(self.processes))]
 
-    def believe(self, routers: list[int]) -> None:
+    def set_live_routers(self, routers: list[int]) -> None:
         """The front sends to these routers from now on."""
         for one in self.processes:
             if one.poll() is None:
@@ -360,7 +360,7 @@
                 one.kill()
             one.wait()
 
-    def __enter__(self) -> Load:
+    def __enter__(self) -> LoadGenerator:
         """The processes, ready to begin."""
         return self
 
--- a/spoolbarrow/lab/reports.py
+++ b/spoolbarrow/lab/load_reports.py
@@ -6,7 +6,7 @@
 from random import Random
 from typing import NamedTuple
 
-from spoolbarrow.lab.kinds import Figures
+from spoolbarrow.lab.kinds import EngineParameters
 
 
 class Load(NamedTuple):
@@ -26,7 +26,7 @@
 
     __slots__ = ("every", "delay", "noise", "rng", "phase", "state", "boundary", "told")
 
-    def __init__(self, figures: Figures, rng: Random) -> None:
+    def __init__(self, figures: EngineParameters, rng: Random) -> None:
         self.every = max(1.0, figures.report_every_ms)
         self.delay, self.noise, self.rng = figures.report_delay_ms, figures.report_noise, rng
         self.phase = rng.random() * self.every
--- a/spoolbarrow/lab/policies.py
+++ b/spoolbarrow/lab/policies.py
@@ -41,7 +41,7 @@
 POINTS = 32  # of an engine on the ring
 
 
-class Decider(Protocol):
+class RoutingPolicy(Protocol):
     """What plays a router's part."""
 
     def handle(self, now_ms: float, events: list[Event]) -> list[Action]:
@@ -49,7 +49,7 @@
         ...
 
 
-class Truth(Protocol):
+class EngineOracle(Protocol):
     """What only the lab can know."""
 
     def first_token_ms(self, replica: str, request: RequestArrived, now: float) -> float:
@@ -73,7 +73,7 @@
 class Simple:
     """One attempt at a time, tried elsewhere while it is safe; subclasses choose the engine."""
 
-    def __init__(self, settings: Settings, seed: int, truth: Truth) -> None:
+    def __init__(self, settings: Settings, seed: int, truth: EngineOracle) -> None:
         self.settings = settings
         self.rng = Random(seed)
         self.truth = truth
@@ -257,26 +257,26 @@
         return best if self.now + least < request.deadline else None
 
 
-def own(settings: Settings, seed: int, truth: Truth) -> Decider:
+def own(settings: Settings, seed: int, truth: EngineOracle) -> RoutingPolicy:
     """The project's decisions."""
     return Router(settings, seed)
 
 
-def doored(settings: Settings, seed: int, truth: Truth) -> Decider:
+def doored(settings: Settings, seed: int, truth: EngineOracle) -> RoutingPolicy:
     """The project's decisions behind its door."""
     from spoolbarrow.lab.doored import Doored
 
     return Doored(settings, seed)
 
 
-def zoned(settings: Settings, seed: int, truth: Truth) -> Decider:
+def zoned(settings: Settings, seed: int, truth: EngineOracle) -> RoutingPolicy:
     """The project's decisions with failover between zones."""
-    from spoolbarrow.lab.zoned import Zoned
+    from spoolbarrow.lab.failover_policy import FailoverRouter
 
-    return Zoned(settings, seed)
+    return FailoverRouter(settings, seed)
 
 
-POLICIES: dict[str, Callable[[Settings, int, Truth], Decider]] = {
+POLICIES: dict[str, Callable[[Settings, int, EngineOracle], RoutingPolicy]] = {
     "spoolbarrow": own,
     "door": doored,
     "failover": zoned,
--- a/spoolbarrow/lab/process.py
+++ b/spoolbarrow/lab/process.py
@@ -16,7 +16,7 @@
 from pathlib import Path
 from typing import IO, Any
 
-from spoolbarrow.lab.orders import NotObeyed
+from spoolbarrow.lab.line_commands import CommandFailed
 
 READ = 65_536
 LOOK_S = 0.25  # between looks at whether a process that says nothing has ended
@@ -108,7 +108,7 @@
         return self.said[0]
 
     def tell(self, line: str) -> str:
-        """A line to standard input; the next line of output. NotObeyed where it is not obeyed."""
+        """A line to standard input; the next line of output. CommandFailed where it is not obeyed."""
         assert self.popen.stdin is not None
         with self._telling:
             count = len(self.said)
@@ -117,7 +117,7 @@
             self.wait_for(lambda: len(self.said) > count)
             said = self.said[count]
         if said.startswith("error"):
-            raise NotObeyed(line, said)
+            raise CommandFailed(line, said)
         return said
 
     def ask(self, line: str) -> Any:
--- a/spoolbarrow/lab/proxy.py
+++ b/spoolbarrow/lab/proxy.py
@@ -24,7 +24,7 @@
 from gevent import socket
 
 from spoolbarrow.lab import loopback
-from spoolbarrow.lab.orders import obey_lines
+from spoolbarrow.lab.line_commands import serve_commands
 
 HOST = "127.0.0.1"
 MOST_OPEN = 512
@@ -150,7 +150,7 @@
     for gate in gates:
         gevent.spawn(gate.serve)
     print(" ".join(str(gate.port) for gate in gates), flush=True)
-    obey_lines(seconds, partial(obey, gates))
+    serve_commands(seconds, partial(obey, gates))
 
 
 if __name__ == "__main__":
--- a/spoolbarrow/lab/sites.py
+++ b/spoolbarrow/lab/random_scenarios.py
@@ -11,7 +11,7 @@
 from random import Random
 from typing import Any
 
-from spoolbarrow.lab.arrivals import Asked, asked
+from spoolbarrow.lab.arrivals import PlannedRequest, draw_requests
 from spoolbarrow.lab.fleet import Spec, fleet, stream
 from spoolbarrow.lab.scenario import Scenario, convert
 
@@ -91,7 +91,7 @@
     }
 
 
-def site(seed: int, many: bool, routers: int, engines: int, load: float, length_s: float) -> Scenario:
+def random_scenario(seed: int, many: bool, routers: int, engines: int, load: float, length_s: float) -> Scenario:
     """A deployment and its day: `load` is the share of what the engines bear."""
     rng = stream(seed, "site")
     shares = [rng.uniform(0.2, 0.5) for _ in range(KINDS)]
@@ -123,11 +123,11 @@
     In a steady batch a step of T ms reads T x rate x new tokens and makes a token for each of the
     rate x answer x T that run, so T = step / (1 - rate x cost), where cost is what a request adds to steps.
     """
-    day = asked(scenario, (), stream(seed, "arrivals"))
+    day = draw_requests(scenario, (), stream(seed, "arrivals"))
     return _mean_rate(day, fleet(scenario, stream(seed, "fleet")), scenario)
 
 
-def _mean_rate(day: Iterable[Asked], specs: list[Spec], scenario: Scenario) -> float:
+def _mean_rate(day: Iterable[PlannedRequest], specs: list[Spec], scenario: Scenario) -> float:
     ended: dict[int, int] = {}
     count = new = answer = context = pairs = 0.0
     for one in day:
--- a/spoolbarrow/lab/recorded_clients.py
+++ b/spoolbarrow/lab/recorded_clients.py
@@ -27,7 +27,7 @@
 from msgspec import Struct
 
 from spoolbarrow.lab import loopback
-from spoolbarrow.lab.orders import obey_lines
+from spoolbarrow.lab.line_commands import serve_commands
 from spoolbarrow.lab.recorded_engines import received_at
 from spoolbarrow.lab.standin import EVENTS, reset
 from spoolbarrow.lab.wire import chunk
@@ -479,7 +479,7 @@
     """Ask, and obey."""
     loopback.most_files()
     crowd = Crowd(msgspec.json.decode(argv[1], type=Plan))
-    obey_lines(float(argv[0]), crowd.obey)
+    serve_commands(float(argv[0]), crowd.obey)
 
 
 if __name__ == "__main__":
--- a/spoolbarrow/lab/recorded_engines.py
+++ b/spoolbarrow/lab/recorded_engines.py
@@ -27,7 +27,7 @@
 
 from spoolbarrow.lab import loopback
 from spoolbarrow.lab.cold import Figures
-from spoolbarrow.lab.orders import obey_lines
+from spoolbarrow.lab.line_commands import serve_commands
 from spoolbarrow.lab.standin import CALM, EVENTS, GAP_S, Standin, obey, reset
 from spoolbarrow.lab.wire import HEAD, PLAIN, chunk, facts
 from spoolbarrow.net import tcpinfo
@@ -181,7 +181,7 @@
         return obey(made, line)  # type: ignore[arg-type]
 
     with suppress(KeyboardInterrupt):
-        obey_lines(float(argv[0]), carry_out)
+        serve_commands(float(argv[0]), carry_out)
 
 
 if __name__ == "__main__":
--- a/spoolbarrow/lab/account.py
+++ b/spoolbarrow/lab/run_report.py
@@ -8,7 +8,7 @@
 
 from msgspec import Struct
 
-from spoolbarrow.lab.arrivals import Asked
+from spoolbarrow.lab.arrivals import PlannedRequest
 from spoolbarrow.lab.fleet import Planned
 from spoolbarrow.lab.scenario import Scenario
 
@@ -20,7 +20,7 @@
 class Record(Struct):
     """One request with all its tries; times in ms from when the first try was due, negative: never."""
 
-    asked: Asked
+    planned: PlannedRequest
     outcome: str = "lost"  # served, refused, failed, lost (broken or never answered), left
     first_ms: float = -1.0
     end_ms: float = -1.0
@@ -31,9 +31,9 @@
 
 def worth(scenario: Scenario, record: Record) -> tuple[float, float]:
     """What the request was worth, and what of that was got."""
-    one = record.asked
+    one = record.planned
     c = list(scenario.classes.values())[one.cls]
-    asked = c.worth * (scenario.load.over_worth if one.over else 1.0)
+    asked = c.worth * (scenario.load.over_worth if one.over_quota else 1.0)
     if record.outcome != "served" or record.first_ms < 0.0:
         return asked, 0.0
     more = c.aim_ms_per_1000 * one.prompt / 1000.0
@@ -49,8 +49,8 @@
     """Why a request did not get its whole worth: its outcome, or that its answer was late or slow."""
     if record.outcome != "served":
         return record.outcome
-    c = list(scenario.classes.values())[record.asked.cls]
-    late = record.first_ms > c.aim_ms + c.aim_ms_per_1000 * record.asked.prompt / 1000.0
+    c = list(scenario.classes.values())[record.planned.cls]
+    late = record.first_ms > c.aim_ms + c.aim_ms_per_1000 * record.planned.prompt / 1000.0
     return "late first token" if late else "slow stream"
 
 
@@ -70,7 +70,7 @@
     classes, tenants = list(scenario.classes), list(scenario.tenants)
     lines = ["at_ms,class,tenant,prompt,answer,outcome,first_ms,whole_ms,tries"]
     for r in records:
-        one = r.asked
+        one = r.planned
         lines.append(
             f"{one.at_ms:.3f},{classes[one.cls]},{tenants[one.tenant]},{one.prompt},{one.answer},"
             f"{r.outcome},{r.first_ms:.3f},{r.end_ms:.3f},{r.tries}"
@@ -78,7 +78,7 @@
     return "\n".join(lines) + "\n"
 
 
-def effort(scenario: Scenario, records: list[Record], work: int) -> dict[str, Any]:
+def work_report(scenario: Scenario, records: list[Record], work: int) -> dict[str, Any]:
     """What the engines did in all, `work` tokens read and made, and what of it no served answer needed."""
     useful = sum(r.made for r in records if r.outcome == "served")
     return {
@@ -116,17 +116,17 @@
     lead = scenario.lead_ms()
     groups: dict[int, list[tuple[float, float]]] = {}
     for record, pair in zip(records, pairs, strict=True):
-        groups.setdefault(int((record.asked.at_ms - lead) / 1000.0 / WINDOW_S), []).append(pair)
+        groups.setdefault(int((record.planned.at_ms - lead) / 1000.0 / WINDOW_S), []).append(pair)
     return [
         {"begin_s": n * WINDOW_S, "requests": len(group), "worth": _share(group)}
         for n, group in sorted(groups.items())
     ]
 
 
-def account(scenario: Scenario, records: list[Record], troubles: list[Planned]) -> dict[str, Any]:
+def build_report(scenario: Scenario, records: list[Record], troubles: list[Planned]) -> dict[str, Any]:
     """The figures of a day that its records hold."""
     lead = scenario.lead_ms()
-    records = [record for record in records if record.asked.at_ms >= lead]
+    records = [record for record in records if record.planned.at_ms >= lead]
     pairs = [worth(scenario, record) for record in records]
     windows = _windows(scenario, records, pairs)
     outcomes: dict[str, int] = {}
@@ -136,7 +136,7 @@
     def part(key: str, names: list[str]) -> dict[str, Any]:
         found = {}
         for n, name in enumerate(names):
-            chosen = [k for k, r in enumerate(records) if getattr(r.asked, key) == n]
+            chosen = [k for k, r in enumerate(records) if getattr(r.planned, key) == n]
             mine = [records[k] for k in chosen]
             refused = sum(r.outcome == "refused" for r in mine)
             found[name] = {
@@ -152,7 +152,7 @@
         inside: list[tuple[float, float]] = []
         outside: list[tuple[float, float]] = []
         for record, pair in zip(records, pairs, strict=True):
-            at = (record.asked.at_ms - lead) / 1000.0
+            at = (record.planned.at_ms - lead) / 1000.0
             hit = t.begin_s <= at < t.begin_s + max(t.length_s, WINDOW_S)
             (inside if hit else outside).append(pair)
         costs.append(
--- a/spoolbarrow/lab/scenario.py
+++ b/spoolbarrow/lab/scenario.py
@@ -13,7 +13,7 @@
 from spoolbarrow.errors import Problem
 from spoolbarrow.interface import Effect, RequestClass, Settings, Tenant
 from spoolbarrow.lab import kinds
-from spoolbarrow.lab.kinds import Kind, Range
+from spoolbarrow.lab.kinds import EngineKind, Range
 
 Name = Literal[
     "hang", "pauses", "slow", "cold_restart", "drain", "replace", "vanish", "connection_cap", "resets",
@@ -169,7 +169,7 @@
     routers: int = 1
     engines: int = 8
     load: Load = Load()
-    kinds: dict[str, Kind] = msgspec.field(default_factory=lambda: {"engine": Kind()})
+    kinds: dict[str, EngineKind] = msgspec.field(default_factory=lambda: {"engine": EngineKind()})
     classes: dict[str, ClassShape]
     tenants: dict[str, TenantShape] = msgspec.field(default_factory=lambda: {"all": TenantShape()})
     net: Net = Net()
@@ -184,11 +184,11 @@
         """When the judged part begins."""
         return self.lead_s * 1000.0
 
-    def whole_s(self) -> float:
+    def total_s(self) -> float:
         """Lead and day."""
         return self.lead_s + self.length_s
 
-    def near(self, routers: list[int], session: int) -> list[int]:
+    def routers_in_zone(self, routers: list[int], session: int) -> list[int]:
         """Those of the routers that are in the zone of a session's client; all, where none is."""
         return [n for n in routers if n % self.zones == session % self.zones] or routers
 
@@ -282,7 +282,7 @@
     return scenario
 
 
-def change(raw: dict[str, Any], path: str, value: Any) -> None:
+def set_key(raw: dict[str, Any], path: str, value: Any) -> None:
     """Set one figure of a scenario's tables by its dotted path, as experiments do."""
     *tables, key = path.split(".")
     for name in tables:
--- a/spoolbarrow/lab/script.py
+++ b/spoolbarrow/lab/script.py
@@ -24,7 +24,7 @@
 
 from spoolbarrow.lab.cluster import KNOWN, Cluster, Load
 from spoolbarrow.lab.cold import Figures
-from spoolbarrow.lab.orders import NotObeyed
+from spoolbarrow.lab.line_commands import CommandFailed
 from spoolbarrow.lab.process import end_all_at_sigterm
 
 BEFORE = -1.0  # a step's time: just before the routers begin
@@ -220,7 +220,7 @@
     if begin:
         made.begin(lambda: [VERBS[step.do](made, step.value) for step in first])
     elif first:
-        raise NotObeyed(first[0].do, "this fault lies before the routers' begin: play it with `begin`")
+        raise CommandFailed(first[0].do, "this fault lies before the routers' begin: play it with `begin`")
     else:
         made.mark_begin()
     load = Load(made, pause_s=pause_s)
--- a/spoolbarrow/lab/simulate.py
+++ b/spoolbarrow/lab/simulate.py
@@ -13,7 +13,7 @@
 from time import perf_counter
 from typing import Any
 
-from spoolbarrow.lab.account import account
+from spoolbarrow.lab.run_report import build_report
 from spoolbarrow.lab.directory import Directory
 from spoolbarrow.lab.fleet import Planned, plan, stream
 from spoolbarrow.lab.kinds import draw
@@ -37,12 +37,12 @@
         self.net = self.stream("net")
         self.plans = plan(scenario, self.stream("troubles"))
         self.broken: dict[str, int] = {}
-        self.machines = Machines(self)
+        self.engines = Machines(self)
         self.directory = Directory(
-            scenario.discovery, [m.entry() for m in self.machines.by_id.values()], self.stream("discovery")
+            scenario.discovery, [m.entry() for m in self.engines.by_id.values()], self.stream("discovery")
         )
-        self.nodes = Nodes(self)
-        self.callers = Callers(self)
+        self.routers = Nodes(self)
+        self.clients = Callers(self)
 
     def stream(self, name: str) -> Random:
         """Random numbers of one concern, the same whatever the others draw."""
@@ -61,32 +61,32 @@
     def play(self) -> dict[str, Any]:
         """The whole day; what it came to. `run` holds what differs from one playing to the next."""
         begin = perf_counter()
-        self.nodes.begin()
-        self.callers.begin()
+        self.routers.begin()
+        self.clients.begin()
         for planned in self.plans:
             self._schedule(planned)
-        self.clock.at(SAMPLE_MS, self.machines.sample)
+        self.clock.at(SAMPLE_MS, self.engines.sample)
         # What the lab holds must not be walked through again and again in the middle of decisions.
         gc.freeze()
         usual = gc.get_threshold()
         gc.set_threshold(GC_OBJECTS)
-        last = (self.scenario.whole_s() + AFTER_S) * 1000.0
-        self.clock.run(lambda: self.clock.now < last and self.callers.pending > 0)
+        last = (self.scenario.total_s() + AFTER_S) * 1000.0
+        self.clock.run(lambda: self.clock.now < last and self.clients.pending > 0)
         took = perf_counter() - begin
         gc.set_threshold(*usual)
         gc.unfreeze()
-        taken = max(1, sum(node.taken for node in self.nodes.all))
-        told = account(self.scenario, self.callers.records, self.plans)
-        told |= self.machines.figures(self.callers.records)
+        taken = max(1, sum(node.taken for node in self.routers.all))
+        told = build_report(self.scenario, self.clients.records, self.plans)
+        told |= self.engines.figures(self.clients.records)
         told |= {
             "policy": self.policy,
             "seed": self.seed,
-            "probes_a_request": round(sum(node.probes for node in self.nodes.all) / taken, 4),
+            "probes_a_request": round(sum(node.probes for node in self.routers.all) / taken, 4),
             "list_calls_failed": self.directory.failed,
             "rules_broken": dict(sorted(self.broken.items())),
             "run": {
-                "decision_us_a_request": round(sum(n.cpu_ns for n in self.nodes.all) / 1000.0 / taken, 2),
-                "requests_a_second": round(len(self.callers.records) / took, 1),
+                "decision_us_a_request": round(sum(n.cpu_ns for n in self.routers.all) / 1000.0 / taken, 2),
+                "requests_a_second": round(len(self.clients.records) / took, 1),
                 "times_real_time": round(self.clock.now / 1000.0 / took, 2),
                 "took_s": round(took, 3),
                 "events": self.clock.count,
@@ -100,7 +100,7 @@
         t = planned.trouble
         begin = self.scenario.lead_ms() + t.begin_s * 1000.0
         end = begin + t.length_s * 1000.0
-        at, machines = self.clock.at, self.machines
+        at, machines = self.clock.at, self.engines
         if t.name == "discovery_down":
             at(begin, self._down, end)
         elif t.name == "discovery_stale":
@@ -108,20 +108,20 @@
             at(end, self._stale, 0.0)
         elif t.name == "router_death":
             for number in planned.victims:
-                at(begin, self.nodes.die, self.nodes.all[number])
-                at(end, self.nodes.rise, self.nodes.all[number])
+                at(begin, self.routers.die, self.routers.all[number])
+                at(end, self.routers.rise, self.routers.all[number])
         elif t.name == "router_restart":
             # One after another: the next is told to end when the one before has been up for a while.
             for turn, number in enumerate(planned.victims):
                 when = begin + turn * (planned.size + t.length_s) * 1000.0
-                at(when, self.nodes.drain, self.nodes.all[number], planned.size * 1000.0)
+                at(when, self.routers.drain, self.routers.all[number], planned.size * 1000.0)
         elif t.name != "burst":
             for number in planned.victims:
                 machines.trouble(machines.first[number], planned, begin, end)
 
     def _down(self, until: float) -> None:
         for told in self.directory.down(self.clock.now, until):
-            self.clock.at(told.at, self.nodes.told, told)
+            self.clock.at(told.at, self.routers.told, told)
 
     def _stale(self, behind_ms: float) -> None:
         self.directory.behind_ms = behind_ms
--- a/spoolbarrow/lab/simulated_clients.py
+++ b/spoolbarrow/lab/simulated_clients.py
@@ -2,10 +2,10 @@
 
 from __future__ import annotations
 
-from spoolbarrow.lab.account import Record
-from spoolbarrow.lab.arrivals import Asked, asked
+from spoolbarrow.lab.run_report import Record
+from spoolbarrow.lab.arrivals import PlannedRequest, draw_requests
 from spoolbarrow.lab.kinds import draw
-from spoolbarrow.lab.simulation_state import UP_MS, Call, Node, SimulationContext
+from spoolbarrow.lab.simulation_state import ROUTER_UP_DELAY_MS, Call, Node, SimulationContext
 
 
 class Callers:
@@ -16,7 +16,7 @@
         self.rng = sim.stream("clients")
         self.shapes = list(sim.scenario.classes.values())
         troubles = [planned.trouble for planned in sim.plans]
-        self.records = [Record(one) for one in asked(sim.scenario, troubles, sim.stream("arrivals"))]
+        self.records = [Record(one) for one in draw_requests(sim.scenario, troubles, sim.stream("arrivals"))]
         self.pending = len(self.records)
         self.believed = list(range(sim.scenario.routers))
         self.calls: dict[str, Call] = {}
@@ -30,15 +30,15 @@
         if self.next < len(self.records):
             record = self.records[self.next]
             self.next += 1
-            self.clock.at(record.asked.at_ms, self._due, record)
+            self.clock.at(record.planned.at_ms, self._due, record)
 
     def _due(self, record: Record) -> None:
         self._schedule()
         self._try(record, 0)
 
-    def asked_of(self, request: str) -> Asked:
+    def asked_of(self, request: str) -> PlannedRequest:
         """What the client of a request means."""
-        return self.calls[request].record.asked
+        return self.calls[request].record.planned
 
     def died(self, node: Node) -> None:
         """The front will notice."""
@@ -47,32 +47,32 @@
 
     def rose(self, node: Node) -> None:
         """The front asks for signs of life."""
-        self.clock.at(self.clock.now + UP_MS, self.believe)
+        self.clock.at(self.clock.now + ROUTER_UP_DELAY_MS, self.believe)
 
     def believe(self) -> None:
         """Look which routers say that they serve."""
-        self.believed = [n.number for n in self.sim.nodes.all if n.decider is not None and not n.draining]
+        self.believed = [n.number for n in self.sim.routers.all if n.policy is not None and not n.draining]
 
     def _try(self, record: Record, number: int) -> None:
         s, now = self.sim.scenario, self.clock.now
-        one = record.asked
+        one = record.planned
         call = Call(
             record, number, now, self.shapes[one.cls].deadline_ms * draw(s.clients.patience, self.rng)
         )
         record.tries += 1
-        near = s.near(self.believed, one.session)
+        near = s.routers_in_zone(self.believed, one.session)
         delay = self.sim.delay(s.net.client_ms)
         self.clock.at(now + call.patience, self._patience, call)
         if near:
-            node = self.sim.nodes.all[near[int(self.rng.random() * len(near))]]
-            self.clock.at(now + delay, self.sim.nodes.arrived, call, node, delay)
+            node = self.sim.routers.all[near[int(self.rng.random() * len(near))]]
+            self.clock.at(now + delay, self.sim.routers.arrived, call, node, delay)
         else:
             self.clock.at(now + delay, self.answered, call, "failed", 0.0)
 
     def _patience(self, call: Call) -> None:
         if not call.over and not call.started:
             self.clock.at(
-                self.clock.now + self.sim.delay(self.sim.scenario.net.client_ms), self.sim.nodes.left, call
+                self.clock.now + self.sim.delay(self.sim.scenario.net.client_ms), self.sim.routers.left, call
             )
             self.answered(call, "left", 0.0)
 
@@ -88,8 +88,8 @@
         call.over = True
         c, now, record = self.sim.scenario.clients, self.clock.now, call.record
         pause = c.pause_ms(call.number, retry_after_ms, self.rng)
-        shape = self.shapes[record.asked.cls]
-        if call.number < c.retries and now + pause < record.asked.at_ms + shape.deadline_ms:
+        shape = self.shapes[record.planned.cls]
+        if call.number < c.retries and now + pause < record.planned.at_ms + shape.deadline_ms:
             self.clock.at(now + pause, self._try, record, call.number + 1)
         else:
             self._settle(record, how)
@@ -98,7 +98,7 @@
         """The first token leaves its router."""
         call.started = True
         delay = self.sim.delay(self.sim.scenario.net.client_ms)
-        call.record.first_ms = self.clock.now + delay - call.record.asked.at_ms
+        call.record.first_ms = self.clock.now + delay - call.record.planned.at_ms
 
     def ended(self, call: Call, whole: bool, read: int) -> None:
         """A stream came to its end, or broke."""
@@ -108,8 +108,8 @@
         record = call.record
         if whole:
             delay = self.sim.delay(self.sim.scenario.net.client_ms)
-            record.end_ms = max(record.first_ms, self.clock.now + delay - record.asked.at_ms)
-            record.made = record.asked.answer + read
+            record.end_ms = max(record.first_ms, self.clock.now + delay - record.planned.at_ms)
+            record.made = record.planned.answer + read
         self._settle(record, "served" if whole else "lost")
 
     def cut_off(self, call: Call) -> None:
--- a/spoolbarrow/lab/simulated_engines.py
+++ b/spoolbarrow/lab/simulated_engines.py
@@ -11,9 +11,9 @@
 from typing import Any
 
 from spoolbarrow import interface as i
-from spoolbarrow.lab.account import Record, effort
-from spoolbarrow.lab.arrivals import Asked
-from spoolbarrow.lab.engine import Engine, Kind, Taken, Work
+from spoolbarrow.lab.run_report import Record, work_report
+from spoolbarrow.lab.arrivals import PlannedRequest
+from spoolbarrow.lab.engine import Engine, EventKind, SubmitResult, EngineRequest
 from spoolbarrow.lab.fleet import Planned, Spec, fleet, moves
 from spoolbarrow.lab.simulation_state import Flight, Machine, Node, SimulationContext
 
@@ -67,7 +67,7 @@
 
     def send(self, flight: Flight) -> None:
         """An attempt leaves its router."""
-        machine, node, now, nodes = flight.machine, flight.node, self.clock.now, self.sim.nodes
+        machine, node, now, nodes = flight.machine, flight.node, self.clock.now, self.sim.routers
         timeout = self.sim.scenario.limits.connect_timeout_ms
         if machine is None:
             return self.clock.at(now + 1.0, nodes.ended, flight, i.Outcome.UNREACHABLE)
@@ -87,14 +87,14 @@
             return self.clock.at(now + 2.0 * delay, nodes.ended, flight, i.Outcome.UNREACHABLE)
         else:
             machine.connections += 1
-            machine.engine.charge(now, machine.spec.figures.handshake_work_ms)
+            machine.engine.add_overhead(now, machine.spec.figures.handshake_work_ms)
             now += machine.spec.figures.handshake_rtts * 2.0 * delay
         flight.engine = machine.engine
         self.clock.at(max(now, self._held_until(node, machine)) + delay, self._deliver, flight)
 
     def _purge(self, machine: Machine) -> bool:
         """Close what has been idle for too long; whether that made room."""
-        for node in self.sim.nodes.all:
+        for node in self.sim.routers.all:
             idle = node.idle.get(machine, [])
             young = [at for at in idle if self.clock.now - at < machine.spec.figures.idle_ms]
             machine.connections -= len(idle) - len(young)
@@ -102,28 +102,28 @@
         return machine.connections < machine.cap
 
     def _deliver(self, flight: Flight) -> None:
-        machine, now, nodes = flight.machine, self.clock.now, self.sim.nodes
+        machine, now, nodes = flight.machine, self.clock.now, self.sim.routers
         if machine is None or flight.over:
             return
         if not machine.alive or machine.engine is not flight.engine:
             return self._after(flight, nodes.ended, i.Outcome.RESET)
         if machine.state is not i.ReplicaState.SERVING:
             return self._after(flight, nodes.ended, i.Outcome.FULL)
-        one = flight.open.call.record.asked
+        one = flight.open.call.record.planned
         taken = machine.engine.submit(now, work(flight.name, one))
-        if taken is Taken.TAKEN:
+        if taken is SubmitResult.ACCEPTED:
             machine.flights[flight.name] = flight
             self._arm(machine)
-        elif taken is Taken.FELL:
+        elif taken is SubmitResult.CRASHED:
             machine.flights[flight.name] = flight
             self.falls += 1
             self.sim.breaks("4: a cold engine fell over")
             self.crash(machine, machine.spec.figures.restart_ms)
         else:
-            self._after(flight, nodes.ended, i.Outcome.FULL if taken is Taken.FULL else i.Outcome.ERROR)
+            self._after(flight, nodes.ended, i.Outcome.FULL if taken is SubmitResult.FULL else i.Outcome.ERROR)
 
     def _arm(self, machine: Machine) -> None:
-        at = machine.engine.next_at()
+        at = machine.engine.next_event_at()
         if at < machine.armed:
             machine.armed = at
             self.clock.at(at, self._wake, machine)
@@ -138,23 +138,23 @@
             flight = machine.flights.get(news.id)
             if flight is None:
                 continue
-            if news.kind is Kind.STARTED:
+            if news.kind is EventKind.STARTED:
                 self._started(machine, flight, news.kept)
             else:
                 del machine.flights[news.id]
-                read = flight.first_at + flight.trickle * flight.open.call.record.asked.answer
+                read = flight.first_at + flight.trickle * flight.open.call.record.planned.answer
                 read = min(read, machine.trickle_end)
                 if flight.spoil:
-                    self._after(flight, self.sim.nodes.ended, i.Outcome.UNREADABLE)
+                    self._after(flight, self.sim.routers.ended, i.Outcome.UNREADABLE)
                 elif read > self.clock.now:
-                    ended = (flight, self.sim.nodes.ended, i.Outcome.SERVED, news.kept)
+                    ended = (flight, self.sim.routers.ended, i.Outcome.SERVED, news.kept)
                     self.clock.at(read, self._after, *ended)
                 else:
-                    self._after(flight, self.sim.nodes.ended, i.Outcome.SERVED, news.kept)
+                    self._after(flight, self.sim.routers.ended, i.Outcome.SERVED, news.kept)
         self._arm(machine)
 
     def _started(self, machine: Machine, flight: Flight, kept: int) -> None:
-        nodes = self.sim.nodes
+        nodes = self.sim.routers
         if machine.resets and self.rng.random() < machine.resets:
             self.drop(flight)
             return self._after(flight, nodes.ended, i.Outcome.RESET)
@@ -177,7 +177,7 @@
         """A probe leaves its router."""
         machine, now = self.by_id.get(name), self.clock.now
         limit = self.sim.scenario.limits.probe_timeout_ms
-        said = self.sim.nodes.probed
+        said = self.sim.routers.probed
         if machine is None:
             return self.clock.at(now + 1.0, said, node, node.life, name, i.Outcome.UNREACHABLE, 1.0)
         delay = self._reach(node, machine)
@@ -187,7 +187,7 @@
             lag = 2.0 * delay
             return self.clock.at(now + lag, said, node, node.life, name, i.Outcome.UNREACHABLE, lag)
         engine = machine.engine
-        engine.charge(now, machine.spec.figures.probe_work_ms)
+        engine.add_overhead(now, machine.spec.figures.probe_work_ms)
         wait = engine.probe_wait(now)
         lag = 2.0 * delay + wait
         if lag > limit:
@@ -195,7 +195,7 @@
         self.clock.at(now + delay + wait, self._probed, node, node.life, machine, lag, delay)
 
     def _probed(self, node: Node, life: int, machine: Machine, lag: float, delay: float) -> None:
-        now, said = self.clock.now, self.sim.nodes.probed
+        now, said = self.clock.now, self.sim.routers.probed
         if not machine.alive:
             return self.clock.at(now + delay, said, node, life, machine.id, i.Outcome.RESET, lag)
         load = machine.engine.report(now)
@@ -233,7 +233,7 @@
 
     def _noticed(self) -> None:
         for told in self.sim.directory.due(self.clock.now):
-            self.clock.at(told.at, self.sim.nodes.told, told)
+            self.clock.at(told.at, self.sim.routers.told, told)
 
     def _drain(self, machine: Machine) -> None:
         machine.state = i.ReplicaState.DRAINING
@@ -244,10 +244,10 @@
         machine.alive = False
         self.past.append(machine.engine)
         for flight in list(machine.flights.values()):
-            self._after(flight, self.sim.nodes.ended, i.Outcome.RESET)
+            self._after(flight, self.sim.routers.ended, i.Outcome.RESET)
         machine.flights.clear()
         machine.connections = 0
-        for node in self.sim.nodes.all:
+        for node in self.sim.routers.all:
             node.idle.pop(machine, None)
 
     def crash(self, machine: Machine, down_ms: float) -> None:
@@ -281,7 +281,7 @@
         machine.silent = until
         flights = list(machine.flights.values())
         for flight in flights:
-            self.clock.at(self.clock.now + STALL_MS, self.sim.nodes.ended, flight, i.Outcome.TIMEOUT)
+            self.clock.at(self.clock.now + STALL_MS, self.sim.routers.ended, flight, i.Outcome.TIMEOUT)
         machine.state = i.ReplicaState.GONE
         self._change(machine, silent=True)
         if machine.alive:
@@ -296,7 +296,7 @@
         mean = sum(counts) / max(1, len(counts))
         if mean > 0.0:
             self.spread.append(sqrt(sum((c - mean) ** 2 for c in counts) / len(counts)) / mean)
-        if self.clock.now < self.sim.scenario.whole_s() * 1000.0:
+        if self.clock.now < self.sim.scenario.total_s() * 1000.0:
             self.clock.at(self.clock.now + SAMPLE_MS, self.sample)
 
     def figures(self, records: list[Record]) -> dict[str, Any]:
@@ -305,7 +305,7 @@
         for engine in engines:
             engine.check()
         work = sum(engine.made + engine.done_read for engine in engines)
-        return effort(self.sim.scenario, records, work) | {
+        return work_report(self.sim.scenario, records, work) | {
             "spread": round(sum(self.spread) / max(1, len(self.spread)), 4),
             "read_anew_share": round(
                 sum(e.done_read for e in engines) / max(1, sum(e.asked for e in engines)), 6
@@ -323,8 +323,8 @@
             return inf
         engine, f = machine.engine, machine.spec.figures
         engine.load(now)
-        one = work("", self.sim.callers.asked_of(request.request))
-        unread = engine.unread + one.prompt - engine.found_kept(one)
+        one = work("", self.sim.clients.asked_of(request.request))
+        unread = engine.unread + one.prompt - engine.cached_tokens(one)
         wait = max(0.0, engine.not_before - now)
         wait += engine.slow * (unread / f.read_rate() + f.step_ms) / engine.warmth.speed(now)
         running = len(engine.running)
@@ -334,6 +334,6 @@
         return wait + pace * (running * 0.2 + 10.0 * behind + 50.0 * short)
 
 
-def work(name: str, one: Asked) -> Work:
+def work(name: str, one: PlannedRequest) -> EngineRequest:
     """A request as an engine sees it."""
-    return Work(name, one.prompt, one.answer, one.prefix or None, one.shared, one.session)
+    return EngineRequest(name, one.prompt, one.answer, one.prefix or None, one.shared, one.session)
--- a/spoolbarrow/lab/simulated_routers.py
+++ b/spoolbarrow/lab/simulated_routers.py
@@ -10,7 +10,7 @@
 from spoolbarrow import interface as i
 from spoolbarrow.lab.directory import Told
 from spoolbarrow.lab.policies import POLICIES
-from spoolbarrow.lab.simulation_state import UP_MS, Call, Flight, Node, Open, SimulationContext
+from spoolbarrow.lab.simulation_state import ROUTER_UP_DELAY_MS, Call, Flight, Node, Open, SimulationContext
 
 MARGIN_MS = 5.0  # of a client's patience that its router is not told
 
@@ -32,15 +32,15 @@
     def _start(self, node: Node) -> None:
         settings = self.sim.scenario.settings(node.number)
         make = POLICIES[self.sim.policy]
-        node.decider = make(settings, self.seeds.getrandbits(32), self.sim.machines)
+        node.policy = make(settings, self.seeds.getrandbits(32), self.sim.engines)
         node.away.clear()
         self.feed(node, [i.ReplicaList(i.ListKind.RESTORED, tuple(node.list.values()))])
 
     def die(self, node: Node) -> None:
         """Its process is killed: connections break, and all it knew is gone but the last list."""
-        if node.decider is None:
+        if node.policy is None:
             return
-        node.decider = None
+        node.policy = None
         node.life += 1
         for machine, idle in node.idle.items():
             machine.connections -= len(idle)
@@ -52,16 +52,16 @@
                     self._hang_up(flight)
                     if flight.machine is not None and flight.connected():
                         flight.machine.connections -= 1
-            self.sim.callers.cut_off(open.call)
-            del self.sim.callers.calls[open.id]
+            self.sim.clients.cut_off(open.call)
+            del self.sim.clients.calls[open.id]
         node.opens.clear()
         self.sim.directory.leave(node.number)
-        self.sim.callers.died(node)
+        self.sim.clients.died(node)
 
     def drain(self, node: Node, grace_ms: float) -> None:
         """It is told to end: the front turns away from it; what it has when its grace ends is cut off."""
         node.draining = True
-        self.clock.at(self.clock.now + UP_MS, self.sim.callers.believe)
+        self.clock.at(self.clock.now + ROUTER_UP_DELAY_MS, self.sim.clients.believe)
         self.clock.at(self.clock.now + grace_ms, self._replaced, node)
 
     def _replaced(self, node: Node) -> None:
@@ -72,11 +72,11 @@
         """It starts again."""
         node.draining = False
         self._start(node)
-        self.sim.callers.rose(node)
+        self.sim.clients.rose(node)
 
     def feed(self, node: Node, events: list[i.Event]) -> None:
         """Let it decide, and do what it says."""
-        decider, now = node.decider, self.clock.now
+        decider, now = node.policy, self.clock.now
         if decider is None:
             return
         begin = perf_counter_ns()
@@ -93,7 +93,7 @@
             elif kind is i.Probe:
                 assert isinstance(action, i.Probe)
                 node.probes += 1
-                self.sim.machines.probe(node, action.replica)
+                self.sim.engines.probe(node, action.replica)
             elif kind is i.Cancel:
                 assert isinstance(action, i.Cancel)
                 self._cancel(node, action)
@@ -111,7 +111,7 @@
     def told(self, told: Told, life: int = -1) -> None:
         """Discovery speaks to a router."""
         node = self.all[told.caller]
-        if node.decider is None or (life >= 0 and life != node.life):
+        if node.policy is None or (life >= 0 and life != node.life):
             return
         kind, entries = told.kind, told.entries
         if kind is i.ListKind.WHOLE:
@@ -135,17 +135,17 @@
 
     def arrived(self, call: Call, node: Node, client_ms: float) -> None:
         """A request's last byte is here."""
-        if node.decider is None:
-            return self.clock.at(self.clock.now + client_ms, self.sim.callers.answered, call, "failed", 0.0)
+        if node.policy is None:
+            return self.clock.at(self.clock.now + client_ms, self.sim.clients.answered, call, "failed", 0.0)
         if call.over:
             return
-        one, now = call.record.asked, self.clock.now
+        one, now = call.record.planned, self.clock.now
         budget = max(1.0, call.patience - (now - call.sent_at) - client_ms - MARGIN_MS)
         node.taken += 1
         name = f"{one.session:x}.{call.record.tries}.{node.number}.{node.taken}"
         call.node = node
         open = call.open = node.opens[name] = Open(name, call, now + budget)
-        self.sim.callers.calls[name] = call
+        self.sim.clients.calls[name] = call
         self.clock.at(open.deadline, self._deadline, node, node.life, open)
         most = list(self.sim.scenario.classes.values())[one.cls].max_answer or one.answer
         event = i.RequestArrived(
@@ -160,11 +160,11 @@
         since = node.away.get(action.replica)
         if since is not None and now - since > self.sim.scenario.limits.drain_grace_ms:
             self.sim.breaks("3: sent to what drains or is gone")
-        machine = self.sim.machines.by_id.get(action.replica)
+        machine = self.sim.engines.by_id.get(action.replica)
         flight = Flight(node, open, len(open.flights), machine, now)
         open.flights.append(flight)
         open.call.record.attempts += 1
-        self.sim.machines.send(flight)
+        self.sim.engines.send(flight)
 
     def started(self, flight: Flight) -> None:
         """An attempt's first token is here."""
@@ -175,7 +175,7 @@
             self._hang_up(flight)
             return self._end(flight, i.Outcome.CANCELLED, 0)
         open.claimed, flight.started = flight, True
-        self.sim.callers.first_token(open.call)
+        self.sim.clients.first_token(open.call)
         lag = self.clock.now - flight.sent_at
         assert flight.machine is not None
         self.feed(node, [i.StreamStarted(open.id, flight.number, flight.machine.id, lag)])
@@ -202,7 +202,7 @@
         if flight.started:
             closed = open.done = True
             whole = outcome is i.Outcome.SERVED
-            self.sim.callers.ended(open.call, whole, open.call.record.asked.prompt - kept)
+            self.sim.clients.ended(open.call, whole, open.call.record.planned.prompt - kept)
         if open.done and all(f.over for f in open.flights):
             self._forget(node, open)
         name = machine.id if machine is not None else ""
@@ -211,13 +211,13 @@
 
     def _forget(self, node: Node, open: Open) -> None:
         if node.opens.pop(open.id, None) is not None:
-            del self.sim.callers.calls[open.id]
+            del self.sim.clients.calls[open.id]
 
     def _hang_up(self, flight: Flight) -> None:
         machine = flight.machine
         if machine is not None:
             delay = flight.delay
-            self.clock.at(self.clock.now + delay, self.sim.machines.drop, flight)
+            self.clock.at(self.clock.now + delay, self.sim.engines.drop, flight)
 
     def _cancel(self, node: Node, action: i.Cancel) -> None:
         open = node.opens.get(action.request)
@@ -233,7 +233,7 @@
         open.done = True
         refused = isinstance(action, i.Refuse)
         pause = action.retry_after_ms if isinstance(action, i.Refuse) else 0.0
-        self.sim.callers.tell(open.call, "refused" if refused else "failed", pause)
+        self.sim.clients.tell(open.call, "refused" if refused else "failed", pause)
         if all(f.over for f in open.flights):
             self._forget(node, open)
 
--- a/spoolbarrow/lab/simulation_state.py
+++ b/spoolbarrow/lab/simulation_state.py
@@ -12,16 +12,16 @@
 from typing import Any, Protocol
 
 from spoolbarrow import interface as i
-from spoolbarrow.lab.account import Record
-from spoolbarrow.lab.arrivals import Asked
+from spoolbarrow.lab.run_report import Record
+from spoolbarrow.lab.arrivals import PlannedRequest
 from spoolbarrow.lab.directory import Directory, Told
 from spoolbarrow.lab.engine import Engine
 from spoolbarrow.lab.fleet import Planned, Spec
-from spoolbarrow.lab.policies import Decider, Truth
+from spoolbarrow.lab.policies import RoutingPolicy, EngineOracle
 from spoolbarrow.lab.scenario import Scenario
 from spoolbarrow.lab.virtual_time import Clock
 
-UP_MS = 200.0  # from a router's restart until the front takes it in
+ROUTER_UP_DELAY_MS = 200.0  # from a router's restart until the front takes it in
 
 
 class Machine:
@@ -105,7 +105,7 @@
 
     def __init__(self, number: int, zone: int) -> None:
         self.number, self.zone = number, zone
-        self.decider: Decider | None = None  # None while dead
+        self.policy: RoutingPolicy | None = None  # None while dead
         self.life = 0
         self.draining = False
         self.opens: dict[str, Open] = {}
@@ -115,7 +115,7 @@
         self.cpu_ns = self.taken = self.probes = 0
 
 
-class SimulatedEngines(Truth, Protocol):
+class SimulatedEngines(EngineOracle, Protocol):
     """The engines and the network to them, as routers use them."""
 
     by_id: dict[str, Machine]
@@ -161,7 +161,7 @@
 
     calls: dict[str, Call]
 
-    def asked_of(self, request: str) -> Asked:
+    def asked_of(self, request: str) -> PlannedRequest:
         """What the client of a request means."""
 
     def died(self, node: Node) -> None:
@@ -199,15 +199,15 @@
     directory: Directory
 
     @property
-    def machines(self) -> SimulatedEngines:
+    def engines(self) -> SimulatedEngines:
         """The engines and the network to them."""
 
     @property
-    def nodes(self) -> SimulatedRouters:
+    def routers(self) -> SimulatedRouters:
         """The routers."""
 
     @property
-    def callers(self) -> SimulatedClients:
+    def clients(self) -> SimulatedClients:
         """The clients and the front."""
 
     def stream(self, name: str) -> Random:
--- a/spoolbarrow/lab/opened.py
+++ b/spoolbarrow/lab/slow_start_exposure.py
@@ -37,17 +37,17 @@
     load: float = 1.0  # of what all engines bear when they are warm
     per_engine_s: float = 2.5  # requests of mean work that a mean engine bears in a second when it is warm
     capacity: float = 1.0  # of the cold engines, as a multiple of the mean
-    unevenness: float = 1.0  # of routers: sigma of the logarithm of their traffic
-    busiest: float = 1.0  # the first router's traffic, as a further multiple
+    traffic_sigma: float = 1.0  # of routers: sigma of the logarithm of their traffic
+    busiest_factor: float = 1.0  # the first router's traffic, as a further multiple
     openings: int = 60  # beginnings that sessions share
     zipf: float = 0.9  # exponent of their popularity
-    hot: float = 0.0  # share of the requests that one more opening has, whose first home is a cold engine
+    hot_share: float = 0.0  # share of the requests that one more opening has, whose first home is a cold engine
     work_sigma: float = 0.6  # of the logarithm of a request's work
     lead_ms: float = 2000.0  # for which routers have seen traffic before the start
-    churn: float = 0.0  # share of the routers that are killed, begun anew, or join in the ramp
-    moved_ms: float = 0.0  # traffic of so long that comes again at one moment: streams that were moved
+    restarted_share: float = 0.0  # share of the routers that are killed, begun anew, or join in the ramp
+    resumed_ms: float = 0.0  # traffic of so long that comes again at one moment: streams that were moved
     attempts: int = 1  # cold engines that a request is sent to, of those it may go to
-    told_ms: float = 0.0  # within which routers are told of the start; till then they send as to warm ones
+    notified_within_ms: float = 0.0  # within which routers are told of the start; till then they send as to warm ones
 
 
 USUAL = Traffic()
@@ -104,13 +104,13 @@
         pool.apply_list(known, START)
         return pool
 
-    pools = [begun(after if traffic.told_ms <= 0.0 else before) for _ in range(nodes)]
-    told_at = {n: START + traffic.told_ms * rng.random() for n in range(nodes) if traffic.told_ms > 0.0}
-    again = {n: START + rule.cold_ms * rng.random() for n in range(ceil(traffic.churn * nodes))}
-    weights = [exp(rng.gauss(0.0, traffic.unevenness)) for _ in pools]
-    weights[0] *= traffic.busiest
+    pools = [begun(after if traffic.notified_within_ms <= 0.0 else before) for _ in range(nodes)]
+    told_at = {n: START + traffic.notified_within_ms * rng.random() for n in range(nodes) if traffic.notified_within_ms > 0.0}
+    again = {n: START + rule.cold_ms * rng.random() for n in range(ceil(traffic.restarted_share * nodes))}
+    weights = [exp(rng.gauss(0.0, traffic.traffic_sigma)) for _ in pools]
+    weights[0] *= traffic.busiest_factor
     popular = [1.0 / (n + 1) ** traffic.zipf for n in range(traffic.openings)]
-    popular.append(sum(popular) * traffic.hot / (1.0 - traffic.hot))
+    popular.append(sum(popular) * traffic.hot_share / (1.0 - traffic.hot_share))
     keys = [7919 * n + 1 for n in range(traffic.openings)]
     keys.append(_at_home(pools[0], set(names[:cold]), settings))
     taken: dict[str, deque[tuple[float, float, bool]]] = {name: deque() for name in names[:cold]}
@@ -124,7 +124,7 @@
     while (at := at + rng.expovariate(per_ms)) < START + rule.cold_ms:
         arrivals.append((at, False))
     burst = START + rule.cold_ms * rng.random()
-    arrivals += [(burst, True)] * int(traffic.moved_ms * per_ms)
+    arrivals += [(burst, True)] * int(traffic.resumed_ms * per_ms)
     for now, moved in sorted(arrivals):
         (number,), (key,) = rng.choices(range(nodes), weights), rng.choices(keys, popular)
         if now >= again.get(number, now + 1.0):
--- a/spoolbarrow/lab/sockets.py
+++ b/spoolbarrow/lab/sockets.py
@@ -15,13 +15,13 @@
 import msgspec
 from gevent import socket, subprocess
 
-from spoolbarrow.lab.account import account, effort
-from spoolbarrow.lab.emulate import Emulator, shifted
+from spoolbarrow.lab.run_report import build_report, work_report
+from spoolbarrow.lab.emulator import Emulator, planned_troubles
 from spoolbarrow.lab.fleet import ROUTERS, plan, stream
 from spoolbarrow.lab.kinds import draw
-from spoolbarrow.lab.load import Load
+from spoolbarrow.lab.load import LoadGenerator
 from spoolbarrow.lab.scenario import Scenario
-from spoolbarrow.lab.simulation_state import UP_MS
+from spoolbarrow.lab.simulation_state import ROUTER_UP_DELAY_MS
 from spoolbarrow.lab.wire import HOST
 from spoolbarrow.net import http1
 
@@ -161,7 +161,7 @@
     scenario: Scenario,
     seed: int,
     processes: int = 2,
-    watch: Callable[[Load], None] | None = None,
+    watch: Callable[[LoadGenerator], None] | None = None,
     directory: Path | None = None,
 ) -> dict[str, Any]:
     """The day on sockets, in real time; the same report as the simulator's. OSError where a party fails.
@@ -169,11 +169,11 @@
     The routers' configurations and logs go into `directory`, or are thrown away.
     """
     with tempfile.TemporaryDirectory() as scratch, Emulator(scenario, seed, processes) as fleet:
-        routers = Routers(scenario, seed, fleet.listing.addresses, directory or Path(scratch))
+        routers = Routers(scenario, seed, fleet.discovery.addresses, directory or Path(scratch))
         try:
             routers.wait()
             targets = [(HOST, port) for port in routers.ports]
-            with Load(scenario, seed, targets, processes) as load:
+            with LoadGenerator(scenario, seed, targets, processes) as load:
                 begun = time.perf_counter()
                 fleet.begin()
                 load.begin(fleet.clock.begun)
@@ -186,7 +186,7 @@
         finally:
             statuses = routers.stop()
     plans = plan(scenario, stream(seed, "troubles"))
-    told = account(scenario, records, plans)
+    told = build_report(scenario, records, plans)
     engines = fleet.figures
     work = sum(one["work"] for one in engines)
     broken = {"a router crashed": sum(status != 0 for status in statuses)}
@@ -195,7 +195,7 @@
         broken["1: no answer by the deadline"] = figures["unanswered"]
     broken["3: sent to what drains or is gone"] = fleet.late_sends(scenario.limits.drain_grace_ms + SLACK_MS)
     broken["4: a cold engine fell over"] = sum(one["falls"] for one in engines)
-    told |= effort(scenario, records, work)
+    told |= work_report(scenario, records, work)
     return told | {
         "preempted": sum(one["preempted"] for one in engines),
         "attempts_a_request": round(sum(one["attempts"] for one in engines) / max(1, len(records)), 4),
@@ -207,11 +207,11 @@
     }
 
 
-def _deaths(scenario: Scenario, seed: int, fleet: Emulator, routers: Routers, load: Load) -> None:
+def _deaths(scenario: Scenario, seed: int, fleet: Emulator, routers: Routers, load: LoadGenerator) -> None:
     """Kill and start routers as the day has it, and let the front notice late."""
     rng = stream(seed, "front")
     steps: list[tuple[float, str, int]] = []
-    for planned in shifted(scenario, seed):
+    for planned in planned_troubles(scenario, seed):
         t = planned.trouble
         if t.name == "router_death":
             for n in planned.victims:
@@ -221,7 +221,7 @@
         elif t.name == "router_restart":
             for turn, n in enumerate(planned.victims):
                 when = t.begin_s + turn * (planned.size + t.length_s)
-                steps += [(when, "drain", n), (when + UP_MS / 1000.0, "look", n)]
+                steps += [(when, "drain", n), (when + ROUTER_UP_DELAY_MS / 1000.0, "look", n)]
                 steps += [(when + planned.size, "kill", n), (when + planned.size, "start", n)]
     front = Front(routers, load)
     for at_s, what, n in sorted(steps, key=lambda step: step[0]):
@@ -242,17 +242,17 @@
 class Front:
     """Which routers the layer before them believes in."""
 
-    def __init__(self, routers: Routers, load: Load) -> None:
+    def __init__(self, routers: Routers, load: LoadGenerator) -> None:
         self.routers, self.load = routers, load
         self.dead: set[int] = set()
 
     def look(self) -> None:
         """See which are dead, and deal out among the others."""
-        self.load.believe([n for n in range(len(self.routers.ports)) if n not in self.dead])
+        self.load.set_live_routers([n for n in range(len(self.routers.ports)) if n not in self.dead])
 
     def take_in(self, number: int) -> None:
         """Ask one that has started for a sign of life until it gives one."""
         while not self.routers.up(number):
-            gevent.sleep(UP_MS / 1000.0)
+            gevent.sleep(ROUTER_UP_DELAY_MS / 1000.0)
         self.dead.discard(number)
         self.look()
--- a/spoolbarrow/lab/standin.py
+++ b/spoolbarrow/lab/standin.py
@@ -28,7 +28,7 @@
 
 from spoolbarrow.lab import loopback
 from spoolbarrow.lab.cold import Cold, Figures
-from spoolbarrow.lab.orders import obey_lines
+from spoolbarrow.lab.line_commands import serve_commands
 from spoolbarrow.lab.wire import EVENT, HEAD, PLAIN, RESET, USAGE, chunk, facts
 from spoolbarrow.net.http1 import RequestParser
 
@@ -266,7 +266,7 @@
     figures = msgspec.json.decode(argv[2], type=Figures) if len(argv) > 2 else None
     made = [Standin(figures) for _ in range(int(argv[1]))]
     print(*[one.door.port for one in made], flush=True)
-    obey_lines(float(argv[0]), lambda line: obey(made, line))
+    serve_commands(float(argv[0]), lambda line: obey(made, line))
 
 
 if __name__ == "__main__":
--- a/spoolbarrow/lab/theory.py
+++ b/spoolbarrow/lab/theory.py
@@ -10,10 +10,10 @@
 from random import Random
 from typing import NamedTuple
 
-from spoolbarrow.lab.engine import Engine, Kind, Taken, Work
-from spoolbarrow.lab.kinds import Figures
-from spoolbarrow.lab.kinds import Kind as EngineKind
-from spoolbarrow.lab.kinds import figures as draw_figures
+from spoolbarrow.lab.engine import Engine, EventKind, SubmitResult, EngineRequest
+from spoolbarrow.lab.kinds import EngineParameters
+from spoolbarrow.lab.kinds import EngineKind as EngineKind
+from spoolbarrow.lab.kinds import draw_engine as draw_figures
 
 BATCHES = 20
 T_975 = 2.093  # Student's t, 19 degrees of freedom
@@ -59,7 +59,7 @@
     return chance * queue.service_ms / (queue.servers * (1.0 - queue.load))
 
 
-def as_queue(queue: Queue) -> Figures:
+def as_queue(queue: Queue) -> EngineParameters:
     """An engine that is nothing but this queue."""
     alone = queue.servers == 1
     kind = EngineKind(
@@ -90,7 +90,7 @@
         for happening in engine.advance(now):
             # The step that makes the first token is part of the service.
             at, service = came[happening.id]
-            if happening.kind is Kind.STARTED:
+            if happening.kind is EventKind.STARTED:
                 found[happening.id] = max(0.0, happening.at - at - service)
 
     now = 0.0
@@ -104,15 +104,15 @@
         else:
             prompt, answer = 1, max(1, round(drawn / STEP_MS))
             came[str(n)] = (now, STEP_MS)
-        taken = engine.submit(now, Work(str(n), prompt, answer))
-        assert taken is Taken.TAKEN
-    while engine.next_at() < float("inf"):
-        now = engine.next_at()
+        taken = engine.submit(now, EngineRequest(str(n), prompt, answer))
+        assert taken is SubmitResult.ACCEPTED
+    while engine.next_event_at() < float("inf"):
+        now = engine.next_event_at()
         hear()
     return [found[str(n)] for n in range(count)]
 
 
-def agreement(queue: Queue, count: int, seed: int) -> Agreement:
+def compare_with_theory(queue: Queue, count: int, seed: int) -> Agreement:
     """Hold a run of so many arrivals against theory; the first tenth only fills the queue."""
     found = waits(queue, count, seed)[count // 10 :]
     size = len(found) // BATCHES
--- a/spoolbarrow/lab/warmth.py
+++ b/spoolbarrow/lab/warmup.py
@@ -5,7 +5,7 @@
 from collections import deque
 
 from spoolbarrow.lab.cold import bears
-from spoolbarrow.lab.kinds import Figures
+from spoolbarrow.lab.kinds import EngineParameters
 
 
 class Warmth:
@@ -13,7 +13,7 @@
 
     __slots__ = ("figures", "started_at", "worked_ms", "warm", "taken", "taken_tokens")
 
-    def __init__(self, figures: Figures, started_at: float, cold: bool) -> None:
+    def __init__(self, figures: EngineParameters, started_at: float, cold: bool) -> None:
         self.figures = figures
         self.started_at = started_at
         self.worked_ms = 0.0  # time spent in steps
--- a/spoolbarrow/lab/wire.py
+++ b/spoolbarrow/lab/wire.py
@@ -20,7 +20,7 @@
 from gevent.event import Event
 from gevent.queue import Queue
 
-from spoolbarrow.lab.engine import Engine, Kind, Taken, Work
+from spoolbarrow.lab.engine import Engine, EventKind, SubmitResult, EngineRequest
 from spoolbarrow.lab.fleet import Planned, Spec, moves
 from spoolbarrow.net.http1 import Message, RequestParser
 
@@ -80,7 +80,7 @@
     lab_answer: int = 0  # tokens that the answer takes; 0: half of max_out
 
 
-def work_of(message: Message, name: str) -> Work:
+def work_of(message: Message, name: str) -> EngineRequest:
     """The request as an engine sees it; ValueError where it is none."""
     told = facts(message)
     body = msgspec.json.decode(message.body, type=Told)
@@ -88,7 +88,7 @@
     answer = body.lab_answer or max(1, int(told.get("max_out", "64")) // 2)
     opening = told.get("prefix") or None
     session = message.fields.get(b"x-session-key", b"").decode("latin-1") or None
-    return Work(name, prompt, answer, opening, int(told.get("prefix_len", "0")), session)
+    return EngineRequest(name, prompt, answer, opening, int(told.get("prefix_len", "0")), session)
 
 
 class WireEngine:
@@ -153,13 +153,13 @@
 
     def _drive(self) -> None:
         while True:
-            at = self.engine.next_at()
+            at = self.engine.next_event_at()
             self.wake.clear()
             self.wake.wait(None if at == float("inf") else max(0.0, (at - self.clock.now()) / 1000.0))
             engine = self.engine
             ended = {}
             for news in engine.advance(self.clock.now()):
-                if news.kind is Kind.ENDED:
+                if news.kind is EventKind.ENDED:
                     ended[news.id] = news.kept
             for name, queue in self.news.items():
                 job = engine.jobs.get(name)
@@ -178,7 +178,7 @@
             if len(self.talks) >= self.cap:
                 self._reset(sock)
                 continue
-            self.engine.charge(self.clock.now(), self.spec.figures.handshake_work_ms)
+            self.engine.add_overhead(self.clock.now(), self.spec.figures.handshake_work_ms)
             self.talks[sock] = gevent.spawn(self._converse, sock, router)
 
     def _wait(self, router: int) -> None:
@@ -244,7 +244,7 @@
 
     def _probe(self, sock: Any, router: int) -> None:
         now, engine = self.clock.now(), self.engine
-        engine.charge(now, self.spec.figures.probe_work_ms)
+        engine.add_overhead(now, self.spec.figures.probe_work_ms)
         gevent.sleep(engine.probe_wait(now) / 1000.0)
         self._plain(sock, router, b"200 OK", body=self._load())
 
@@ -258,12 +258,12 @@
         now, engine = self.clock.now(), self.engine
         if self.draining and len(self.unwanted) < UNWANTED_KEPT:
             self.unwanted.append((self.id, router, now))
-        taken = Taken.FULL if self.draining else engine.submit(now, work)
-        if taken is Taken.FELL:
+        taken = SubmitResult.FULL if self.draining else engine.submit(now, work)
+        if taken is SubmitResult.CRASHED:
             self.falls += 1
             return self.crash(self.spec.figures.restart_ms)
-        if taken is not Taken.TAKEN:
-            full = taken is Taken.FULL
+        if taken is not SubmitResult.ACCEPTED:
+            full = taken is SubmitResult.FULL
             status = b"503 Service Unavailable" if full else b"500 Internal Server Error"
             return self._plain(sock, router, status, b"X-Unprocessed: 1\r\n" if full else b"")
         queue: Queue[tuple[int, int]] = Queue()
@@ -277,7 +277,7 @@
             engine.cancel(self.clock.now(), name)
             self.wake.set()
 
-    def _stream(self, sock: Any, router: int, work: Work, queue: Queue[tuple[int, int]]) -> None:
+    def _stream(self, sock: Any, router: int, work: EngineRequest, queue: Queue[tuple[int, int]]) -> None:
         made, spoil_at = 0, -1
         while True:
             tokens, kept = queue.get()
--- a/tests/test_failover.py
+++ b/tests/test_failover.py
@@ -19,10 +19,10 @@
     ZoneState,
     zones_to_mask,
 )
-from spoolbarrow.lab import zoned
+from spoolbarrow.lab import failover_policy
 from spoolbarrow.lab.scenario import ScenarioError, convert
 from spoolbarrow.lab.simulate import Simulation
-from spoolbarrow.lab.zoned import Zoned
+from spoolbarrow.lab.failover_policy import FailoverRouter
 
 SETTINGS = Settings(regions={"west": ("a", "b"), "east": ("c",)})
 ZONES = {"a": 8, "b": 8, "c": 8}
@@ -333,13 +333,13 @@
     simulation = Simulation(convert({**DAY, "troubles": [lost]}), "failover", 3)
     report = simulation.play()
     assert not report["rules_broken"]
-    for node in simulation.nodes.all:
-        assert isinstance(node.decider, Zoned)
-        changes = node.decider.changes
+    for node in simulation.routers.all:
+        assert isinstance(node.policy, FailoverRouter)
+        changes = node.policy.changes
         assert {zone for _, zone, state in changes if state is ZoneState.FAILED} == {"1"}
         at = next(now for now, _, state in changes if state is ZoneState.FAILED) - 4000.0
         checked = 1000.0 + SETTINGS.check_ms
-        assert at <= SETTINGS.window_ms + checked + SETTINGS.confirm_ms + 2 * zoned.PERIOD_MS
+        assert at <= SETTINGS.window_ms + checked + SETTINGS.confirm_ms + 2 * failover_policy.UPDATE_PERIOD_MS
         assert [state for _, zone, state in changes if zone == "1"][-1] in (
             ZoneState.RETURNING,
             ZoneState.HEALTHY,
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -19,7 +19,7 @@
 from spoolbarrow.fleet.membership import Membership
 from spoolbarrow.fleet.summary_table import MOST_ROUTERS, SummaryTable
 from spoolbarrow.interface import Tenant
-from spoolbarrow.lab.leases import Broken, play
+from spoolbarrow.lab.lease_histories import InvariantViolated, play
 from spoolbarrow.net.store_follower import StoreFollower
 from tests.router_harness import ScriptedServer, make_config, running_router, wait_until
 
@@ -139,7 +139,7 @@
     assert min(one.decisions for one in played) >= 5 and sum(one.epochs for one in played) > 200
     assert sum(one.refused for one in played) > 500 and sum(one.fallbacks for one in played) > 500
     for seed in range(10):
-        with pytest.raises(Broken):
+        with pytest.raises(InvariantViolated):
             play(seed, fenced=False)
 
 
--- a/tests/test_fleet_harness.py
+++ b/tests/test_fleet_harness.py
@@ -22,7 +22,7 @@
 from spoolbarrow.lab.cold import Cold, Figures
 from spoolbarrow.lab.listing import HISTORY, Call, Queue, Versions
 from spoolbarrow.lab.loopback import address, router_at
-from spoolbarrow.lab.orders import NotObeyed
+from spoolbarrow.lab.line_commands import CommandFailed
 from spoolbarrow.lab.process import Process
 
 LIFE_S, WAIT_S = 60.0, 20.0
@@ -201,7 +201,7 @@
         made.tell("up")
         assert b"e0" in heard(ask(made, 0), b"e0")
         for line in ("0 loud", "rate fast", "list nowhere", "up now", "r0 pass"):
-            with pytest.raises(NotObeyed, match="error"):
+            with pytest.raises(CommandFailed, match="error"):
                 made.tell(line)
 
 
@@ -322,8 +322,8 @@
         with pytest.raises(SystemExit) as ended:
             script.main(argv)
         assert ended.value.code == 2 and named in capsys.readouterr().err
-    with pytest.raises(NotObeyed, match="known"):
+    with pytest.raises(CommandFailed, match="known"):
         Cluster(Path(), {"a": 1}, ["a"], "", known="young")
-    with pytest.raises(NotObeyed, match="begin"):  # a fault of the start, on routers that run
+    with pytest.raises(CommandFailed, match="begin"):  # a fault of the start, on routers that run
         script.play(Cluster(Path(), {"a": 1}, ["a"], ""), script.SCRIPTS["third-gone"], begin=False)
     assert router_at(address(70_000)) == "r70000" and router_at("127.0.0.1") == ""
--- a/tests/test_lab_engine.py
+++ b/tests/test_lab_engine.py
@@ -9,10 +9,10 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
-from spoolbarrow.lab.engine import Engine, Happening, Kind, Taken, Work
-from spoolbarrow.lab.kinds import Kind as EngineKind
-from spoolbarrow.lab.kinds import figures
-from spoolbarrow.lab.theory import Queue, agreement, erlang_c
+from spoolbarrow.lab.engine import Engine, EngineEvent, EventKind, SubmitResult, EngineRequest
+from spoolbarrow.lab.kinds import EngineKind as EngineKind
+from spoolbarrow.lab.kinds import draw_engine
+from spoolbarrow.lab.theory import Queue, compare_with_theory, erlang_c
 
 
 def engine(now: float = 0.0, cold: bool = False, **changes: object) -> Engine:
@@ -22,123 +22,123 @@
         "chunk_tokens": 100, "report_noise": 0.0,
     }  # fmt: skip
     kind = EngineKind(**{**base, **changes})  # type: ignore[arg-type]
-    return Engine(figures(kind, Random(1)), Random(2), now, cold)
+    return Engine(draw_engine(kind, Random(1)), Random(2), now, cold)
 
 
-def drain(model: Engine) -> list[Happening]:
-    news: list[Happening] = []
-    while model.next_at() < float("inf"):
-        news += model.advance(model.next_at())
+def drain(model: Engine) -> list[EngineEvent]:
+    news: list[EngineEvent] = []
+    while model.next_event_at() < float("inf"):
+        news += model.advance(model.next_event_at())
         model.check()
     return news
 
 
 def test_reading_then_tokens() -> None:
     model = engine()
-    assert model.submit(0.0, Work("a", 150, 3)) is Taken.TAKEN
+    assert model.submit(0.0, EngineRequest("a", 150, 3)) is SubmitResult.ACCEPTED
     # 100 tokens in the first step (10 + 10 ms), 50 in the second (10 + 5), then a token each 10 ms.
     news = drain(model)
-    assert [(h.kind, h.id, h.kept) for h in news] == [(Kind.STARTED, "a", 0), (Kind.ENDED, "a", 0)]
+    assert [(h.kind, h.id, h.kept) for h in news] == [(EventKind.STARTED, "a", 0), (EventKind.ENDED, "a", 0)]
     assert [h.at for h in news] == pytest.approx([35.0, 55.0])
 
 
 def test_prompts_are_read_in_turn_beside_running_ones() -> None:
     model = engine()
-    model.submit(0.0, Work("a", 100, 50))
-    model.submit(0.0, Work("b", 100, 1))
-    model.submit(0.0, Work("c", 100, 1))
-    started = [h.id for h in drain(model) if h.kind is Kind.STARTED]
+    model.submit(0.0, EngineRequest("a", 100, 50))
+    model.submit(0.0, EngineRequest("b", 100, 1))
+    model.submit(0.0, EngineRequest("c", 100, 1))
+    started = [h.id for h in drain(model) if h.kind is EventKind.STARTED]
     assert started == ["a", "b", "c"]
 
 
 def test_reading_grows_with_what_was_read_before() -> None:
     """Each token read attends to all before it: the second piece of a prompt takes longer than the first."""
     model = engine(read_ms_per_million_pairs=1000.0)
-    model.submit(0.0, Work("a", 200, 1))
+    model.submit(0.0, EngineRequest("a", 200, 1))
     # 100 tokens: 10 + 10 ms and 100 x 50 pairs, 5 ms; then 100 x 150 pairs, 15 ms.
     assert [h.at for h in drain(model)] == pytest.approx([25.0 + 35.0] * 2)
 
 
 def test_a_kept_opening_is_not_read_again() -> None:
     model = engine()
-    model.submit(0.0, Work("a", 100, 1, opening="o", opening_tokens=64, session="s"))
+    model.submit(0.0, EngineRequest("a", 100, 1, opening="o", opening_tokens=64, session="s"))
     drain(model)
-    model.submit(1000.0, Work("b", 100, 1, opening="o", opening_tokens=64, session="t"))
+    model.submit(1000.0, EngineRequest("b", 100, 1, opening="o", opening_tokens=64, session="t"))
     assert drain(model)[0].kept == 64
     # A session's next turn finds the turn before it too, in whole blocks.
-    model.submit(2000.0, Work("c", 120, 1, opening="o", opening_tokens=64, session="s"))
+    model.submit(2000.0, EngineRequest("c", 120, 1, opening="o", opening_tokens=64, session="s"))
     assert drain(model)[0].kept == 96
 
 
 def test_least_recently_used_goes_first() -> None:
     model = engine(memory_tokens=320)
     for n, session in enumerate(("s", "t")):
-        model.submit(1000.0 * n, Work(session, 128, 1, session=session))
+        model.submit(1000.0 * n, EngineRequest(session, 128, 1, session=session))
         drain(model)
-    model.submit(3000.0, Work("s2", 130, 1, session="s"))
+    model.submit(3000.0, EngineRequest("s2", 130, 1, session="s"))
     drain(model)
-    model.submit(4000.0, Work("u", 128, 1, session="u"))
+    model.submit(4000.0, EngineRequest("u", 128, 1, session="u"))
     drain(model)
-    assert model.found_kept(Work("x", 200, 1, session="s")) == 128
-    assert model.found_kept(Work("x", 200, 1, session="t")) < 128
+    assert model.cached_tokens(EngineRequest("x", 200, 1, session="s")) == 128
+    assert model.cached_tokens(EngineRequest("x", 200, 1, session="t")) < 128
 
 
 def test_out_of_memory_the_newest_waits_and_is_read_again() -> None:
     model = engine(memory_tokens=320)
     for name in "ab":
-        model.submit(0.0, Work(name, 100, 150))
-    ended = [h.id for h in drain(model) if h.kind is Kind.ENDED]
+        model.submit(0.0, EngineRequest(name, 100, 150))
+    ended = [h.id for h in drain(model) if h.kind is EventKind.ENDED]
     assert ended == ["a", "b"] and model.preempted > 0 and model.made == 300
 
 
 def test_full_is_full() -> None:
     model = engine(slots=1, waiting=2)
-    taken = [model.submit(0.0, Work(str(n), 100, 100)) for n in range(4)]
-    assert taken == [Taken.TAKEN] * 3 + [Taken.FULL]
+    taken = [model.submit(0.0, EngineRequest(str(n), 100, 100)) for n in range(4)]
+    assert taken == [SubmitResult.ACCEPTED] * 3 + [SubmitResult.FULL]
 
 
 @pytest.mark.parametrize("drops, left", [("none", {"a", "b"}), ("queued", {"a"}), ("all", set())])
 def test_a_cancel_drops_what_the_kind_says(drops: str, left: set[str]) -> None:
     model = engine(slots=1, cancel=drops)
     for name in "ab":
-        model.submit(0.0, Work(name, 100, 20))
+        model.submit(0.0, EngineRequest(name, 100, 20))
     for name in "ab":
         model.cancel(50.0, name)
-    assert {h.id for h in drain(model) if h.kind is Kind.ENDED} == left
+    assert {h.id for h in drain(model) if h.kind is EventKind.ENDED} == left
 
 
 def test_a_leap_is_cut_by_what_comes() -> None:
     model = engine()
-    model.submit(0.0, Work("a", 100, 30))  # first token at 20 ms, then each 10 ms
+    model.submit(0.0, EngineRequest("a", 100, 30))  # first token at 20 ms, then each 10 ms
     model.advance(21.0)
-    model.submit(47.0, Work("b", 100, 1))  # joins the step that begins at 50: 10 ms and 99 tokens' reading
+    model.submit(47.0, EngineRequest("b", 100, 1))  # joins the step that begins at 50: 10 ms and 99 tokens' reading
     news = [h for h in drain(model) if h.id == "b"]
     assert news[0].at == pytest.approx(50.0 + 19.9 + 10.1)
 
 
 def test_a_pause_moves_all_that_follows() -> None:
     model = engine()
-    model.submit(0.0, Work("a", 100, 2))
+    model.submit(0.0, EngineRequest("a", 100, 2))
     model.stall(5.0, 505.0)
-    model.submit(100.0, Work("b", 100, 1))
+    model.submit(100.0, EngineRequest("b", 100, 1))
     assert [h.at for h in drain(model)][:1] == [pytest.approx(520.0)]
 
 
 def test_cold_is_slow_and_falls_when_overfilled() -> None:
     model = engine(cold=True, cold_from=0.5, cold_ms=1000.0, fall_multiple=2.0, fall_ms=1000.0, waiting=1000)
-    model.submit(0.0, Work("a", 100, 1))
+    model.submit(0.0, EngineRequest("a", 100, 1))
     assert drain(model)[0].at == pytest.approx(40.0)
     rate = model.figures.read_rate()
     fits = int(2.0 * rate * 1000.0 * 0.5 / 100)
-    taken = [model.submit(50.0, Work(str(n), 100, 1)) for n in range(2 * fits)]
+    taken = [model.submit(50.0, EngineRequest(str(n), 100, 1)) for n in range(2 * fits)]
     # Slack for chance as in rule 4: N + 2 x root of N + 2 prompts, one of them taken before.
-    assert taken.index(Taken.FELL) == pytest.approx(fits + 2.0 * fits**0.5 + 1.0, rel=0.1)
+    assert taken.index(SubmitResult.CRASHED) == pytest.approx(fits + 2.0 * fits**0.5 + 1.0, rel=0.1)
 
 
 def test_reports_are_late() -> None:
     model = engine(report_every_ms=100.0, report_delay_ms=30.0, waiting=100)
     for n in range(8):
-        model.submit(1000.0, Work(str(n), 60, 1))
+        model.submit(1000.0, EngineRequest(str(n), 60, 1))
     assert model.report(1001.0).queued == 0 and model.load(1001.0).queued == 7
     seen = [model.report(1000.0 + at).unread_tokens for at in range(0, 200, 5)]
     assert seen[0] == 0 and max(seen) > 0
@@ -154,7 +154,7 @@
 )
 def test_a_queue_agrees_with_theory(queue: Queue) -> None:
     # Several servers begin work between steps only: half a step and the rounding of service to steps.
-    found = agreement(queue, 20_000, seed=7)
+    found = compare_with_theory(queue, 20_000, seed=7)
     assert found.holds(slack_ms=0.0 if queue.servers == 1 else 1.0), found
 
 
@@ -171,7 +171,7 @@
             0.0, cold, slots=slots, memory_tokens=memory * 16, chunk_tokens=chunk, cancel=cancel,
             keeps_answers=keeps, cold_ms=500.0, step_ms_per_1000_context=5.0,
         )  # fmt: skip
-        self.asked: dict[str, Work] = {}
+        self.asked: dict[str, EngineRequest] = {}
         self.dropped: set[str] = set()
         self.started: dict[str, float] = {}
         self.ended: dict[str, float] = {}
@@ -179,10 +179,10 @@
     @rule(prompt=st.integers(1, 300), answer=st.integers(1, 60), opening=st.integers(0, 3),
           shared=st.integers(0, 300), session=st.integers(0, 4))  # fmt: skip
     def submit(self, prompt: int, answer: int, opening: int, shared: int, session: int) -> None:
-        work = Work(str(len(self.asked)), prompt, answer, opening or None, shared, session or None)
+        work = EngineRequest(str(len(self.asked)), prompt, answer, opening or None, shared, session or None)
         taken = self.model.submit(self.now, work)
         self.asked[work.id] = work
-        if taken is not Taken.TAKEN:
+        if taken is not SubmitResult.ACCEPTED:
             self.dropped.add(work.id)
 
     @rule(which=st.integers(0, 30))
@@ -202,11 +202,11 @@
     @rule(factor=st.sampled_from([0.5, 1.0, 4.0]), work=st.floats(0.0, 5.0))
     def trouble(self, factor: float, work: float) -> None:
         self.model.slowed(self.now, factor)
-        self.model.charge(self.now, work)
+        self.model.add_overhead(self.now, work)
 
     def hear(self) -> None:
         for news in self.model.advance(self.now):
-            table = self.started if news.kind is Kind.STARTED else self.ended
+            table = self.started if news.kind is EventKind.STARTED else self.ended
             assert news.id not in table and news.id in self.asked and news.at <= self.now
             assert 0 <= news.kept < self.asked[news.id].prompt
             table[news.id] = news.at
@@ -220,8 +220,8 @@
     def teardown(self) -> None:
         if not hasattr(self, "model"):
             return
-        while self.model.next_at() < float("inf"):
-            self.now = self.model.next_at()
+        while self.model.next_event_at() < float("inf"):
+            self.now = self.model.next_event_at()
             self.hear()
             self.model.check()
         whole = set(self.asked) - self.dropped
--- a/tests/test_lab_experiment.py
+++ b/tests/test_lab_experiment.py
@@ -11,7 +11,7 @@
 from spoolbarrow.cli import run
 from spoolbarrow.lab import charts
 from spoolbarrow.lab.compare import compare
-from spoolbarrow.lab.experiment import Table, jobs, perform, play, read
+from spoolbarrow.lab.experiment import ResultTable, jobs, run_job, run_experiment, read_experiment
 from spoolbarrow.lab.scenario import ScenarioError
 
 SCENARIO = """
@@ -45,25 +45,25 @@
 
 def every(place: Path) -> Path:
     """All runs, played in this process."""
-    table = Table(place / "out")
-    for job in jobs(read(place / "pairs.toml"), place):
-        table.append(perform(job))
+    table = ResultTable(place / "out")
+    for job in jobs(read_experiment(place / "pairs.toml"), place):
+        table.append(run_job(job))
     return place / "out"
 
 
 def test_a_kill_loses_nothing_and_nothing_runs_twice(place: Path) -> None:
-    found = read(place / "pairs.toml")
-    table = Table(place / "out")
+    found = read_experiment(place / "pairs.toml")
+    table = ResultTable(place / "out")
     some = list(jobs(found, place))[:7]
     for job in some:
-        table.append(perform(job))
+        table.append(run_job(job))
     with table.journal.open("ab") as journal:
         journal.write(b'{"key":"torn')  # killed in the middle of a line
     told: list[tuple[int, int]] = []
-    assert play(found, place, place / "out", 1, lambda done, of: told.append((done, of))) == 13
+    assert run_experiment(found, place, place / "out", 1, lambda done, of: told.append((done, of))) == 13
     assert told[0] == (7, 20) and told[-1] == (20, 20)
     assert not table.journal.exists() and len(table.rows()) == 20
-    assert play(found, place, place / "out", 1, lambda done, of: None) == 0
+    assert run_experiment(found, place, place / "out", 1, lambda done, of: None) == 0
 
 
 def test_another_constant_is_another_run(place: Path) -> None:
@@ -71,7 +71,7 @@
     (place / "pairs.toml").write_text(
         'name = "c"\nscenarios = ["tiny.toml"]\nseeds = [1]\n[constants]\nREAD_RATE = [12.0, 3.0]\n'
     )
-    rows = [perform(job) for job in jobs(read(place / "pairs.toml"), place)]
+    rows = [run_job(job) for job in jobs(read_experiment(place / "pairs.toml"), place)]
     assert len({row["key"] for row in rows}) == 2 and usual == router.PREFILL_TOKENS_PER_MS
     assert [orjson.loads(row["constants"])["READ_RATE"] for row in rows] == [12.0, 3.0]
 
@@ -83,7 +83,7 @@
 def test_a_faulty_experiment_names_the_key(place: Path, line: str, key: str) -> None:
     (place / "bad.toml").write_text(f'name = "b"\nscenarios = ["tiny.toml"]\n{line}\n')
     with pytest.raises(ScenarioError, match=key):
-        read(place / "bad.toml")
+        read_experiment(place / "bad.toml")
 
 
 def test_comparison_is_paired_and_plain(place: Path) -> None:
@@ -100,7 +100,7 @@
 
 
 def test_less_is_better_where_it_is(place: Path) -> None:
-    table = Table(place / "out")
+    table = ResultTable(place / "out")
     for seed in range(6):
         for policy, late in (("a", 100.0), ("b", 150.0)):
             table.append(
@@ -113,7 +113,7 @@
 
 
 def test_charts_show_troubles_and_are_the_same_twice(place: Path) -> None:
-    rows = Table(every(place)).rows()
+    rows = ResultTable(every(place)).rows()
     one, other = charts.charts(rows), charts.charts(rows)
     assert one == other and "timeline-tiny-oracle" in one and "worth-against-per_engine" in one
     assert "hang" in one["timeline-tiny-random"]
--- a/tests/test_lab_simulate.py
+++ b/tests/test_lab_simulate.py
@@ -8,8 +8,8 @@
 import orjson
 import pytest
 
-from spoolbarrow.lab.account import Record, worth
-from spoolbarrow.lab.arrivals import Asked
+from spoolbarrow.lab.run_report import Record, worth
+from spoolbarrow.lab.arrivals import PlannedRequest
 from spoolbarrow.lab.policies import POLICIES
 from spoolbarrow.lab.scenario import TROUBLES, ScenarioError, convert, load
 from spoolbarrow.lab.simulate import Simulation, simulate
@@ -50,10 +50,10 @@
     report = simulation.play()
     assert not report["rules_broken"]
     assert sum(report["outcomes"].values()) == report["requests"] > 100
-    assert simulation.callers.pending == 0
+    assert simulation.clients.pending == 0
     # Nothing is left behind: every try has ended, and with it what routers and the lab kept of it.
-    assert not simulation.callers.calls and not any(node.opens for node in simulation.nodes.all)
-    assert all(machine.connections >= 0 for machine in simulation.machines.by_id.values())
+    assert not simulation.clients.calls and not any(node.opens for node in simulation.routers.all)
+    assert all(machine.connections >= 0 for machine in simulation.engines.by_id.values())
 
 
 @pytest.mark.parametrize(
@@ -90,14 +90,14 @@
 def test_what_a_tenant_sends_beyond_its_quota_is_worth_little() -> None:
     scenario = day(tenants={"a": {"quota_per_engine": 0.5}}, load={"per_engine": 2.0})
     simulation = Simulation(scenario, "random", 1)
-    over = [r.asked.over for r in simulation.callers.records]
+    over = [r.planned.over_quota for r in simulation.clients.records]
     # Three a second of twelve, and what was saved up before the day.
     assert 0.55 < sum(over) / len(over) < 0.8
 
 
 def test_worth_by_first_token_and_pace() -> None:
     scenario = day()
-    one = Asked(0.0, 0, 0, 1, 0, 1000, 0, 11, False)
+    one = PlannedRequest(0.0, 0, 0, 1, 0, 1000, 0, 11, False)
     cases = [
         (Record(one, "served", 1200.0, 2000.0), 1.0),
         (Record(one, "served", 1300.0, 2000.0), 0.2),  # 1,200 ms, and 60 for a thousand tokens
--- a/tests/test_lab_sites.py
+++ b/tests/test_lab_sites.py
@@ -6,21 +6,21 @@
 
 import pytest
 
-from spoolbarrow.lab.arrivals import asked
+from spoolbarrow.lab.arrivals import draw_requests
 from spoolbarrow.lab.fleet import fleet, stream
 from spoolbarrow.lab.simulate import simulate
-from spoolbarrow.lab.sites import capacity, site
+from spoolbarrow.lab.random_scenarios import capacity, random_scenario
 
 
 @pytest.mark.parametrize("many", [False, True])
 def test_a_seed_draws_one_site_and_another_seed_another(many: bool) -> None:
-    first, again, other = (site(seed, many, 4, 6, 0.5, 10.0) for seed in (1, 1, 2))
+    first, again, other = (random_scenario(seed, many, 4, 6, 0.5, 10.0) for seed in (1, 1, 2))
     assert first == again and first.kinds != other.kinds and first.classes != other.classes
 
 
 def test_lengths_have_heavy_tails_within_their_bounds() -> None:
-    drawn = site(1, True, 4, 20, 0.5, 60.0)
-    day = asked(drawn, (), stream(1, "arrivals"))
+    drawn = random_scenario(1, True, 4, 20, 0.5, 60.0)
+    day = draw_requests(drawn, (), stream(1, "arrivals"))
     for n, shape in enumerate(drawn.classes.values()):
         answers = sorted(one.answer for one in day if one.cls == n)
         assert answers[-1] <= shape.max_answer
@@ -30,14 +30,14 @@
 
 
 def test_the_list_tells_sizes_more_or_less_only_where_it_is_to() -> None:
-    specs = fleet(site(1, True, 4, 40, 0.5, 10.0), stream(1, "fleet"))
+    specs = fleet(random_scenario(1, True, 4, 40, 0.5, 10.0), stream(1, "fleet"))
     ratios = [spec.weight / spec.figures.speed for spec in specs]
     assert 0.85 < median(ratios) < 1.15 and len(set(ratios)) == len(ratios)
 
 
 def test_what_is_drawn_can_be_borne() -> None:
     """At a third of the load nearly all is served in time; at twice it, much is not."""
-    light, heavy = (simulate(site(5, True, 2, 6, load, 12.0), "spoolbarrow", 5) for load in (0.25, 2.0))
+    light, heavy = (simulate(random_scenario(5, True, 2, 6, load, 12.0), "spoolbarrow", 5) for load in (0.25, 2.0))
     assert light["worth"] > 0.85 > 0.6 > heavy["worth"]
     assert 0.0 < light["read_anew_share"] < 1.0
-    assert capacity(site(5, True, 2, 6, 0.25, 12.0), 5) > 0.0
+    assert capacity(random_scenario(5, True, 2, 6, 0.25, 12.0), 5) > 0.0
--- a/tests/test_lab_sockets.py
+++ b/tests/test_lab_sockets.py
@@ -12,7 +12,7 @@
 from gevent import socket
 
 from spoolbarrow.lab import sockets
-from spoolbarrow.lab.emulate import Listing
+from spoolbarrow.lab.emulator import EmulatedDiscovery
 from spoolbarrow.lab.fleet import fleet, stream
 from spoolbarrow.lab.scenario import Scenario, convert
 from spoolbarrow.lab.wire import HOST, Clock, WireEngine
@@ -140,7 +140,7 @@
 
 def test_discovery_tells_each_router_its_addresses_and_changes() -> None:
     scenario = day()
-    listing = Listing(scenario, Clock(), {0: [11, 12], 1: [21, 22]}, 1)
+    listing = EmulatedDiscovery(scenario, Clock(), {0: [11, 12], 1: [21, 22]}, 1)
     try:
         talk = Talk(int(listing.addresses[1].rpartition(":")[2]))
         talk.sock.sendall(b"GET /discovery/hosts HTTP/1.1\r\nHost: d\r\n\r\n")
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -21,7 +21,7 @@
     Send,
     StreamStarted,
 )
-from spoolbarrow.lab.opened import Rule, play
+from spoolbarrow.lab.slow_start_exposure import Rule, play
 from spoolbarrow.router import Router
 from tests.world import World, make_settings, serving
 
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -17,7 +17,7 @@
 from spoolbarrow.interface import ListKind, ReplicaEntry, ReplicaList, RequestArrived
 from spoolbarrow.lab.cluster import Load, cluster
 from spoolbarrow.lab.cold import Figures
-from spoolbarrow.lab.opened import Rule, Traffic, play
+from spoolbarrow.lab.slow_start_exposure import Rule, Traffic, play
 from spoolbarrow.router import ClassStats, ReplicaPool, Request, Router
 from tests.world import make_settings, serving
 
@@ -81,13 +81,13 @@
     "traffic",
     [
         Traffic(work_sigma=1.2),
-        Traffic(moved_ms=3000.0),
-        Traffic(churn=0.5, busiest=8.0, lead_ms=0.0),
-        Traffic(zipf=1.3, hot=0.3),
+        Traffic(resumed_ms=3000.0),
+        Traffic(restarted_share=0.5, busiest_factor=8.0, lead_ms=0.0),
+        Traffic(zipf=1.3, hot_share=0.3),
         Traffic(attempts=3),
-        Traffic(told_ms=1500.0),
+        Traffic(notified_within_ms=1500.0),
         Traffic(load=3.0),
-        Traffic(load=3.0, zipf=1.3, hot=0.3),
+        Traffic(load=3.0, zipf=1.3, hot_share=0.3),
     ],
 )
 def test_what_all_routers_may_send_makes_hardly_an_engine_fall(traffic: Traffic) -> None:
