--- a/spoolbarrow/cli/lab.py
+++ b/spoolbarrow/cli/lab.py
@@ -11,7 +11,7 @@
 
 from spoolbarrow.cli.errors import BadArgument, LabRunFailed, NoResults
 from spoolbarrow.errors import MissingPackage
-from spoolbarrow.lab.scenario import Scenario, change, convert, load_raw
+from spoolbarrow.lab.scenario import Scenario, set_key, convert, load_raw
 
 SCENARIO_ARGUMENT = click.argument("scenario", type=click.Path(path_type=Path, exists=True, dir_okay=False))
 SET_OPTION = click.option(
@@ -31,7 +31,7 @@
         key, equals, text = assignment.partition("=")
         if not equals:
             raise BadArgument(f"--set {assignment}", "must be KEY=VALUE")
-        change(raw, key, parse_value(text))
+        set_key(raw, key, parse_value(text))
     return convert(raw)
 
 
@@ -126,14 +126,14 @@
     """
     import gevent
 
-    from spoolbarrow.lab.emulate import Emulator
+    from spoolbarrow.lab.emulator import Emulator
 
     try:
         running = Emulator(read(scenario, sets), seed, processes, port, engine_port)
     except OSError as error:
         raise LabRunFailed("", str(error)) from error
     with running as fleet:
-        for n, address in enumerate(fleet.listing.addresses):
+        for n, address in enumerate(fleet.discovery.addresses):
             click.echo(f"router {n}: discovery at {address}")
         fleet.begin()
         click.echo("the scenario has started; Ctrl-C ends it")
@@ -165,23 +165,23 @@
     import time
 
     from spoolbarrow.config import parse_address
-    from spoolbarrow.lab.account import account, to_csv
+    from spoolbarrow.lab.run_report import build_report, to_csv
 
     try:
-        from spoolbarrow.lab.load import Load
+        from spoolbarrow.lab.load import LoadGenerator
     except ImportError as error:
         raise MissingPackage("lab", error) from error
 
     loaded = read(scenario, sets)
     addresses = [parse_address("IP:PORT", target) for target in targets]
     try:
-        with Load(loaded, seed, addresses, processes, token_bytes) as running:
+        with LoadGenerator(loaded, seed, addresses, processes, token_bytes) as running:
             running.begin(time.monotonic() + 0.1)
             show_progress(running)
             records, figures = running.wait()
     except OSError as error:
         raise LabRunFailed("", str(error)) from error
-    report = account(loaded, records, []) | {"load": figures, "seed": seed}
+    report = build_report(loaded, records, []) | {"load": figures, "seed": seed}
     if table is not None:
         table.write_text(to_csv(loaded, records))
     print_report(report, as_json)
@@ -225,11 +225,11 @@
         from spoolbarrow.lab import experiment as lab
     except ImportError as error:
         raise MissingPackage("lab", error) from error
-    definition = lab.read(file)
+    definition = lab.read_experiment(file)
     with Progress(transient=True) as bar:
         task = bar.add_task(definition.name)
         directory = into or file.parent / definition.name
-        completed = lab.play(
+        completed = lab.run_experiment(
             definition, file.parent, directory, workers or os.cpu_count() or 1,
             lambda done, of: bar.update(task, completed=done, total=of),
         )  # fmt: skip
@@ -271,10 +271,10 @@
     """Draw the charts of the table in DIRECTORY, and a page that contains them."""
     try:
         from spoolbarrow.lab import charts
-        from spoolbarrow.lab.experiment import Table
+        from spoolbarrow.lab.experiment import ResultTable
     except ImportError as error:
         raise MissingPackage("lab", error) from error
-    rows = Table(directory).rows()
+    rows = ResultTable(directory).rows()
     if not rows:
         raise NoResults(str(directory), "no results")
     for path in charts.write(rows, into or directory, directory.name):
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -19,7 +19,7 @@
 from spoolbarrow.fleet.membership import Membership
 from spoolbarrow.fleet.summary_table import MAX_ROUTERS, SummaryTable
 from spoolbarrow.interface import Tenant
-from spoolbarrow.lab.leases import Broken, play
+from spoolbarrow.lab.lease_histories import InvariantViolated, play
 from spoolbarrow.net.store_follower import StoreFollower
 from tests.router_harness import ScriptedServer, make_config, running_router, wait_until
 
@@ -147,7 +147,7 @@
     assert min(run.decisions for run in runs) >= 5 and sum(run.epochs for run in runs) > 200
     assert sum(run.refused for run in runs) > 500 and sum(run.fallbacks for run in runs) > 500
     for seed in range(10):
-        with pytest.raises(Broken):
+        with pytest.raises(InvariantViolated):
             play(seed, fenced=False)
 
 
