--- a/spoolbarrow/handover.py
+++ b/spoolbarrow/handover.py
@@ -1,9 +1,9 @@
-"""An upgrade: the inherited listening socket, and what passes between the processes that are one router.
+"""Upgrades without downtime: the inherited listening socket and the handover between a router's processes.
 
-Owns the files in `$TMPDIR/spoolbarrow/` and who of those there lives. Each process writes only its own files,
-whole or not at all; a lock that it holds for life says that it is there. What the words and the state mean is
-for `admin.overrides` and `admin.state` to know; nothing here is imported where operators call nowhere and no
-socket is inherited.
+Owns the files in `$TMPDIR/spoolbarrow/` and tracks which of the processes there are alive. Each process
+writes only its own files, atomically, and holds a lock for its lifetime that marks it as alive.
+`admin.overrides` and `admin.state` define the contents. Not imported if there is neither a control listener
+nor an inherited socket.
 """
 
 from __future__ import annotations
@@ -33,32 +33,32 @@
 from spoolbarrow.net.log import log, log_exception
 
 FOLDER = "spoolbarrow"
-LOOK_S = 0.05  # between looks at the others' files
-STATE_WAIT_S = 1.0  # a process that starts waits so long at most for the state of the one before it
-MOST_STATE = 8 << 20  # bytes of a state that is read
-MOST_STREAM = 1 << 16  # bytes of a message on a stream: its tail is the most of it
-MOST_DESCRIPTORS = 2  # of a stream: its client's connection and its endpoint's
-STREAM_S = 0.5  # a stream is passed on within this, or not at all
+POLL_S = 0.05  # between checks of the other processes' files
+STATE_WAIT_S = 1.0  # time-out of a starting process for the state of its predecessor
+MAX_STATE_BYTES = 8 << 20  # of a state file
+MAX_STREAM_BYTES = 1 << 16  # of a stream's message, most of which is its tail
+MAX_DESCRIPTORS = 2  # of a stream: client connection and endpoint connection
+STREAM_TIMEOUT_S = 0.5  # for handing over a stream
 STREAMS_BACKLOG = 256
-MOST_FILES = 64  # looked at in the folder: there are never more than a few processes
+MAX_FILES = 64  # read from the folder; there are never more than a few processes
 
 
 class HandoverDataError(Problem, ValueError):
-    """What an older process left, or a stream that it gives, can't be taken over."""
+    """The data or a stream of an older process can't be taken over."""
 
     where = "`what` of the line `handover_failed`"
-    remedy = "Run both processes with the same name and version; what did not pass begins anew here."
+    remedy = "Run both processes with the same name and version; what was not handed over starts anew here."
 
 
 class NotInherited(ConfigError):
-    """What the process was started with is no listening TCP socket."""
+    """The inherited descriptor is no listening TCP socket."""
 
     where = INHERITED_FD_VARIABLE
-    remedy = f"Start it with the older process's listening socket, and have {INHERITED_FD_VARIABLE} name its descriptor."
+    remedy = f"Pass the older process's listening socket, and set {INHERITED_FD_VARIABLE} to its descriptor."
 
 
 def inherited_listener(environment: Mapping[str, str] = os.environ) -> socket.socket | None:
-    """The listening socket that the environment names, if it does; ConfigError where it is none."""
+    """The listening socket that the environment names, if any; ConfigError if it is not one."""
     text = environment.get(INHERITED_FD_VARIABLE)
     if text is None:
         return None
@@ -75,19 +75,19 @@
     return listener
 
 
-def _receive(giver: socket.socket) -> tuple[bytes, list[int]]:
-    """A message and the descriptors that came with it; OSError where it is too long or cut off."""
+def _receive_message(sender: socket.socket) -> tuple[bytes, list[int]]:
+    """Receive a message with its descriptors; OSError if it is too long or incomplete."""
     held = array("i")
-    room = socket.CMSG_SPACE(MOST_DESCRIPTORS * held.itemsize)
-    data, rights, _, _ = giver.recvmsg(MOST_STREAM, room, socket.MSG_CMSG_CLOEXEC)
+    room = socket.CMSG_SPACE(MAX_DESCRIPTORS * held.itemsize)
+    data, rights, _, _ = sender.recvmsg(MAX_STREAM_BYTES, room, socket.MSG_CMSG_CLOEXEC)
     for level, kind, numbers in rights:
         if (level, kind) == (socket.SOL_SOCKET, socket.SCM_RIGHTS):
             held.frombytes(numbers[: len(numbers) - len(numbers) % held.itemsize])
     try:
         while len(data) < 4 or len(data) < 4 + int.from_bytes(data[:4]):
-            more = giver.recv(MOST_STREAM)
-            if not more or len(data) > MOST_STREAM:
-                raise OSError("a message that is cut off or too long")
+            more = sender.recv(MAX_STREAM_BYTES)
+            if not more or len(data) > MAX_STREAM_BYTES:
+                raise OSError("message incomplete or too long")
             data += more
     except BaseException:
         for number in held:
@@ -97,75 +97,75 @@
 
 
 def _number(name: str) -> int:
-    """By which a process's name sorts; 0 for what is no such name."""
+    """The number that a process name starts with; 0 for any other name."""
     number = name.partition("-")[0]
     return int(number) if number.isascii() and number.isdigit() else 0
 
 
 class Handover:
-    """This process among those that share a folder: they are one router."""
+    """This process and the other processes of the same router, which share a folder."""
 
     def __init__(self, directory: str) -> None:
-        """OSError where the folder can't be used."""
+        """OSError if the folder is unusable."""
         self._folder = Path(directory) / FOLDER
         self._folder.mkdir(mode=0o700, exist_ok=True)
-        # A Unix socket's path holds 107 bytes, and the folder's alone may be longer: a descriptor names it.
+        # A Unix socket path is limited to 107 bytes; as the folder's may be longer, a descriptor replaces it.
         self._directory = os.open(self._folder, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
-        others = self._others()
-        # A state that is there already was written for another process.
-        self._old_states = {other: self._writing("state", other) for other in others}
-        # Names sort by age: who is later is the successor, also where the wall clock was set back meanwhile.
+        others = self._processes()
+        # Existing state files were written for other processes.
+        self._old_state_versions = {other: self._file_version("state", other) for other in others}
+        # Names sort by age: the latest process is the successor, even if the wall clock was set back.
         number = max([time.time_ns(), *(_number(other) + 1 for other in others)])
         self.process_name = f"{number:020d}-{os.getpid()}"
-        self.clock_offset_s = self._shared_offset_s(others)  # of the clock that all of them go by
+        self.clock_offset_s = self._shared_offset_s(others)  # of the clock that all processes share
         self._lock = os.open(self._path("lock"), os.O_CREAT | os.O_RDWR | os.O_CLOEXEC, 0o600)
         os.write(self._lock, b"%.6f" % self.clock_offset_s)
         fcntl.flock(self._lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
-        self.older: list[str] = []  # the others that live
+        self.older: list[str] = []  # live processes
         self.newer: list[str] = []
-        self._served: set[str] = set()  # those that the state was written for
-        self._read: dict[str, tuple[int, int]] = {}  # words taken over: by whom, which writing of them
-        self._looking: gevent.Greenlet[..., None] | None = None
-        self._streams: socket.socket | None = None
-        self._taking: gevent.Greenlet[..., None] | None = None
+        self._state_given: set[str] = set()  # newer processes that the state was written for
+        self._read_versions: dict[str, tuple[int, int]] = {}  # by process: last override file read
+        self._poller: gevent.Greenlet[..., None] | None = None
+        self._stream_listener: socket.socket | None = None
+        self._stream_taker: gevent.Greenlet[..., None] | None = None
         self.refresh_peers()
 
     def _path(self, kind: str, of: str = "") -> Path:
         return self._folder / f"{of or self.process_name}.{kind}"
 
-    def _streams_path(self, of: str = "") -> str:
+    def _stream_socket_path(self, of: str = "") -> str:
         return f"/proc/self/fd/{self._directory}/{self._path('streams', of).name}"
 
     def refresh_peers(self) -> list[str]:
-        """See who lives; those that are dead and left files."""
-        others = [other for other in self._others() if other != self.process_name]
-        alive = [other for other in others if self._lives(other)]
+        """Update `older` and `newer`; returns the dead processes that left files."""
+        others = [other for other in self._processes() if other != self.process_name]
+        alive = [other for other in others if self._is_alive(other)]
         self.older = [other for other in alive if other < self.process_name]
         self.newer = [other for other in alive if other > self.process_name]
         return [other for other in others if other not in alive]
 
-    def _others(self) -> list[str]:
-        """The processes that have files here, alive or not, by age."""
+    def _processes(self) -> list[str]:
+        """All processes with files in the folder, alive or dead, by age."""
         with os.scandir(self._folder) as entries:
-            names = sorted(entry.name for _, entry in zip(range(MOST_FILES), entries, strict=False))
+            names = sorted(entry.name for _, entry in zip(range(MAX_FILES), entries, strict=False))
         return [name.removesuffix(".lock") for name in names if name.endswith(".lock")]
 
     def _shared_offset_s(self, others: list[str]) -> float:
-        """The clock offset of the processes that live, else this machine's now."""
+        """The clock offset of a live process, else this machine's present one."""
         for other in others:
-            if self._lives(other):
+            if self._is_alive(other):
                 with suppress(OSError, ValueError):
                     return float(self._path("lock", other).read_bytes())
         return unix_offset_s()
 
-    def _writing(self, kind: str, of: str) -> tuple[int, int] | None:
-        """Which writing of a file there is; None where there is none."""
+    def _file_version(self, kind: str, of: str) -> tuple[int, int] | None:
+        """Identify the current version of a file; None if there is none."""
         with suppress(OSError):
             status = self._path(kind, of).stat()
             return status.st_ino, status.st_mtime_ns
         return None
 
-    def _lives(self, other: str) -> bool:
+    def _is_alive(self, other: str) -> bool:
         try:
             held = os.open(self._path("lock", other), os.O_RDWR | os.O_CLOEXEC)
         except OSError:
@@ -179,7 +179,7 @@
             os.close(held)
 
     def write_overrides(self, text: bytes) -> None:
-        """Have the others know; a fault is logged: what was said holds in this process all the same."""
+        """Publish this process's overrides to the others; a fault is logged, as they apply here anyway."""
         self._write("words", text)
 
     def _write(self, kind: str, text: bytes) -> None:
@@ -191,129 +191,129 @@
             log("handover_failed", what=kind, why=str(error))
 
     def read_peer_overrides(self, dead: list[str]) -> list[bytes]:
-        """Words of the others, those not read yet; the files of the dead are gone after this."""
+        """Overrides of other processes that were not read yet; files of dead ones are removed afterwards."""
         texts = []
         for other in (*self.older, *self.newer, *dead):
-            writing = self._writing("words", other)
-            if writing is not None and self._read.get(other) != writing:
+            version = self._file_version("words", other)
+            if version is not None and self._read_versions.get(other) != version:
                 with suppress(OSError):
                     texts.append(self._path("words", other).read_bytes())
-                    self._read[other] = writing
+                    self._read_versions[other] = version
         return texts
 
     def remove_files(self, dead: list[str]) -> None:
-        """Remove what the dead left."""
+        """Remove the files of dead processes."""
         for other in dead:
-            self._read.pop(other, None)
-            self._served.discard(other)
+            self._read_versions.pop(other, None)
+            self._state_given.discard(other)
             for kind in ("words", "words-partial", "state", "state-partial", "streams", "lock"):
                 self._path(kind, other).unlink(missing_ok=True)
 
     def start(
-        self, looked: Callable[[], None], adopt: Callable[[list[bytes]], None], state: Callable[[], bytes]
+        self, polled: Callable[[], None], adopt: Callable[[list[bytes]], None], state: Callable[[], bytes]
     ) -> None:
-        """Go on looking: `looked` hears so each time, `adopt` what others were told, and `state` is asked for
-        what a newer process is to know.
+        """Start polling: calls `polled` each time, `adopt` with new overrides of other processes, and `state`
+        to encode the state for a newer process.
         """
-        self._looking = gevent.spawn(self._go_on, looked, adopt, state)
+        self._poller = gevent.spawn(self._poll, polled, adopt, state)
 
-    def _go_on(
-        self, looked: Callable[[], None], adopt: Callable[[list[bytes]], None], state: Callable[[], bytes]
+    def _poll(
+        self, polled: Callable[[], None], adopt: Callable[[list[bytes]], None], state: Callable[[], bytes]
     ) -> None:
         while True:
             try:
                 dead = self.refresh_peers()
-                looked()
+                polled()
                 if texts := self.read_peer_overrides(dead):
                     adopt(texts)
                 self.remove_files(dead)
-                if unserved := set(self.newer) - self._served:
-                    self._served |= unserved
+                if unserved := set(self.newer) - self._state_given:
+                    self._state_given |= unserved
                     self._write("state", state())
                     log("handed_over", to=sorted(unserved))
-            except Exception as error:  # the next look may fare better; serving never hears of it
+            except Exception as error:  # the next poll may succeed; serving is not affected
                 log_exception("handover", error)
-            gevent.sleep(LOOK_S)
+            gevent.sleep(POLL_S)
 
     def listen_for_streams(self, take: Callable[[bytes, list[int]], Callable[[], None]]) -> None:
-        """Have older processes pass on their streams: `take` has a message and its descriptors; OSError."""
+        """Accept streams from older processes by `take(message, descriptors)`; OSError if it can't listen."""
         listener = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
         try:
-            listener.bind(self._streams_path())
+            listener.bind(self._stream_socket_path())
             listener.listen(STREAMS_BACKLOG)
         except OSError:
             listener.close()
             raise
-        self._streams = listener
-        self._taking = gevent.spawn(self._take_streams, listener, take)
+        self._stream_listener = listener
+        self._stream_taker = gevent.spawn(self._serve_streams, listener, take)
 
-    def _take_streams(
+    def _serve_streams(
         self, listener: socket.socket, take: Callable[[bytes, list[int]], Callable[[], None]]
     ) -> None:
         while True:
             try:
-                giver = next_connection(
+                sender = next_connection(
                     listener, lambda error: log("handover_failed", what="streams", why=str(error))
                 )
-                with giver, gevent.Timeout(STREAM_S):
-                    text, descriptors = _receive(giver)
+                with sender, gevent.Timeout(STREAM_TIMEOUT_S):
+                    text, descriptors = _receive_message(sender)
                     try:
-                        go = take(text, descriptors)
+                        start = take(text, descriptors)
                     except (HandoverDataError, OSError) as error:
                         log("handover_failed", what="stream", why=str(error))
-                        giver.sendall(b"n")
+                        sender.sendall(b"n")
                         continue
                     try:
-                        giver.sendall(b"y")
+                        sender.sendall(b"y")
                     finally:
-                        go()  # a giver that can't be told shuts the connections down
+                        start()  # a sender without the reply shuts the connections down
             except (OSError, gevent.Timeout) as error:
                 log("handover_failed", what="stream", why=f"{type(error).__name__}: {error}")
             except Exception as error:
                 log_exception("handover", error)
 
     def send_stream(self, text: bytes, descriptors: Sequence[int]) -> bool | None:
-        """Pass a stream to the newest process: taken, not taken, or not known."""
+        """Hand a stream over to the newest process; whether it was accepted, None if unknown."""
         if not self.newer:
             return False
         sent = False
         try:
-            with socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as taker, gevent.Timeout(STREAM_S):
-                taker.connect(self._streams_path(self.newer[-1]))
+            with socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as peer, gevent.Timeout(STREAM_TIMEOUT_S):
+                peer.connect(self._stream_socket_path(self.newer[-1]))
                 rights = (socket.SOL_SOCKET, socket.SCM_RIGHTS, array("i", descriptors))
-                done = taker.sendmsg([len(text).to_bytes(4), text], [rights])
-                sent = True  # the descriptors go with the first byte, or not at all
-                taker.sendall((len(text).to_bytes(4) + text)[done:])
-                return {b"y": True, b"n": False}.get(taker.recv(1))
+                size = peer.sendmsg([len(text).to_bytes(4), text], [rights])
+                sent = True  # the descriptors are sent with the first byte
+                peer.sendall((len(text).to_bytes(4) + text)[size:])
+                return {b"y": True, b"n": False}.get(peer.recv(1))
         except (OSError, gevent.Timeout) as error:
             log("handover_failed", what="stream", why=f"{type(error).__name__}: {error}")
             return None if sent else False
 
     def await_state(self) -> bytes | None:
-        """The state of the process before this one; None where there is none or it does not come in time."""
-        until = time.monotonic() + STATE_WAIT_S
-        while self.older and time.monotonic() < until:
+        """Wait for the predecessor's state; None if there is no predecessor or it is too late."""
+        deadline = time.monotonic() + STATE_WAIT_S
+        while self.older and time.monotonic() < deadline:
             older = self.older[-1]
-            path, writing = self._path("state", older), self._writing("state", older)
-            if writing is not None and writing != self._old_states.get(older):
+            path, version = self._path("state", older), self._file_version("state", older)
+            if version is not None and version != self._old_state_versions.get(older):
                 with suppress(OSError):
-                    return path.read_bytes() if path.stat().st_size <= MOST_STATE else None
-            gevent.sleep(LOOK_S / 5)
+                    return path.read_bytes() if path.stat().st_size <= MAX_STATE_BYTES else None
+            gevent.sleep(POLL_S / 5)
             self.refresh_peers()
         return None
 
     def has_peers(self) -> bool:
-        """Whether another process of the router lives."""
+        """Whether another process of this router is alive."""
         return bool(self.older or self.newer)
 
     def divide_limits(self, config: Config) -> Config:
-        """This process's part of the router's room while another one lives."""
+        """This process's share of the router's limits while another one is alive."""
         if not self.has_peers():
             return config
-        # Each keeps a whole reserve for itself: together they hold no more than one alone.
+        # Each process has a full reserve of its own; together they hold no more than one process alone.
         control = config.control is not None
-        both = config.max_inbound + config.max_outbound + reserved_descriptors(control)
-        inbound, outbound = split_connections(both // 2, control)
+        total = config.max_inbound + config.max_outbound + reserved_descriptors(control)
+        inbound, outbound = split_connections(total // 2, control)
         return replace(
             config,
             max_inbound=inbound,
@@ -322,12 +322,12 @@
         )
 
     def close(self) -> None:
-        """End: words stay for whoever comes next."""
-        if self._looking is not None:
-            self._looking.kill()
-        if self._taking is not None and self._streams is not None:
-            self._taking.kill()
-            self._streams.close()
+        """End the handover; the overrides file stays for the next process."""
+        if self._poller is not None:
+            self._poller.kill()
+        if self._stream_taker is not None and self._stream_listener is not None:
+            self._stream_taker.kill()
+            self._stream_listener.close()
         for kind in ("state", "streams"):
             self._path(kind).unlink(missing_ok=True)
         os.close(self._directory)
--- a/spoolbarrow/net/accepting.py
+++ b/spoolbarrow/net/accepting.py
@@ -1,8 +1,8 @@
-"""Connections taken from a listener, whatever befalls one of them or this process for a moment.
+"""Accepts connections from a listener and survives passing errors.
 
-accept(2) tells errors of three kinds: of the one connection that was to be taken, after which the next may be
-taken at once; of this process or its machine, which has no descriptor or memory just now; and that nobody
-listens any more. No accept loop ends by the first two.
+accept(2) reports three kinds of errors: of the one connection, after which the next can be accepted at once;
+of the process or machine, which lacks descriptors or memory at present; and of a socket that no longer
+listens. Only the last kind ends an accept loop.
 """
 
 from __future__ import annotations
@@ -13,8 +13,8 @@
 import gevent
 from gevent import socket
 
-# What the network did to one connection, as accept(2) lists it; EINTR and EPERM (a packet filter) go with it.
-OF_ONE_CONNECTION = frozenset(
+# Network errors of one connection, as listed in accept(2), with EINTR and EPERM (packet filter).
+CONNECTION_ERRNOS = frozenset(
     {
         errno.ECONNABORTED,
         errno.ECONNRESET,
@@ -30,16 +30,16 @@
         errno.ETIMEDOUT,
     }
 )
-NOT_LISTENING = frozenset({errno.EBADF, errno.EINVAL, errno.ENOTSOCK, errno.EOPNOTSUPP})
-NO_ROOM = frozenset({errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM})
-NEXT_S = 0.001  # before the next one, so that errors in a row leave time for what is served
-PAUSE_S = 0.1  # before another try where this process has no room
+NOT_LISTENING_ERRNOS = frozenset({errno.EBADF, errno.EINVAL, errno.ENOTSOCK, errno.EOPNOTSUPP})
+RESOURCE_ERRNOS = frozenset({errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM})
+NEXT_ACCEPT_S = 0.001  # after an error, so that a series of errors does not block serving
+RESOURCE_PAUSE_S = 0.1  # before a retry if descriptors or memory are lacking
 
 
 def next_connection(listener: socket.socket, paused: Callable[[OSError], None]) -> socket.socket:
-    """The next connection, once one can be taken; `paused` hears why none can, each time.
+    """Accept the next connection; calls `paused` with each resource error before the retry.
 
-    BlockingIOError where the listener does not wait and none has come, OSError where nobody listens.
+    BlockingIOError if the listener is non-blocking and none is pending, OSError if it does not listen.
     """
     while True:
         try:
@@ -47,12 +47,12 @@
         except BlockingIOError:
             raise
         except OSError as error:
-            if error.errno in NOT_LISTENING:
+            if error.errno in NOT_LISTENING_ERRNOS:
                 raise
-            if error.errno in OF_ONE_CONNECTION:
-                gevent.sleep(NEXT_S)
+            if error.errno in CONNECTION_ERRNOS:
+                gevent.sleep(NEXT_ACCEPT_S)
             else:
                 paused(error)
-                gevent.sleep(PAUSE_S)
+                gevent.sleep(RESOURCE_PAUSE_S)
         else:
             return sock
--- a/spoolbarrow/net/connection_handover.py
+++ b/spoolbarrow/net/connection_handover.py
@@ -1,7 +1,7 @@
-"""Clients' connections, idle or with a running stream, on their way to the next process of this router.
+"""Hands client connections, idle or with a running stream, over to the next process of this router.
 
-Owns their form in a message, when one may go, and how either side lets go of it or takes it up. How messages
-and descriptors travel is `handover`'s business. Nothing here is imported where no upgrade can come.
+Defines the message format, when a connection may be handed over, and how both sides release or adopt it.
+`handover` transports messages and descriptors. Not imported if no upgrade is possible.
 """
 
 from __future__ import annotations
@@ -21,35 +21,35 @@
 from spoolbarrow.net.http1 import HttpError
 from spoolbarrow.net.inbound import Inbound
 from spoolbarrow.net.log import log, log_problem
-from spoolbarrow.net.request_facts import UnknownName, passed_facts
+from spoolbarrow.net.request_facts import UnknownName, handover_facts
 
-VERSION = 2  # 1 told class and tenant by their positions
-Send = Callable[[bytes, Sequence[int]], bool | None]  # taken, not taken, or not known
+VERSION = 2  # version 1 had the indices of class and tenant
+Send = Callable[[bytes, Sequence[int]], bool | None]  # accepted, rejected, or unknown
 
 
 class StreamState(Struct):
-    """What the next process must know; times are Unix ms, as the host's clock is on one machine."""
+    """The state of a stream for the next process; times in Unix ms, the host's clock on the same machine."""
 
     v: int
     id: str
-    cls: str  # names: the next process may have them at other positions
+    cls: str  # names, since indices may differ in the next process
     tenant: str
     taken_at: float
     deadline: float
     endpoint: str
     sent_at: float
     first_at: float
-    head: list[tuple[str, str]]  # fields of the endpoint's answer
-    tail: str  # the last of what was passed on: usage may stand there
-    chunks: bool  # the client reads chunked answers
-    closing: bool  # it was told that its connection ends with the answer
+    head: list[tuple[str, str]]  # header fields of the endpoint's response
+    tail: str  # the last data forwarded, which may contain the usage
+    chunks: bool  # the client accepts chunked responses
+    closing: bool  # the response head announced that the connection closes
 
 
-IDLE = b"idle"  # the message that comes with a connection on which nothing is under way
+IDLE_MESSAGE = b"idle"  # sent along with an idle connection
 
 
 def decode_stream(text: bytes) -> StreamState:
-    """The stream in a message; HandoverDataError where it is torn or of another version."""
+    """Decode a stream's state; HandoverDataError if it is malformed or of another version."""
     try:
         stream = msgspec.json.decode(text, type=StreamState)
     except msgspec.DecodeError as error:
@@ -60,20 +60,20 @@
 
 
 def send_stream(host: Host, underway: InFlightAttempt, send: Send) -> bool:
-    """Hand a stream over, asked between two of its chunks; whether it is no longer this process's."""
+    """Hand over a stream between two of its chunks; whether this process no longer owns it."""
     request = underway.attempt.request
     exchange = request.answer
     if not isinstance(exchange, Exchange) or request.finished:
         return False
-    # From here on it is not broken off: closed meanwhile, its descriptors' numbers could be others'.
+    # The stream must not be stopped now: once closed, its descriptor numbers could be reused.
     underway.handing_over = True
     try:
-        return exchange.client.pause_reading() and _pass(host, underway, exchange, send)
+        return exchange.client.pause_reading() and _transfer(host, underway, exchange, send)
     finally:
         underway.handing_over = False
 
 
-def _pass(host: Host, underway: InFlightAttempt, exchange: Exchange, send: Send) -> bool:
+def _transfer(host: Host, underway: InFlightAttempt, exchange: Exchange, send: Send) -> bool:
     attempt, request = underway.attempt, underway.attempt.request
     stream = StreamState(
         VERSION,
@@ -88,16 +88,16 @@
         [(name.decode("latin-1"), value.decode("latin-1")) for name, value in underway.parser.fields.items()],
         underway.tail.decode("latin-1"),
         exchange.message.accepts_chunked,
-        exchange.closes(),
+        exchange.closes_connection(),
     )
     text = msgspec.json.encode(stream)
-    taken = send(text, (exchange.client.sock.fileno(), underway.connection.sock.fileno()))
-    if taken is None:
-        # Perhaps it was taken: two processes must never read one connection, so that nobody does.
+    accepted = send(text, (exchange.client.sock.fileno(), underway.connection.sock.fileno()))
+    if accepted is None:
+        # The other process may have it. Two processes must never read one connection, so shut both down.
         for sock in (underway.connection.sock, exchange.client.sock):
-            _end(sock)
-        raise ConnectionResetError("lost on its way to the next process")
-    if not taken:
+            _shut_down(sock)
+        raise ConnectionResetError("handover to the next process failed with unknown outcome")
+    if not accepted:
         exchange.client.start_reading()
         return False
     log("stream_given", request=request.key, id=request.id)
@@ -106,50 +106,50 @@
     return True
 
 
-def _end(sock: socket.socket) -> None:
-    """End a connection for whoever else holds it, too."""
-    with suppress(OSError):  # it was reset meanwhile
+def _shut_down(sock: socket.socket) -> None:
+    """Shut a connection down, also for other processes that hold it."""
+    with suppress(OSError):  # it was reset before
         sock.shutdown(socket.SHUT_RDWR)
 
 
 def send_idle(client: ClientConnection, send: Send) -> bool:
-    """Hand over a connection on which nothing is under way; whether it is no longer this process's."""
+    """Hand over an idle connection; whether this process no longer owns it."""
     if not client.idle() or not client.pause_reading():
         return False
-    taken = send(IDLE, (client.sock.fileno(),))
-    if taken is False:
+    accepted = send(IDLE_MESSAGE, (client.sock.fileno(),))
+    if accepted is False:
         client.start_reading()
         return False
-    # Where it may have been taken, its client finds it closed, which between requests it may.
+    # If the outcome is unknown, the client may find the connection closed, as is normal between requests.
     client.detach()
     return True
 
 
 def receive(host: Host, inbound: Inbound, text: bytes, descriptors: Sequence[int]) -> Callable[[], None]:
-    """Take a stream up; what is returned sets it going. HandoverDataError or OSError: it is not taken.
+    """Adopt a connection and return a function that starts it; HandoverDataError or OSError if rejected.
 
-    One whose class or tenant this process does not have is taken and broken off: it is the last to serve
-    clients, and must not go by another's rules. The descriptors are this process's either way.
+    A stream whose class or tenant is unknown here is accepted and broken off: this is the newest process and
+    must not apply another's settings. The descriptors belong to this process in any case.
     """
     socks = _sockets(descriptors)
     try:
         if inbound.drainer.state.process_ending():
-            raise HandoverDataError("", "this process is ending, too")
-        if text == IDLE and len(socks) == 1:
+            raise HandoverDataError("", "this process is ending as well")
+        if text == IDLE_MESSAGE and len(socks) == 1:
             return inbound.adopt_idle(socks[0]).start_reading
         if len(socks) != 2:
             raise HandoverDataError("", f"{len(socks)} descriptors")
         client, engine = socks
         stream = decode_stream(text)
         if host.is_open(stream.id):
-            raise HandoverDataError("", "a request of this name is open")
+            raise HandoverDataError("", "a request with this ID is open")
         client.getpeername()
         engine.getpeername()
-        facts = passed_facts(stream.cls, stream.tenant, host.config)
+        facts = handover_facts(stream.cls, stream.tenant, host.config)
     except UnknownName as error:
         log_problem("stream_lost", error, id=stream.id)
         for sock in socks:
-            _end(sock)
+            _shut_down(sock)
             sock.close()
         return lambda: None
     except BaseException:
@@ -163,22 +163,22 @@
         head = [(name.encode("latin-1"), value.encode("latin-1")) for name, value in stream.head]
         underway = host.endpoints().take_over(attempt, engine, head, stream.tail.encode("latin-1"))
     except (HttpError, OSError, UnicodeError) as error:
-        # The other process keeps it: nothing of it stays here.
+        # The other process keeps the stream.
         host.stream_handed_over(attempt)
         exchange.client.detach()
         engine.close()
         raise HandoverDataError("", str(error)) from error
     log("stream_taken", request=request.key, id=request.id)
 
-    def go() -> None:
+    def start() -> None:
         exchange.client.start_reading()
         host.endpoints().resume_stream(underway)
 
-    return go
+    return start
 
 
 def _sockets(descriptors: Sequence[int]) -> list[socket.socket]:
-    """Each descriptor's socket; OSError, and all of them are closed, where one is none."""
+    """A socket for each descriptor; OSError, with all descriptors closed, if one is not a socket."""
     socks: list[socket.socket] = []
     try:
         for number in descriptors:
--- a/spoolbarrow/net/diagnostics.py
+++ b/spoolbarrow/net/diagnostics.py
@@ -1,8 +1,7 @@
-"""The kinds of trouble that the log tells of: what each event means, its level, and what an operator can do.
+"""Diagnostic events of the log: the meaning and level of each, and a remedy for operators.
 
-Owns what a line's event stands for; the line itself is `log`'s, and what happened there is for whoever writes
-it. Lines of a request's attempts do not carry their remedy: there are many of them, and it is the same in
-each (`docs/operators/errors.md` has it).
+`log` writes the lines, and its callers supply the fields. Lines about a request's attempts omit the remedy,
+since there are many of them with the same remedy (`docs/operators/errors.md` lists it).
 """
 
 from __future__ import annotations
@@ -13,11 +12,11 @@
 
 
 class Diagnostic(Problem):
-    """An event of the log that tells of something wrong."""
+    """A log event that reports a problem."""
 
     event: ClassVar[str] = ""
     level: ClassVar[str] = "warning"
-    logs_remedy: ClassVar[bool] = True  # its lines carry the remedy
+    logs_remedy: ClassVar[bool] = True  # its lines include the remedy
 
 
 class BadConfig(Diagnostic):
@@ -25,7 +24,7 @@
 
     status, event, level = 2, "bad_config", "error"
     where = "the faulty key"
-    remedy = "Put right the key that `error` names and start it again; `spoolbarrow check` tells every fault."
+    remedy = "Correct the key that `error` names and restart; `spoolbarrow check` reports every fault."
 
 
 class ReloadFailed(Diagnostic):
@@ -33,97 +32,99 @@
 
     event, level = "reload_failed", "error"
     where = "the faulty key"
-    remedy = "Put right the key that `error` names and send SIGHUP again; what was acted on stays till then."
+    remedy = (
+        "Correct the key that `error` names and send SIGHUP again; the old files stay in force till then."
+    )
 
 
 class ReloadIgnored(Diagnostic):
-    """SIGHUP came while the router drains."""
+    """SIGHUP arrived while the router drains."""
 
     event, level = "reload_ignored", "info"
-    remedy = "Nothing: the process is ending; its successor reads the files as they are."
+    remedy = "Nothing: the process is ending, and its successor reads the current files."
 
 
 class Unexpected(Diagnostic):
-    """A fault of this program; what was under way has had its answer."""
+    """An internal error of this program; the request concerned was answered."""
 
     event, level = "unexpected", "error"
-    where = "`where`: the part that ran into it"
+    where = "`where`: the part in which it occurred"
     remedy = InternalError.remedy
 
 
 class Overdue(Diagnostic):
-    """The decisions left a request open past its deadline; the host answered it."""
+    """The router's decisions left a request open past its deadline; the host answered it."""
 
     event, level = "overdue", "error"
     where = "`request`"
-    remedy = "Report it with the lines of this request: it is a fault of this program."
+    remedy = "Report it with the log lines of this request: it is a fault of this program."
 
 
 class SendForUnknown(Diagnostic):
-    """The decisions sent a request that is no longer open; nothing went out."""
+    """The router's decisions sent a request that is no longer open; nothing was sent."""
 
     event, level = "send_for_unknown", "info"
     where = "`request`"
-    remedy = "Report it with the lines of this request: it is a fault of this program."
+    remedy = "Report it with the log lines of this request: it is a fault of this program."
 
 
 class BadEntry(Diagnostic):
-    """A line of discovery's list can't be used; the engine gets nothing."""
+    """An entry of discovery's list is invalid; the engine gets no requests."""
 
     event = "bad_entry"
     where = "`name`: the engine"
-    remedy = "Put the entry right in discovery: HOST:PORT; in_service, terminating or terminated."
+    remedy = "Correct the entry in discovery: HOST:PORT; in_service, terminating or terminated."
 
 
 class DrainHeld(Diagnostic):
-    """What is still open 3.9 s after a drain by hand: so many `connections`, the first of them in `held`."""
+    """The number of `connections` still open 3.9 s after an operator's drain, the first of them in `held`."""
 
     event, level = "drain_held", "info"
-    where = "`held`: each connection, its state, its request and the ms since"
-    remedy = "Report it, but for connections that are `answering` an old request: such answers run on."
+    where = "`held`: each connection, its state, its request and the age of the state in ms"
+    remedy = "Report it, except for connections `answering` an old request, whose responses may continue."
 
 
 class WatchBroken(Diagnostic):
-    """The watch on discovery ended or fell silent; it is asked for again, and the list stays as it was."""
+    """The watch on discovery ended or became unresponsive; it is restarted, and the list stays as it was."""
 
     event = "watch_broken"
     where = "`why`"
-    remedy = "If it repeats, see whether the named discovery runs and answers within `call_timeout_ms`."
+    remedy = "If it recurs, check that this discovery runs and answers within `call_timeout_ms`."
 
 
 class BadList(Diagnostic):
-    """Discovery's answer is no list that can be taken: `why` names the fault; the list stays as it was."""
+    """Discovery's answer is not a valid list: `why` names the fault; the list stays as it was."""
 
     event, level = "bad_list", "error"
-    where = "`why`; `index`: the version that is known"
+    where = "`why`; `index`: the version known here"
     remedy = (
-        "Put right what discovery or something before it answers; where its versions began anew, "
+        "Correct the answers of discovery or of a proxy before it; if its versions restarted, "
         "restart the routers."
     )
 
 
 class ListUnconfirmed(Diagnostic):
-    """Discovery has said nothing for 6 s: what it had to tell counts as told and is not known here."""
+    """Discovery was unresponsive for 6 s: it may have published updates that are not known here."""
 
     event = "list_unconfirmed"
     where = "`silent_ms`"
-    remedy = "See whether discovery runs and is reached from here; `list_confirmed` follows once it speaks."
+    remedy = "Check that discovery runs and is reachable; `list_confirmed` follows once it responds."
 
 
 class NotSent(Diagnostic):
-    """An attempt never reached its engine; it is tried elsewhere."""
+    """An attempt never reached its engine; the request is tried elsewhere."""
 
     event, logs_remedy = "not_sent", False
     where = "`endpoint`"
-    remedy = "Many at one engine: see whether it listens, and suspend it till it does."
+    remedy = "If there are many for one engine, check that it listens, and suspend it until it does."
 
 
 class Reset(Diagnostic):
-    """An engine's connection broke under an attempt, which may have run."""
+    """An engine's connection broke during an attempt, which may have run."""
 
     event, logs_remedy = "reset", False
     where = "`endpoint`"
-    remedy = "Many at one engine: look in its own log for restarts, and suspend it till it holds."
+    remedy = "If there are many for one engine, check its log for restarts, and suspend it till it is stable."
 
 
 class EndpointError(Diagnostic):
@@ -131,43 +132,43 @@
 
     event, logs_remedy = "endpoint_error", False
     where = "`endpoint`"
-    remedy = "Many at one engine: look in its own log for the status that is told, and suspend it."
+    remedy = "If there are many for one engine, check its log for the status reported, and suspend it."
 
 
 class Unreadable(Diagnostic):
-    """An engine's answer is spoilt; the attempt may have run."""
+    """An engine's answer is malformed; the attempt may have run."""
 
     event, logs_remedy = "unreadable", False
     where = "`endpoint`"
-    remedy = "Look at what is between router and engine, and at the engine's version; suspend it meanwhile."
+    remedy = "Check what is between router and engine, and the engine's version; suspend it meanwhile."
 
 
 class ProbeFailed(Diagnostic):
-    """A probe was cut off or malformed; silence alone is not told."""
+    """A probe's answer was cut off or malformed; a missing answer alone is not logged."""
 
     event, level, logs_remedy = "probe_failed", "info", False
     where = "`endpoint`"
-    remedy = "Many at one engine: see whether it offers its load report where the settings say."
+    remedy = "If there are many for one engine, check that it offers its load report where the settings say."
 
 
 class BadRequest(Diagnostic):
-    """A client's message is not HTTP as it is taken here; it was told so."""
+    """A client's request is not valid for this router; the client got an error response."""
 
     event, level, logs_remedy = "bad_request", "info", False
     where = "`why`"
-    remedy = "Have the client's owner put it right by README.md's table of answers."
+    remedy = "Have the client's owner correct it by README.md's table of answers."
 
 
 class NoRoomForRequest(Diagnostic):
-    """A request was refused since bodies or open requests are at their limit."""
+    """A request was refused because request bodies or open requests are at their limit."""
 
     event = "no_room"
     where = "`held` bytes, `open` requests"
-    remedy = "Give the router more of `limits.memory_mb`, or put another router beside it."
+    remedy = "Raise `limits.memory_mb`, or add another router."
 
 
 class AcceptPaused(Diagnostic):
-    """No client could be accepted for a moment."""
+    """No client could be accepted for a short time."""
 
     event = "accept_paused"
     where = "`why`"
@@ -175,29 +176,29 @@
 
 
 class NoRoomForClients(Diagnostic):
-    """Clients' connections were answered 503: others with requests under way had all the places."""
+    """Client connections were answered 503 because others with open requests took up all room."""
 
     event = "no_room_for_clients"
     where = "`refused`: how many since the last such line"
-    remedy = "Give the router more of `limits.sockets`, or put another one beside it."
+    remedy = "Raise `limits.sockets`, or add another router."
 
 
 class NoRoomForAttempts(Diagnostic):
-    """Attempts and probes were not sent: this router could open no more connections to engines.
+    """Attempts and probes were not sent because this router could open no more connections to engines.
 
-    Nothing is held against the engines; a request is tried elsewhere or refused.
+    This does not count against the engines; a request is tried elsewhere or refused.
     """
 
     event = "no_room_for_attempts"
     where = "`unsent`: how many since the last such line; `why`"
     remedy = (
-        "Give the router more of `limits.sockets`, with as high a limit of descriptors (`ulimit -n`) for "
-        "the process and enough of them on its machine, or put another router beside it."
+        "Raise `limits.sockets`, the process's limit of descriptors (`ulimit -n`) to at least the same, and "
+        "the machine's limit if needed, or add another router."
     )
 
 
 class FlowAcceptPaused(Diagnostic):
-    """No exporter's connection could be accepted for a moment."""
+    """No exporter's connection could be accepted for a short time."""
 
     event = "flow_accept_paused"
     where = "`why`"
@@ -205,7 +206,7 @@
 
 
 class StoreAcceptPaused(Diagnostic):
-    """No other member's connection could be accepted for a moment."""
+    """No connection of another store member could be accepted for a short time."""
 
     event = "store_accept_paused"
     where = "`member`, `why`"
@@ -213,7 +214,7 @@
 
 
 class ControlPaused(Diagnostic):
-    """No operator's call could be accepted for a moment."""
+    """No operator's call could be accepted for a short time."""
 
     event = "control_paused"
     where = "`why`"
@@ -221,46 +222,46 @@
 
 
 class ClientStalled(Diagnostic):
-    """A client that took nothing of its answer for `stall_ms` was cut off."""
+    """A client that read nothing of its answer for `stall_ms` was disconnected."""
 
     event = "client_stalled"
-    remedy = "Many: look at the network between clients and router, or raise `options.stall_ms`."
+    remedy = "If there are many, check the network between clients and router, or raise `options.stall_ms`."
 
 
 class Unasked(Diagnostic):
-    """An engine said something on an idle connection; its connections rest longer."""
+    """An engine sent data on an idle connection; its connections are reused only after a longer pause."""
 
     event = "unasked"
     where = "`endpoint`"
-    remedy = "Have the engine's owner see why it writes after the end of an answer."
+    remedy = "Have the engine's owner find out why it writes after the end of an answer."
 
 
 class LogDropped(Diagnostic):
-    """So many lines are missing here, since the log's reader took none."""
+    """Log lines are missing at this place because the log's reader was blocked."""
 
     event = "log_dropped"
-    where = "`lines`"
-    remedy = "See why what reads standard error stopped, or have it read into a file."
+    where = "`lines`: how many"
+    remedy = "Find out why the reader of standard error stopped, or redirect it to a file."
 
 
 class HandoverFailed(Diagnostic):
-    """Something did not pass between two processes of a router; serving goes on."""
+    """A handover between two processes of a router failed in part; serving continues."""
 
     event = "handover_failed"
     where = "`what`: folder, words, state, streams or stream"
-    remedy = "See that `$TMPDIR` can be written and that both processes have one name and version."
+    remedy = "Check that `$TMPDIR` is writable and that both processes have the same name and version."
 
 
 class WordLost(Diagnostic):
-    """A suspension that another process was told could not be kept here."""
+    """A suspension that another process was given could not be stored here."""
 
     event = "word_lost"
     where = "`engine`"
-    remedy = "Resume suspended engines that are gone, and suspend this one again."
+    remedy = "Resume suspended engines that were removed, and suspend this one again."
 
 
 class FailoverDropped(Diagnostic):
-    """More outcomes came in one period than failover weighs; the rest says nothing."""
+    """More outcomes came in one period than failover evaluates; the rest is ignored."""
 
     event, level = "failover_dropped", "info"
     where = "`outcomes`"
@@ -268,11 +269,11 @@
 
 
 class CollectorLost(Diagnostic):
-    """A flow collector can't be reached or written; records wait, up to the queue's bound."""
+    """A flow collector can't be reached or written; records are queued up to the limit."""
 
     event, level = "collector_lost", "info"
     where = "`collector`"
-    remedy = "See that the collector runs at this address, or that its directory can be written and has room."
+    remedy = "Check that the collector runs at this address, or that its directory is writable and has space."
 
 
 class ExporterLost(Diagnostic):
@@ -284,19 +285,19 @@
 
 
 class FlowMessageRefused(Diagnostic):
-    """An exporter's message breaks a rule of its format, which is named with the octet."""
+    """An exporter's message violates its format; the line names the rule and the octet."""
 
     event, level = "flow_message_refused", "info"
     where = "`exporter`, `octet`"
-    remedy = "See that the exporter speaks IPFIX or NetFlow v9, and give it the same enterprise number."
+    remedy = "Check that the exporter sends IPFIX or NetFlow v9, and give it the same enterprise number."
 
 
 class FlowMessageCut(Diagnostic):
-    """An exporter ended its connection inside a message."""
+    """An exporter closed its connection in the middle of a message."""
 
     event, level = "flow_message_cut", "info"
     where = "`exporter`"
-    remedy = "Look in the exporter's log for why it ended so; its records of that message are lost."
+    remedy = "Check the exporter's log for the reason; its records of that message are lost."
 
 
 class ShadowSpool(Diagnostic):
@@ -304,31 +305,31 @@
 
     event, level = "shadow_spool", "info"
     where = "`directory`"
-    remedy = "Make room in `shadow.directory`, and let this user write there."
+    remedy = "Free space in `shadow.directory`, and make it writable for this user."
 
 
 class StoreDisk(Diagnostic):
-    """A store member's disk failed: it takes no more part."""
+    """A store member's disk failed: the member stopped taking part."""
 
     event, level = "store_disk", "info"
     where = "`member`"
-    remedy = "Make room or change the disk, then start the member again: the others carry on meanwhile."
+    remedy = "Free space or replace the disk, then start the member again: the others continue meanwhile."
 
 
 class StoreMemberBehind(Diagnostic):
-    """A store member began with an older file than it had: it counts for nothing until it has caught up."""
+    """A store member started with an older file than before: it counts for no majority until caught up."""
 
     event, level = "store_member_behind", "info"
     where = "`member`, `told_by`"
-    remedy = "Leave it running: it catches up, and counts for nothing until a majority besides it runs."
+    remedy = "Leave it running: it catches up, but counts for no majority until a majority besides it runs."
 
 
 class StoreFrame(Diagnostic):
-    """What came from another store member can't be read; its connection was closed."""
+    """Data from another store member can't be decoded; its connection was closed."""
 
     event, level = "store_frame", "info"
     where = "`member`"
-    remedy = "Let only members of one version reach `--listen`, on a network of their own."
+    remedy = "Let only members of the same version reach `--listen`, on a network of their own."
 
 
 def _below(kind: type[Diagnostic]) -> dict[str, type[Diagnostic]]:
--- a/spoolbarrow/net/drain_log.py
+++ b/spoolbarrow/net/drain_log.py
@@ -1,7 +1,7 @@
-"""What drains do to clients' connections, told to the log and counted for the figures.
+"""Logs what drains do to client connections, and counts it for the metrics.
 
-Owns the form of those lines and their bound: so many a second at most, what is left out is counted and told
-with the next line. It decides nothing and waits for nothing.
+Defines the log events and limits their rate; omitted lines are counted and reported with the next line. Makes
+no decisions and never blocks.
 """
 
 from __future__ import annotations
@@ -14,29 +14,29 @@
 from spoolbarrow.net.drain_schedule import DrainCause
 from spoolbarrow.net.log import log
 
-LINES_A_SECOND = 50  # on single connections and requests: a crowd's would push the others' lines out
-MOST_NAMED = 20  # connections that are named in one line
+MAX_LINES_PER_S = 50  # about single connections and requests, which could crowd out other log lines
+MAX_LISTED = 20  # connections listed in one line
 
 
 class DrainCounts(Struct):
-    """Since the process began, while a drain was in force."""
+    """Counts since the start of the process, made while a drain was in force."""
 
-    taken: int = 0  # requests that were taken
-    refused: int = 0  # requests that were refused because of it
-    closed: int = 0  # clients' connections that ended
+    taken: int = 0  # requests accepted
+    refused: int = 0  # requests refused because of the drain
+    closed: int = 0  # client connections closed
 
 
 class HeldConnection(NamedTuple):
-    """A client's connection that is still open late in a drain."""
+    """A client connection that is still open late in a drain."""
 
     connection: int
     state: str  # idle, half_read, answering, told_to_go
-    request: str  # the client's name for the request under way
-    age_ms: int  # of that state
+    request: str  # the client's ID of the request in flight
+    age_ms: int  # time in that state
 
 
 class DrainLog:
-    """One process's drains, as they are told."""
+    """Writes the drain events of one process."""
 
     def __init__(self) -> None:
         self.counts = DrainCounts()
@@ -44,7 +44,7 @@
         self._written = self._left_out = 0
 
     def state(self, cause: DrainCause, state: str, after_ms: float, open_connections: int) -> None:
-        """A drain began, came to its next step or was taken back."""
+        """Log that a drain began, reached a step or was cancelled."""
         counts = self.counts
         log(
             "drain_state",
@@ -58,36 +58,36 @@
         )
 
     def request_taken(self, now: float, id: str, connection: int) -> None:
-        """A request came while a drain was in force, and is served."""
+        """Log a request that is served during a drain."""
         self.counts.taken += 1
         self._line(now, "drain_request", id=id, connection=connection, what="taken")
 
     def request_refused(self, now: float, id: str, connection: int) -> None:
-        """A request came too late in a drain, and is told so."""
+        """Log a request that came too late in a drain and is refused."""
         self.counts.refused += 1
         self._line(now, "drain_request", id=id, connection=connection, what="refused")
 
     def closed(self, now: float, connection: int, why: str, state: str) -> None:
-        """A client's connection ended while a drain was in force: why, and what it was doing."""
+        """Log a client connection closed during a drain, with the reason and its state."""
         self.counts.closed += 1
         self._line(now, "drain_closed", connection=connection, why=why, state=state)
 
     def held(self, cause: DrainCause, after_ms: float, connections: Sequence[HeldConnection]) -> None:
-        """These connections are still open when nothing but answers that run should be."""
-        named = [one._asdict() for one in connections[:MOST_NAMED]]
+        """Log the connections still open at a time when only running responses should be left."""
+        listed = [connection._asdict() for connection in connections[:MAX_LISTED]]
         log(
             "drain_held",
             cause=cause.value,
             after_ms=round(after_ms),
             connections=len(connections),
-            held=named,
+            held=listed,
         )
 
     def _line(self, now: float, event: str, **fields: object) -> None:
         second = int(now // 1000)
         if second != self._second:
             self._second, self._written = second, 0
-        if self._written == LINES_A_SECOND:
+        if self._written == MAX_LINES_PER_S:
             self._left_out += 1
             return
         self._written += 1
--- a/spoolbarrow/net/exchange.py
+++ b/spoolbarrow/net/exchange.py
@@ -1,4 +1,4 @@
-"""One request on a client's connection and its answer, as the host gives it."""
+"""One request on a client connection and its response: what the host uses to answer it."""
 
 from __future__ import annotations
 
@@ -17,60 +17,60 @@
 
 
 class Connection(Protocol):
-    """What an answer asks of its client's connection."""
+    """What an exchange needs of the client connection."""
 
     sock: socket.socket
     number: int
     declined: bool
 
     def disconnected(self) -> bool:
-        """Whether its client has closed, reset or half-closed it."""
+        """Whether the client has closed, reset or half-closed it."""
 
-    def must_end(self) -> bool:
-        """Whether it ends with the answer under way, as far as is known now."""
+    def must_close(self) -> bool:
+        """Whether to close it after this response, as known now."""
 
     def write(self, pieces: list[bytes]) -> None:
-        """Write some of an answer; blocks while the client is slow."""
+        """Write a part of a response; blocks while the client is slow."""
 
-    def count(self) -> None:
-        """Keep the account of what it holds in memory."""
+    def update_held_bytes(self) -> None:
+        """Update the account of the bodies it holds in memory."""
 
-    def served(self, closing: bool) -> None:
-        """The answer under way is written."""
+    def response_written(self, closing: bool) -> None:
+        """Go on after a complete response."""
 
-    def break_off(self) -> None:
-        """End it with what was written as the last."""
+    def abort_response(self) -> None:
+        """Close it after what was written."""
 
-    def lost(self) -> None:
-        """Its client has gone, or must go."""
+    def abandon(self) -> None:
+        """Close it: the client has disconnected or has to be dropped."""
 
     def pause_reading(self) -> bool:
-        """Stop reading, if its client has sent nothing that is not read and answered; whether it did."""
+        """Stop reading, unless something the client sent is unanswered; whether it stopped."""
 
     def start_reading(self) -> None:
-        """Begin, or begin again, to read what its client sends."""
+        """Start or resume reading."""
 
     def detach(self) -> None:
-        """It is another process's now."""
+        """Leave it to another process."""
 
 
-def retry_after(ms: float) -> bytes:
-    """The field that says when to come back."""
+def retry_after_header(ms: float) -> bytes:
+    """The Retry-After header field."""
     return b"Retry-After: %.3f" % (ms / 1000) if ms > 0 else b"Retry-After: 0"
 
 
 class Exchange:
-    """One request and its answer on a client's connection: the host's Answer."""
+    """One request and its response on a client connection; implements `request.Answer`."""
 
     def __init__(self, client: Connection, message: Message) -> None:
         self.client, self.message = client, message
         self.request: Request | None = None
         self._begun = False
-        self._broken_off = False
+        self._aborted = False
         self._close = not message.keep_alive
 
     def client_address(self) -> str:
-        """The client's address; empty where it has gone."""
+        """The client's address; empty if it has disconnected."""
         try:
             address: str = self.client.sock.getpeername()[0]
         except OSError:
@@ -82,41 +82,41 @@
         return self.client.disconnected()
 
     def fail_fast(self, retry_after_ms: float, header: bytes = b"") -> None:
-        """Declined: 503, with when to come back."""
-        after = retry_after(retry_after_ms)
-        self.whole(503, "fail-fast: try again later", *((after, header) if header else (after,)))
+        """Answer 503 with Retry-After."""
+        retry = retry_after_header(retry_after_ms)
+        self.respond(503, "fail-fast: try again later", *((retry, header) if header else (retry,)))
 
     def fail(self, late: bool) -> None:
-        """Failed: 504 at the deadline, else 502."""
-        self.whole(504 if late else 502, "failed")
+        """Answer 504 at the deadline, else 502."""
+        self.respond(504 if late else 502, "failed")
 
     def reject(self) -> None:
-        """The endpoint can't use it: 400."""
+        """Answer 400: the endpoint can't process the request."""
         self.client.declined = True
-        self.whole(400, "no endpoint can use this request")
+        self.respond(400, "no endpoint can use this request")
 
     def refuse(self, fault: HttpError) -> None:
-        """The message is not taken: its client is told why, and its connection ends."""
+        """Answer a request that is not accepted with its error, and close the connection."""
         self.client.declined = True
         log("bad_request", status=fault.status, why=fault.reason)
-        self.whole(fault.status, fault.reason, *fault.headers)
+        self.respond(fault.status, fault.reason, *fault.headers)
 
-    def whole(self, status: int, reason: str, *headers: bytes) -> None:
-        """A whole answer, written by a greenlet of its own: the caller must not wait for a slow client."""
+    def respond(self, status: int, reason: str, *headers: bytes) -> None:
+        """Write a complete response in its own greenlet, so that a slow client does not block the caller."""
         body = orjson.dumps({"error": {"message": reason, "code": status}}) if status != 200 else b"{}"
-        closing = self._closing()
+        closing = self._is_closing()
         pieces = http1.response_pieces(status, body, closing, *headers)
         gevent.spawn(self._write_whole, pieces, closing)
 
     def forward(self, parts: list[bytes]) -> None:
-        """Events of the stream, as they come; blocks while the client is slow."""
+        """Write events of the stream; blocks while the client is slow."""
         pieces = []
         if not self._begun:
             self._begun = True
-            self.message.body = b""  # nothing more is sent for it, and a stream may be long
-            self.client.count()
+            self.message.body = b""  # free memory: no further attempt needs it, and a stream may be long
+            self.client.update_held_bytes()
             pieces.append(STREAM_HEAD)
-            if self._closing() or not self.message.accepts_chunked:
+            if self._is_closing() or not self.message.accepts_chunked:
                 self._close = True
                 pieces.append(b"Connection: close\r\n")
             pieces.append(b"Transfer-Encoding: chunked\r\n\r\n" if self.message.accepts_chunked else b"\r\n")
@@ -125,38 +125,38 @@
         try:
             self.client.write(pieces)
         except OSError:
-            if not self._broken_off:  # else it says nothing of the client, which may still take in the rest
-                self.client.lost()
+            if not self._aborted:  # after an abort, the client may still read the rest
+                self.client.abandon()
             raise
 
     def end(self) -> None:
-        """The last chunk."""
+        """Write the last chunk."""
         pieces = [b"0\r\n\r\n"] if self.message.accepts_chunked else []
         gevent.spawn(self._write_whole, pieces, self._close)
 
-    def closes(self) -> bool:
-        """Whether its client was told that the connection ends with this answer."""
+    def closes_connection(self) -> bool:
+        """Whether the response announced that the connection closes after it."""
         return self._close
 
-    def begun(self) -> None:
-        """Another process of this router has written its head already."""
+    def mark_begun(self) -> None:
+        """Note that another process of this router has already written the response head."""
         self._begun = True
 
     def abort(self) -> None:
-        """No last chunk: the connection's end tells the client that the stream broke."""
-        self._broken_off = True
-        self.client.break_off()
+        """Close without the last chunk, which tells the client that the stream is incomplete."""
+        self._aborted = True
+        self.client.abort_response()
 
-    def _closing(self) -> bool:
-        """Whether the connection ends with this answer: never before what was read behind it is answered."""
-        return self._close or self.client.must_end()
+    def _is_closing(self) -> bool:
+        """Whether the connection closes after this response."""
+        return self._close or self.client.must_close()
 
     def _write_whole(self, pieces: list[bytes], closing: bool) -> None:
         try:
             self.client.write(pieces)
         except OSError:
-            return self.client.lost()
+            return self.client.abandon()
         except Exception as error:
             log_exception("answer", error)
-            return self.client.lost()
-        self.client.served(closing)
+            return self.client.abandon()
+        self.client.response_written(closing)
--- a/spoolbarrow/net/graceful_close.py
+++ b/spoolbarrow/net/graceful_close.py
@@ -1,7 +1,7 @@
-"""The end of a connection whose last answer is written: what its peer may ask meanwhile is not read.
+"""Closes a connection after its last response without reading further requests.
 
-Closed over bytes that were not read, the kernel resets the connection. What the peer's machine has
-acknowledged stays its peer's to read; what it has not is lost. So the close waits for that.
+The kernel resets a connection that is closed with unread input. The peer can then still read what its host
+has acknowledged, but the rest is lost; so the close waits for the acknowledgement.
 """
 
 from __future__ import annotations
@@ -13,17 +13,17 @@
 
 from spoolbarrow.net import http1, tcpinfo
 
-ENDED = select.POLLRDHUP | select.POLLHUP | select.POLLERR  # what poll tells of a peer's end
-DISCARD_PAUSE_S = 0.001  # between reads of what a peer still sends of a message that was refused
-LOOK_S = 0.02  # between looks at a peer that has asked more
-LOOKS = 15  # of those, after it has acknowledged all: it may still be sending, and then fails to
+ENDED = select.POLLRDHUP | select.POLLHUP | select.POLLERR  # poll events of a closed or reset connection
+DISCARD_PAUSE_S = 0.001  # between reads of the rest of a refused message
+POLL_S = 0.02  # between checks of a peer that has sent another request
+MAX_POLLS = 15  # after everything is acknowledged; a peer that is still sending then gets a reset
 
 
 def await_peer_close(sock: socket.socket, view: memoryview, rest: int | None, longest_s: float) -> None:
-    """Wait until the connection may be closed; OSError where it is reset or was closed here.
+    """Wait until the connection may be closed; OSError if it was reset or closed here.
 
-    Of what comes, only the `rest` of a refused message is read and thrown away (None: nothing tells its end):
-    a peer that writes all of it before it reads would else never come to its answer.
+    Reads and discards only the `rest` of a refused message (None: of unknown length), because some peers
+    write a whole message before they read the response.
     """
     with gevent.Timeout(longest_s, False):  # type: ignore[arg-type]
         _discard(sock, view, rest)
@@ -42,7 +42,7 @@
 
 
 def _leave_unread(sock: socket.socket) -> None:
-    looks = 0
-    while looks < LOOKS and not http1.poll_now(sock, ENDED) & ENDED:
-        gevent.sleep(LOOK_S)
-        looks += not tcpinfo.has_unacknowledged(sock)
+    polls = 0
+    while polls < MAX_POLLS and not http1.poll_now(sock, ENDED) & ENDED:
+        gevent.sleep(POLL_S)
+        polls += not tcpinfo.has_unacknowledged(sock)
--- a/spoolbarrow/net/inbound.py
+++ b/spoolbarrow/net/inbound.py
@@ -1,4 +1,4 @@
-"""The listener and its clients' connections: accepted, bounded in number, closed when idle, drained."""
+"""The client listener: accepts connections, limits their number, closes idle ones and drains them."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 from spoolbarrow.config import Config
 from spoolbarrow.net import http1, tcpinfo
-from spoolbarrow.net.accepting import NO_ROOM, next_connection
+from spoolbarrow.net.accepting import RESOURCE_ERRNOS, next_connection
 from spoolbarrow.net.client import ClientConnection, Exchange
 from spoolbarrow.net.drain_schedule import DrainCause, DrainStep, operator_schedule, shutdown_schedule
 from spoolbarrow.net.drainer import Drainer
@@ -21,44 +21,44 @@
 from spoolbarrow.net.observers import CloseReason
 from spoolbarrow.net.overflow import Overflow
 
-RECV = 65536  # bytes read at once, into one buffer: they are parsed before any other greenlet runs
-BACKLOG = 4096  # connections that the kernel holds for this process, as far as its own limit goes
-SETTLED_MS = 100.0  # a connection idle so long may be closed for one that waits
-HALF_MS = 500.0  # and a request half read so long refused for it
-PATIENCE_MS = 2000.0  # a connection that has waited so long for room is told that there is none,
-PATIENCE_SHARE = 0.5  # or for this share of the shortest deadline: its client waits no longer than that
-ROOM_S = 0.02  # between looks for room
-ROOM_AT_ONCE = 16  # connections closed at once for those that wait
-ACCEPT_AT_ONCE, ACCEPT_PAUSE_S = 8, 0.002  # a burst of connections leaves time for those that are served
-SWEEP_S = 0.2
-DRAIN_S = 0.02  # between looks at whether the last client of a process that ends has gone
-ABLE_S = 0.01  # between looks at whether this process can serve yet
+RECV_BYTES = 65536  # one buffer serves all connections: data is parsed before another greenlet runs
+BACKLOG = 4096  # pending connections in the kernel, which may apply a lower limit
+SETTLED_MS = 100.0  # minimum idle time before a connection may be closed to make room for a new one
+HALF_READ_MS = 500.0  # minimum age of a half-read request before it is refused to make room
+ROOM_WAIT_MS = 2000.0  # a new connection that waited this long for room is answered 503,
+ROOM_WAIT_SHARE = 0.5  # or after this share of the shortest deadline, as its client waits no longer
+ROOM_POLL_S = 0.02  # between checks for room
+CLOSE_BATCH = 16  # connections closed at a time to make room
+ACCEPT_BATCH, ACCEPT_PAUSE_S = 8, 0.002  # a pause after each batch, so that a burst does not block serving
+SWEEP_INTERVAL_S = 0.2
+DRAIN_POLL_S = 0.02  # between checks whether all clients of an ending process have disconnected
+READY_POLL_S = 0.01  # between checks whether this process can serve yet
 
 
 class Inbound:
-    """The listener and the clients' connections."""
+    """The client listener and its connections."""
 
     def __init__(self, config: Config, host: Host) -> None:
         self.config, self.host = config, host
         self.drainer = Drainer(self)
-        self.held_bytes = 0  # bytes of bodies in memory
-        self.buffer = bytearray(RECV)
+        self.held_bytes = 0  # request bodies in memory
+        self.buffer = bytearray(RECV_BYTES)
         self._clients: set[ClientConnection] = set()
         self._overflow = Overflow()
-        self._waiting: dict[socket.socket, socket.socket] = {}  # by listener: accepted, and waiting for room
-        self._out = False  # of descriptors, as far as is known
+        self._waiting: dict[socket.socket, socket.socket] = {}  # by listener: accepted, waits for room
+        self._out_of_descriptors = False  # the last accept failed
         self._listener: socket.socket | None = None
-        self._inherited = False  # other processes accept from it, too
-        self._accepts = False  # this one does, or will whether it can serve or not
+        self._inherited = False  # other processes accept from the same listener
+        self._accepts = False  # this process accepts, or will even if it can't serve
         self._accepting: gevent.Greenlet[[socket.socket, bool], None] | None = None
-        # By listener that is no longer listened at: they accept the last that have come.
-        self._leaving: dict[socket.socket, gevent.Greenlet[..., None]] = {}
+        # By listener that is being closed: greenlets that accept the remaining connections.
+        self._closing_listeners: dict[socket.socket, gevent.Greenlet[..., None]] = {}
         self._sweeper: gevent.Greenlet[[], None] | None = None
 
     def start(self, inherited: socket.socket | None = None, alone: bool = True) -> None:
-        """Listen, or accept from a socket that listens already; OSError where the address can't be had.
+        """Listen, or accept from an inherited listener; OSError if the address is unavailable.
 
-        Where another process accepts from it (`alone` is false), this one begins once it can serve.
+        If another process accepts from it too (`alone` is false), this one starts once it can serve.
         """
         if inherited is None:
             self._listen(self.config)
@@ -68,7 +68,7 @@
         self._sweeper = gevent.spawn(self._sweep)
 
     def apply(self, config: Config) -> None:
-        """Go by a new configuration; OSError, and nothing is changed, where its address can't be had."""
+        """Apply a new configuration; OSError, with nothing changed, if its address is unavailable."""
         if config.listen != self.config.listen:
             self._listen(config)
         self.config = config
@@ -80,7 +80,7 @@
         self._accepting = gevent.spawn(self._accept, listener, True)
 
     def ready(self) -> bool:
-        """Whether clients may be sent here."""
+        """Whether new clients should be sent to this router."""
         drains = self.drainer.state
         ending = drains.process_ending() and not drains.has_successor()
         return (
@@ -90,68 +90,67 @@
         )
 
     def operator_drained(self) -> bool:
-        """Whether an operator drained this router by hand."""
+        """Whether an operator has drained this router."""
         return self.drainer.state.by_operator()
 
     def can_serve(self) -> bool:
-        """Whether this process could serve; also where operators' words keep clients or endpoints from it."""
+        """Whether this process could serve, operator overrides on it or its endpoints aside."""
         return not self.drainer.state.process_ending() and self.host.destinations.any_listed_serving()
 
     def begin_operator_drain(self, passed_ms: float = 0.0) -> None:
-        """Have no clients until `activate`, as an operator said, or said so long ago.
+        """Drain on an operator's command, given `passed_ms` ago, until `activate`.
 
-        The front is told so, and answers end connections. What was taken is answered, and long streams run
-        on. It is not the end: that is `drain`.
+        The load balancer in front is informed, and connections are closed after their responses. Accepted
+        requests are answered and long streams continue. The process goes on; `drain` is for its end.
         """
         self.drainer.begin(DrainCause.OPERATOR, operator_schedule(self.config), passed_ms)
 
     def activate(self) -> None:
-        """Take clients again, as an operator said."""
+        """End an operator's drain: accept clients again."""
         self.drainer.cancel(DrainCause.OPERATOR)
 
     def drain(self, pass_on: Callable[[ClientConnection], bool] | None = None) -> None:
-        """Answer what was taken and what still comes within the grace, then close what is idle.
-
-        Clients may have nowhere else to go while routers are restarted one after the other, so those that
-        have a connection may use it for a while after new ones go elsewhere; not where a stream that SIGKILL
-        cuts off is lost to its client: what would be taken then is refused.
-        A stream that outlasts the grace would break at SIGKILL, when the next router may be draining too:
-        its client is let go early, while there is another one to go on with. For the same reason nothing
-        is left without an answer. Where nobody asks for the rest, a stream runs on as long as its client
-        takes it in.
-        Where another process accepts from the same socket, the router goes on: nothing more is accepted here,
-        and `pass_on` hands idle connections to that process. One that it does not take is ended as else.
+        """Drain for the end of the process: answer requests until the grace period is over, then close.
+
+        During a rolling restart of the routers clients may have no other router, so existing connections may
+        be used for a while after new ones go elsewhere. Not if clients can't resume a stream that SIGKILL
+        breaks: then requests are refused from that point.
+        A stream that outlasts the grace period would break at SIGKILL, when the next router may be draining
+        too; its client is disconnected earlier, while another router can resume the stream. For the same
+        reason no request is left unanswered. If streams can't be resumed, they run while the client reads.
+        If another process accepts from the same socket, nothing more is accepted here, and `pass_on` hands
+        idle connections to that process; those that it rejects are closed as usual.
         """
-        succeeded = pass_on is not None
-        times = shutdown_schedule(self.config, succeeded)
-        self.drainer.begin(DrainCause.SUCCESSOR if succeeded else DrainCause.SIGTERM, times)
+        has_successor = pass_on is not None
+        times = shutdown_schedule(self.config, has_successor)
+        self.drainer.begin(DrainCause.SUCCESSOR if has_successor else DrainCause.SIGTERM, times)
         gevent.sleep(times.accept_ms / 1000)
         self._stop_listening()
-        passing = None if pass_on is None else gevent.spawn(self._pass_idle, pass_on)
-        while self._clients or self._leaving:
-            gevent.sleep(DRAIN_S)
-        if passing is not None:
-            passing.kill()
+        handover = None if pass_on is None else gevent.spawn(self._hand_over_idle, pass_on)
+        while self._clients or self._closing_listeners:
+            gevent.sleep(DRAIN_POLL_S)
+        if handover is not None:
+            handover.kill()
 
-    def _pass_idle(self, pass_on: Callable[[ClientConnection], bool]) -> None:
-        """Hand idle connections on until one is not taken.
+    def _hand_over_idle(self, pass_on: Callable[[ClientConnection], bool]) -> None:
+        """Hand over idle connections until one is rejected.
 
-        Not in the drain's own loop: a process that does not answer must not hold up its clock.
+        Apart from the drain's loop, whose timing must not depend on an unresponsive process.
         """
         try:
             while all(
-                pass_on(client) for client in list(self._clients) if client.idle() and not client.ending
+                pass_on(client) for client in list(self._clients) if client.idle() and not client.lingering
             ):
-                gevent.sleep(DRAIN_S)
+                gevent.sleep(DRAIN_POLL_S)
         finally:
-            self.drainer.pass_nothing_more()
+            self.drainer.stop_idle_handover()
 
     def close(self) -> None:
-        """Drop everything at once."""
+        """Close all listeners and connections immediately."""
         self.drainer.close()
         running = (self._accepting, self._sweeper)
-        listeners = [*self._leaving, *([self._listener] if self._listener is not None else [])]
-        gevent.killall([*(each for each in running if each is not None), *self._leaving.values()])
+        listeners = [*self._closing_listeners, *([self._listener] if self._listener is not None else [])]
+        gevent.killall([*(each for each in running if each is not None), *self._closing_listeners.values()])
         for sock in (*listeners, *self._waiting.values()):
             sock.close()
         self._overflow.close()
@@ -159,171 +158,170 @@
             client.close(CloseReason.ENDED)
 
     def adopt_idle(self, sock: socket.socket) -> ClientConnection:
-        """A connection that another process of this router accepted; nothing is read yet."""
+        """Adopt an idle connection from another process of this router; does not read from it yet."""
         client = ClientConnection(self, sock)
-        client.fresh = False
+        client.is_new = False
         self._clients.add(client)
         return client
 
     def adopt_stream(self, sock: socket.socket, chunks: bool, closing: bool) -> Exchange:
-        """A connection on which another process of this router has begun an answer; nothing is read yet."""
+        """Adopt a connection on which another process of this router began a response; no read yet."""
         client = self.adopt_idle(sock)
         client.exchange = Exchange(client, Message(accepts_chunked=chunks, keep_alive=not closing))
-        client.exchange.begun()
+        client.exchange.mark_begun()
         return client.exchange
 
     def clients(self) -> Collection[ClientConnection]:
-        """Clients' connections that are open."""
+        """The open client connections."""
         return self._clients
 
     def connection_closed(self, client: ClientConnection) -> None:
-        """A client's connection is closed."""
+        """Forget a closed client connection."""
         self._clients.discard(client)
 
     def _accept(self, listener: socket.socket, at_once: bool) -> None:
         accepted = 0
         while not (at_once or self.can_serve()):
-            gevent.sleep(ABLE_S)
+            gevent.sleep(READY_POLL_S)
         self._accepts = True
         while True:
-            self._take(listener)
+            self._accept_next(listener)
             accepted += 1
-            if accepted % ACCEPT_AT_ONCE == 0:
+            if accepted % ACCEPT_BATCH == 0:
                 gevent.sleep(ACCEPT_PAUSE_S)
 
-    def _take(self, listener: socket.socket) -> None:
-        """The next connection that comes: taken as soon as there is room, or told that there is none.
+    def _accept_next(self, listener: socket.socket) -> None:
+        """Accept the next connection and serve it once there is room, or answer 503.
 
-        BlockingIOError where the listener does not wait and none has come. Nobody waits long: the one in
-        front is told first, and where it came long ago those behind it have waited hardly less.
+        BlockingIOError if the listener is non-blocking and none is pending. Connections are handled in order:
+        if the first one has waited too long, those behind it have waited nearly as long.
         """
-        sock = next_connection(listener, self._cannot_accept)
-        self._out = False
-        self._seat(listener, sock)
+        sock = next_connection(listener, self._accept_failed)
+        self._out_of_descriptors = False
+        self._serve_when_room(listener, sock)
 
-    def _seat(self, listener: socket.socket, sock: socket.socket) -> None:
-        """Serve a connection as soon as there is room, or tell it that there is none."""
+    def _serve_when_room(self, listener: socket.socket, sock: socket.socket) -> None:
+        """Serve a connection as soon as there is room, or answer 503."""
         self._waiting[listener], since = sock, self.host.now()
         while len(self._clients) >= self.config.max_inbound:
             if self._make_room():
                 continue
             waited = max(self.host.now() - since, tcpinfo.last_received_ms(sock))
-            # Late in a drain it would be refused all the same: no place is waited for.
-            if waited >= self._patience_ms() or self.drainer.state.reached(
+            # Late in a drain it would be refused anyway, so it does not wait.
+            if waited >= self._room_wait_ms() or self.drainer.state.reached(
                 DrainStep.CLOSE_ALL, self.host.now()
             ):
                 del self._waiting[listener]
                 return self._overflow.refuse(sock, self.host.now())
-            gevent.sleep(ROOM_S)
+            gevent.sleep(ROOM_POLL_S)
         del self._waiting[listener]
         self._admit(sock)
 
-    def _patience_ms(self) -> float:
+    def _room_wait_ms(self) -> float:
         shortest = min(cls.deadline_ms for cls in self.config.settings.classes)
-        return min(PATIENCE_MS, PATIENCE_SHARE * shortest)
+        return min(ROOM_WAIT_MS, ROOM_WAIT_SHARE * shortest)
 
-    def _cannot_accept(self, error: OSError) -> None:
-        """Those waiting to be accepted wait on; the log must not be filled."""
-        if error.errno in NO_ROOM:
+    def _accept_failed(self, error: OSError) -> None:
+        """Make room if resources ran out; logs only the first of several failures in a row."""
+        if error.errno in RESOURCE_ERRNOS:
             self._make_room()
-        if not self._out:
-            self._out = True
+        if not self._out_of_descriptors:
+            self._out_of_descriptors = True
             log("accept_paused", why=str(error))
 
     def _admit(self, sock: socket.socket) -> None:
         try:
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             waited = tcpinfo.last_received_ms(sock)
-        except OSError:  # its client has gone
+        except OSError:  # the client has disconnected
             return sock.close()
         sock.settimeout(None)
         client = ClientConnection(self, sock)
-        client.since -= waited  # in the kernel's queue: a silent one has had that time already
+        client.since -= waited  # time spent in the kernel's queue counts towards the idle time
         self._clients.add(client)
         client.start_reading()
 
     def _stop_listening(self) -> None:
-        """Accept nothing that comes from now on, but for what another process does not; never waits.
+        """Stop accepting, except for connections that no other process accepts; never blocks.
 
-        An inherited listener from which this process has not begun to accept is another process's still.
+        An inherited listener from which this process never accepted is left to the other process.
         """
         if self._accepting is not None and self._listener is not None:
             takes_last = self._accepts and not self.drainer.state.has_successor()
             self._accepting.kill(block=False)
-            self._leaving[self._listener] = gevent.spawn(
-                self._let_go, self._listener, self._inherited, self._accepting, takes_last
+            self._closing_listeners[self._listener] = gevent.spawn(
+                self._close_listener, self._listener, self._inherited, self._accepting, takes_last
             )
             self._accepting = None
 
-    def _let_go(
+    def _close_listener(
         self,
         listener: socket.socket,
         inherited: bool,
         accepting: gevent.Greenlet[[socket.socket, bool], None],
         takes_last: bool,
     ) -> None:
-        """Guards requests on connections that the kernel has accepted: a listener's end resets them."""
+        """Close a listener after serving the connections in its queue, which closing it would reset."""
         try:
             accepting.join()
             waiting = self._waiting.get(listener)
             if waiting is not None:
-                self._seat(listener, waiting)
+                self._serve_when_room(listener, waiting)
             if not takes_last:
                 return
             listener.settimeout(0.0)
             with suppress(BlockingIOError):
                 while True:
-                    self._take(listener)
-            # One that was inherited stays as long as the process: closed here, the others' would still wake
-            # this one's event loop for each connection.
+                    self._accept_next(listener)
+            # An inherited listener stays open: after a close here, the other processes' descriptor would
+            # still wake this event loop for each connection.
             if not inherited:
                 listener.close()
         finally:
-            del self._leaving[listener]
+            del self._closing_listeners[listener]
 
     def _make_room(self) -> bool:
-        """Close what has longest had nothing under way: first those that have their last answer.
+        """Close connections without a request: lingering ones first, then unused ones, oldest first.
 
-        Then those that never asked anything, the oldest first. Where there are none, requests that are still
-        half read are refused, which makes room soon.
+        If there are none, requests that are still half read are refused, which makes room soon.
         """
-        # Not one just opened or just used: its next request is likely on its way. Nor one that has not taken
-        # in its answer: what crosses the close would have the kernel reset the connection under that.
+        # Not connections just opened or used, whose next request is likely on its way; nor those with
+        # unacknowledged data, which a reset discards if a request crosses the close.
         now = self.host.now()
-        settled = [c for c in self._clients if c.since < now - SETTLED_MS and (c.ending or c.idle())]
-        settled.sort(key=lambda c: (not c.ending, not c.fresh, c.since))
-        # The kernel is asked of few, and just before each is closed.
-        leave = islice((c for c in settled if c.answered() and not c.has_unread()), ROOM_AT_ONCE)
+        settled = [c for c in self._clients if c.since < now - SETTLED_MS and (c.lingering or c.idle())]
+        settled.sort(key=lambda c: (not c.lingering, not c.is_new, c.since))
+        # Lazy: the sockets' state is checked for few connections, each just before its close.
+        closable = islice((c for c in settled if c.all_acknowledged() and not c.has_unread()), CLOSE_BATCH)
         closed = 0
-        for client in leave:
+        for client in closable:
             client.close(CloseReason.ROOM)
             closed += 1
         if not closed:
-            for client in [c for c in self._clients if c.since < now - HALF_MS]:
+            for client in [c for c in self._clients if c.since < now - HALF_READ_MS]:
                 client.refuse_half_read(self.config.settings.max_retry_after_ms)
         return closed > 0
 
     def _sweep(self) -> None:
         while True:
-            gevent.sleep(SWEEP_S)
+            gevent.sleep(SWEEP_INTERVAL_S)
             try:
                 self._overflow.sweep(self.host.now())
                 self._close_overdue()
-            except Exception as error:  # without this loop, silent connections would take all the room
+            except Exception as error:  # the loop must go on, or idle connections would take all room
                 log_exception("sweep", error)
 
     def _close_overdue(self) -> None:
-        """Close connections that stood idle too long, or whose request never became whole."""
+        """Close connections that were idle or stalled too long, or whose request stayed incomplete."""
         options, now = self.config.options, self.host.now()
-        for client in [c for c in self._clients if c.stalled(now - options.stall_ms)]:
+        for client in [c for c in self._clients if c.write_stalled(now - options.stall_ms)]:
             log("client_stalled")
             client.close()
-        # One that was told to go and neither goes nor sends anything: its reader would wait for ever.
-        for client in [c for c in self._clients if c.ending and now - c.since > options.linger_ms]:
+        # A lingering client that neither closes nor sends: its reader would wait forever.
+        for client in [c for c in self._clients if c.lingering and now - c.since > options.linger_ms]:
             client.close()
-        for client in [c for c in self._clients if not (c.exchange or c.ending or c.reading_paused())]:
-            used = client.idle() and not client.fresh
+        for client in [c for c in self._clients if not (c.exchange or c.lingering or c.reading_paused())]:
+            used = client.idle() and not client.is_new
             limit = options.keep_alive_ms if used else options.head_timeout_ms
-            # Never one of whose request more has come in, or its beginning: its reader runs next.
+            # Not if unread data has arrived: the reader runs next.
             if now - client.since > limit and not client.has_unread():
-                client.overdue()
+                client.time_out()
--- a/spoolbarrow/net/json_objects.py
+++ b/spoolbarrow/net/json_objects.py
@@ -1,6 +1,6 @@
-"""JSON objects in a stream of bytes, whole ones and the empty lines between them; pure, no I/O.
+"""Splits a byte stream into JSON objects and the empty lines between them; performs no I/O.
 
-An object may span lines, come in any pieces, and ends with its last bracket. What it means is left to others.
+An object may span lines, arrives in pieces of any size and ends with its closing bracket. It is not decoded.
 """
 
 from __future__ import annotations
@@ -15,25 +15,25 @@
 
 
 class JsonObjectSplitter:
-    """Cuts a stream into messages of at most `most` bytes."""
+    """Splits a stream into JSON objects of at most `max_bytes`."""
 
     def __init__(self, max_bytes: int) -> None:
-        self._most = max_bytes
-        self._pending = b""  # of what has begun, or of a line without one
-        self._depth = self._skip = 0  # brackets open; bytes to come that an escape takes with it
+        self._max_bytes = max_bytes
+        self._pending = b""  # of an unfinished object, or of a line without an object
+        self._depth = self._skip = 0  # open brackets; bytes to skip in the next data because of an escape
         self._in_text = False
-        self._ended = False  # an object ended on this line: its end is no empty line
+        self._ended = False  # an object ended on this line, so its line end is no empty line
 
     def end(self) -> None:
-        """The stream has ended: HttpError 502 where it did so inside an object."""
+        """Handle the end of the stream; HttpError 502 if it is inside an object."""
         if self._depth:
-            raise HttpError(502, "an object that is torn")
+            raise HttpError(502, "incomplete JSON object")
 
     def feed(self, data: bytes) -> Iterator[bytes]:
-        """Each object that is whole now, and b"" for each empty line between objects.
+        """Yield each complete object, and b"" for each empty line between objects.
 
-        Then, so that what is whole before it is had, HttpError 502 for what is neither or an object that is too
-        long. To be gone through to its end before the next call.
+        Raises HttpError 502 for other data or too long an object, after yielding what is complete before it.
+        The iterator must be exhausted before the next call.
         """
         start = 0
         skip, self._skip = self._skip, 0
@@ -49,7 +49,7 @@
                     self._in_text = False
             elif mark in _OPEN:
                 if not self._depth:
-                    self._blank(data[start:place])
+                    self._require_blank(data[start:place])
                     start = place
                 self._depth += 1
             elif self._depth:
@@ -58,12 +58,12 @@
                 elif mark in _CLOSE:
                     self._depth -= 1
                     if not self._depth:
-                        whole = self._pending + data[start : place + 1]
-                        self._guard(len(whole))
+                        found = self._pending + data[start : place + 1]
+                        self._check_size(len(found))
                         self._pending, start, self._ended = b"", place + 1, True
-                        yield whole
+                        yield found
             elif mark == _LINE:
-                self._blank(data[start:place])
+                self._require_blank(data[start:place])
                 empty = not self._ended
                 start, self._ended = place + 1, False
                 if empty:
@@ -73,15 +73,15 @@
         self._skip = max(0, skip - len(data))
         self._pending += data[start:]
         if not self._depth:
-            self._blank(b"")
-        self._guard(len(self._pending))
+            self._require_blank(b"")
+        self._check_size(len(self._pending))
 
-    def _guard(self, size: int) -> None:
-        if size > self._most:
+    def _check_size(self, size: int) -> None:
+        if size > self._max_bytes:
             raise HttpError(502, "line too long")
 
-    def _blank(self, rest: bytes) -> None:
-        """What lies outside objects says nothing, and is not kept."""
+    def _require_blank(self, rest: bytes) -> None:
+        """Discard blanks outside objects; HttpError 502 for anything else."""
         if (self._pending + rest).strip():
             raise HttpError(502, "neither an object nor an empty line")
         self._pending = b""
--- a/spoolbarrow/net/log.py
+++ b/spoolbarrow/net/log.py
@@ -1,9 +1,9 @@
-"""The log: one line an event, on standard error, which never holds serving up.
+"""The log: writes one line per event to standard error without ever blocking serving.
 
-Owns the lines until they are written. Once `start` was called they wait in a bounded buffer, and one greenlet
-writes them as the reader takes them: one that stops reading a full pipe costs lines, not answers. What did
-not fit is counted, and told as `log_dropped` when the reader is back. Before `start` lines are written at
-once; there too, a reader that takes nothing is waited for a moment only.
+After `start`, lines wait in a bounded buffer, and one greenlet writes them at the reader's pace: if the
+reader stops, lines are lost but requests are served. Lost lines are counted and reported as `log_dropped`
+once the reader is back. Before `start`, lines are written directly, with a short time-out if the reader is
+blocked.
 """
 
 from __future__ import annotations
@@ -24,21 +24,21 @@
 from spoolbarrow.net.diagnostics import DIAGNOSTICS
 
 STDERR = 2
-AT_ONCE = 4096  # bytes in one write: what poll says is writable takes PIPE_BUF without blocking (POSIX)
-RETRY_S = 0.05  # between looks at a reader that takes nothing
-BUFFER_BYTES = 1 << 18  # waiting for the reader at most: some thousand lines
-FLUSH_S = 0.2  # before `start` and at the end, a reader that takes nothing is waited for so long
-# Told of files, terminals and older kernels, where a write can't be asked not to wait.
-NOT_SUPPORTED = frozenset({errno.EOPNOTSUPP, errno.ENOSYS, errno.EINVAL, errno.ESPIPE})
+MAX_WRITE_BYTES = 4096  # a pipe that poll reports as writable takes PIPE_BUF bytes without blocking (POSIX)
+RETRY_INTERVAL_S = 0.05  # between attempts to write to a blocked reader
+BUFFER_BYTES = 1 << 18  # limit of the buffer: some thousand lines
+FLUSH_TIMEOUT_S = 0.2  # for a blocked reader, before `start` and at the end
+# Errors of files, terminals and older kernels, which do not support RWF_NOWAIT.
+UNSUPPORTED_ERRNOS = frozenset({errno.EOPNOTSUPP, errno.ENOSYS, errno.EINVAL, errno.ESPIPE})
 
 LEVELS = {"debug": 10, "info": 20, "warning": 30, "error": 40}
 
 
 class Log:
-    """Lines on their way to a descriptor."""
+    """Writes log lines to a descriptor, buffered."""
 
     def __init__(self, descriptor: int = STDERR, buffer_bytes: int = BUFFER_BYTES) -> None:
-        self._descriptor, self._most = descriptor, buffer_bytes
+        self._descriptor, self._buffer_bytes = descriptor, buffer_bytes
         self._lines: deque[bytes] = deque()
         self._held = 0  # bytes in `_lines`
         self._dropped = 0
@@ -47,23 +47,23 @@
         self._poll = select.poll()
         self._poll.register(descriptor, select.POLLOUT)
         self.threshold = LEVELS["info"]
-        self.text = False
+        self.as_text = False
 
     def configure(self, level: str = "info", format: str = "json") -> None:
-        """Go by another level (of LEVELS) and form: json for programs, text for people."""
-        self.threshold, self.text = LEVELS[level], format == "text"
+        """Set the level (of LEVELS) and the format: json for programs, text for people."""
+        self.threshold, self.as_text = LEVELS[level], format == "text"
 
     def write(self, event: str, fields: Mapping[str, object]) -> None:
-        """Take one event, if it is of the level that is wanted; never waits once started."""
-        trouble = DIAGNOSTICS.get(event)
-        level = "info" if trouble is None else trouble.level
+        """Log one event if its level is enabled; never blocks after `start`."""
+        diagnostic = DIAGNOSTICS.get(event)
+        level = "info" if diagnostic is None else diagnostic.level
         if LEVELS[level] < self.threshold:
             return
-        if trouble is not None and trouble.logs_remedy and "remedy" not in fields:
-            fields = {**fields, "remedy": trouble.remedy}
+        if diagnostic is not None and diagnostic.logs_remedy and "remedy" not in fields:
+            fields = {**fields, "remedy": diagnostic.remedy}
         line = self._line(event, level, fields)
         waiting = bool(self._lines)
-        if self._held + len(line) > self._most:
+        if self._held + len(line) > self._buffer_bytes:
             self._dropped += 1
         else:
             self._lines.append(line)
@@ -71,34 +71,35 @@
         if self._writer is not None:
             self._woken.set()
         else:
-            self._flush(0.0 if waiting else FLUSH_S)  # once: a start must not wait for it line by line
+            # Waits once at most, not for each line of a start.
+            self._flush(0.0 if waiting else FLUSH_TIMEOUT_S)
 
     def start(self) -> None:
-        """From now on lines wait for a greenlet to write them."""
+        """Write lines from a greenlet from now on."""
         if self._writer is None:
             self._writer = gevent.spawn(self._run)
-            self._woken.set()  # for lines that nobody took before
+            self._woken.set()  # for lines that could not be written before
 
     def stop(self) -> None:
-        """Write what waits, as far as the reader takes it soon; then lines go out at once again."""
+        """Flush the buffer with a time-out; write lines directly from now on."""
         if self._writer is None:
             return
         self._writer.kill()
         self._writer = None
-        self._flush(FLUSH_S)
+        self._flush(FLUSH_TIMEOUT_S)
 
     def _flush(self, wait_s: float) -> None:
-        """Write what waits; a reader that takes nothing is waited for so long in all."""
+        """Write the buffered lines; waits at most `wait_s` in total for a blocked reader."""
         end = time.monotonic() + wait_s
         while self._pending():
             if not self._write_some():
                 if time.monotonic() >= end:
                     return
-                self._poll.poll(int(RETRY_S * 1000))
+                self._poll.poll(int(RETRY_INTERVAL_S * 1000))
 
     def _pending(self) -> bool:
-        if self._dropped and self._held < self._most // 2:
-            # Told once there is room again, in the place where the lines are missing.
+        if self._dropped and self._held < self._buffer_bytes // 2:
+            # Logged once there is room again, at the place of the missing lines.
             line = self._line("log_dropped", "warning", {"lines": self._dropped})
             self._dropped = 0
             self._lines.append(line)
@@ -110,51 +111,51 @@
             self._woken.wait()
             self._woken.clear()
             while self._pending():
-                # A pause after each write: what comes together goes out together.
-                gevent.sleep(0 if self._write_some() else RETRY_S)
+                # Yields after each write, so that lines logged together are written together.
+                gevent.sleep(0 if self._write_some() else RETRY_INTERVAL_S)
 
     def _write_some(self) -> bool:
-        """Write as many lines as one call takes; False where the reader takes nothing now."""
+        """Write as many lines as fit in one call; False if the reader is blocked."""
         if not self._poll.poll(0):
             return False
         batch: list[bytes] = []
         size = 0
-        while self._lines and (not batch or size + len(self._lines[0]) <= AT_ONCE):
+        while self._lines and (not batch or size + len(self._lines[0]) <= MAX_WRITE_BYTES):
             batch.append(self._lines.popleft())
             size += len(batch[-1])
         self._held -= size
         data = b"".join(batch)
         try:
-            written = _write_now(self._descriptor, data[:AT_ONCE])
+            written = _write_now(self._descriptor, data[:MAX_WRITE_BYTES])
         except OSError:
-            return True  # nobody can read it any more: the lines are gone, the requests go on
-        if written < len(data):  # the rest of a line longer than a write, or what a full pipe did not take
+            return True  # nobody can read the log any more: drop the lines and keep serving
+        if written < len(data):  # a line longer than a write, or a full pipe
             self._lines.appendleft(data[written:])
             self._held += len(data) - written
         return written > 0
 
     def _line(self, event: str, level: str, fields: Mapping[str, object]) -> bytes:
         now = time.time()
-        if self.text:
+        if self.as_text:
             clock = time.strftime("%H:%M:%S", time.localtime(now))
-            told = " ".join(f"{name}={_plain(value)}" for name, value in fields.items())
+            text = " ".join(f"{name}={_format_value(value)}" for name, value in fields.items())
             clock = f"{clock}.{int(now * 1000) % 1000:03d}"
-            return f"{clock} {level:<7} {event:<16} {told}".rstrip().encode() + b"\n"
+            return f"{clock} {level:<7} {event:<16} {text}".rstrip().encode() + b"\n"
         record = {"time": round(now, 3), "level": level, "event": event, **fields}
         return orjson.dumps(record, default=repr, option=orjson.OPT_APPEND_NEWLINE)
 
 
 def _write_now(descriptor: int, data: bytes) -> int:
-    """Write what the reader takes at once, perhaps nothing: how many bytes; OSError where nobody can read.
+    """Write without blocking and return the number of bytes written; OSError if nobody can read.
 
-    Guards against another process that writes to the same pipe: it may fill it after poll told of room.
+    Another process may fill the same pipe after poll reported it as writable.
     """
     try:
         return os.pwritev(descriptor, (data,), -1, os.RWF_NOWAIT)
     except BlockingIOError:
         return 0
     except OSError as error:
-        if error.errno not in NOT_SUPPORTED:
+        if error.errno not in UNSUPPORTED_ERRNOS:
             raise
     try:
         return os.write(descriptor, data)
@@ -162,8 +163,8 @@
         return 0
 
 
-def _plain(value: object) -> str:
-    """A value on one line; what holds blanks or quotes is written as JSON writes it."""
+def _format_value(value: object) -> str:
+    """A value on one line; strings with blanks or quotes are written as JSON."""
     if isinstance(value, str) and value and not any(c.isspace() or c in '"=\\' for c in value):
         return value
     return orjson.dumps(value, default=repr).decode()
@@ -173,16 +174,16 @@
 
 
 def log(event: str, **fields: object) -> None:
-    """Write one event with its fields."""
+    """Log one event with its fields."""
     default_log.write(event, fields)
 
 
 def log_problem(event: str, error: Problem, **fields: object) -> None:
-    """Write an event with the error behind it and what can be done about that."""
+    """Log an event with its error and remedy."""
     default_log.write(event, {"error": str(error), **fields, "remedy": error.remedy})
 
 
 def log_exception(where: str, error: BaseException) -> None:
-    """Write an exception that nothing foresaw, with the place it came from."""
+    """Log an unexpected exception with its origin."""
     trace = traceback.format_exception(error)
     log("unexpected", where=where, error=f"{type(error).__name__}: {error}", trace="".join(trace[-4:]))
--- a/spoolbarrow/net/loop_iterations.py
+++ b/spoolbarrow/net/loop_iterations.py
@@ -1,7 +1,7 @@
-"""The event loop's turns: since when what is read now can have lain unread.
+"""Estimates when input arrived, from the times at which the event loop polls its sockets.
 
-A loop that waits for sockets sees what comes at once. One that is busy looks at them only between its turns:
-what it finds then may have come at any time since it looked before.
+A loop that waits in its poll notices input at once. A busy loop polls only between its iterations, so input
+found then may have arrived at any time since the poll before.
 """
 
 from __future__ import annotations
@@ -13,71 +13,74 @@
 
 from spoolbarrow.net import tcpinfo
 
-WAITED_MS = 1.0  # a look that took so long found nothing at first, and ended as something came
-FIRST, LAST = 2, -2  # of the watchers of one kind: libev's priorities
+WAIT_THRESHOLD_MS = 1.0  # a longer poll had nothing to report at first and ended as input arrived
+FIRST_PRIORITY, LAST_PRIORITY = 2, -2  # libev's highest and lowest, among watchers of one kind
 
 
 class LoopIterations:
-    """When the loop last looked at its sockets."""
+    """Records when the event loop polled its sockets."""
 
     def __init__(self, now: Callable[[], float]) -> None:
         self._now = now
-        self._begun = self._looked = now()  # the look under way, and the end of the last one
-        self._unseen_since: float | None = None
+        self._poll_began = self._poll_ended = now()  # of the current poll; of the last one
+        self._unpolled_since: float | None = None
         loop = gevent.get_hub().loop
-        self._watchers = (loop.prepare(ref=False, priority=LAST), loop.check(ref=False, priority=FIRST))
-        for watcher, call in zip(self._watchers, (self._look, self._seen), strict=True):
-            watcher.start(call)
+        self._watchers = (
+            loop.prepare(ref=False, priority=LAST_PRIORITY),
+            loop.check(ref=False, priority=FIRST_PRIORITY),
+        )
+        for watcher, callback in zip(self._watchers, (self._before_poll, self._after_poll), strict=True):
+            watcher.start(callback)
 
-    def earliest(self, latest: float) -> float:
-        """When bytes that are read now, the last of which came at `latest`, can have begun to come."""
-        return latest if self._unseen_since is None else min(latest, self._unseen_since)
+    def earliest_arrival(self, latest: float) -> float:
+        """The earliest arrival time of data read now whose last byte arrived at `latest`."""
+        return latest if self._unpolled_since is None else min(latest, self._unpolled_since)
 
     def stop(self) -> None:
-        """Watch no more."""
+        """Stop watching."""
         for watcher in self._watchers:
             watcher.stop()
 
-    def _look(self) -> None:
-        self._begun = self._now()
+    def _before_poll(self) -> None:
+        self._poll_began = self._now()
 
-    def _seen(self) -> None:
+    def _after_poll(self) -> None:
         now = self._now()
-        self._unseen_since = None if now - self._begun > WAITED_MS else self._looked
-        self._looked = now
+        self._unpolled_since = None if now - self._poll_began > WAIT_THRESHOLD_MS else self._poll_ended
+        self._poll_ended = now
 
 
 class ArrivalTimes:
-    """From when on the requests of one connection had come: their clients count from sending them."""
-
-    def __init__(self, turns: LoopIterations, sock: tcpinfo.Inspectable) -> None:
-        self._turns, self._sock = turns, sock
-        self._segments = 0  # that the kernel had taken in when this was asked last
-        self._standing: float | None = None  # since when something was left unread, as far as was looked
-        self._came = self._first_byte = 0.0  # of what is read next; of the request that is half read
-        self._whole: deque[float] = deque()  # of the requests that are whole
-
-    def stands(self, now: float) -> None:
-        """Something has come and is left unread for now: what follows it tells no more when it came."""
-        if self._standing is None:
-            self._standing = now - tcpinfo.last_received_ms(self._sock)
-
-    def look(self, now: float) -> None:
-        """Ask the kernel since when what is read next can have come: known where it came in one piece."""
+    """Arrival times of the requests of one connection; clients count their time-out from the sending."""
+
+    def __init__(self, iterations: LoopIterations, sock: tcpinfo.Inspectable) -> None:
+        self._iterations, self._sock = iterations, sock
+        self._segments = 0  # data segments received, as of the last query
+        self._unread_since: float | None = None  # start of a time with unread input, as far as known
+        self._earliest = self._request_began = 0.0  # of the next input; of the request being read
+        self._complete: deque[float] = deque()  # of complete requests
+
+    def left_unread(self, now: float) -> None:
+        """Note input that stays unread for now; its arrival time is lost once more input follows."""
+        if self._unread_since is None:
+            self._unread_since = now - tcpinfo.last_received_ms(self._sock)
+
+    def before_read(self, now: float) -> None:
+        """Determine the earliest arrival time of the next input; exact if it is a single segment."""
         latest, had = now - tcpinfo.last_received_ms(self._sock), self._segments
         self._segments = tcpinfo.counters(self._sock).data_segments_received
-        self._came = latest if self._segments - had == 1 else self._turns.earliest(latest)
-        if self._standing is not None:
-            self._came, self._standing = min(self._came, self._standing), None
+        self._earliest = latest if self._segments - had == 1 else self._iterations.earliest_arrival(latest)
+        if self._unread_since is not None:
+            self._earliest, self._unread_since = min(self._earliest, self._unread_since), None
 
-    def read(self, in_request: bool, whole: int) -> None:
-        """What was looked at is read: it began inside a request or not, and made so many whole."""
+    def after_read(self, in_request: bool, completed: int) -> None:
+        """Note a read of input that began inside a request or not and completed so many requests."""
         if not in_request:
-            self._first_byte = self._came
-        for _ in range(whole):
-            self._whole.append(self._first_byte)
-            self._first_byte = self._came
-
-    def first(self, otherwise: float) -> float:
-        """That of the first whole request; `otherwise` where it is not known."""
-        return self._whole.popleft() if self._whole else otherwise
+            self._request_began = self._earliest
+        for _ in range(completed):
+            self._complete.append(self._request_began)
+            self._request_began = self._earliest
+
+    def next_arrival(self, default: float) -> float:
+        """Remove and return the arrival time of the first complete request; `default` if unknown."""
+        return self._complete.popleft() if self._complete else default
--- a/spoolbarrow/net/observers.py
+++ b/spoolbarrow/net/observers.py
@@ -1,9 +1,8 @@
-"""What happens on the sockets, told to observers: the one seam between serving and what only watches it.
+"""Observers of serving: notifies them of connection, request and attempt events.
 
-Owns the observers and the numbers of connections; what observers do with what they hear is theirs. An
-observer may neither wait nor raise into serving: a fault of one is logged, and it hears nothing more. What it
-is handed is to be read at once, and never changed; of a socket it may read options until `connection_closing`
-returns. With no observer a hook costs one look-up of an attribute.
+Owns the list of observers and the numbers of connections. An observer must not block; if it raises, the fault
+is logged and it is removed. It must read its arguments at once and never change them; it may read options of
+a socket until `connection_closing` returns. Without observers, a hook costs one attribute look-up.
 """
 
 from __future__ import annotations
@@ -23,24 +22,24 @@
 
 
 class Side(Enum):
-    """Who is at the other end of a connection."""
+    """The peer of a connection."""
 
-    CLIENT = 0  # a client opened it
+    CLIENT = 0  # the client opened it
     ENDPOINT = 1  # this router opened it
 
 
 class CloseReason(Enum):
-    """What ended a connection, as this side sees it."""
+    """Why a connection was closed, as seen from this side."""
 
-    DONE = 0  # either side closed it with nothing under way
-    IDLE = 1  # it stood idle too long
-    BROKEN = 2  # it ended in the middle of something
+    DONE = 0  # either side closed it without a request in flight
+    IDLE = 1  # it was idle too long
+    BROKEN = 2  # it ended during a request or response
     ROOM = 3  # it was closed to make room
-    ENDED = 4  # the router ends
+    ENDED = 4  # the router drains or ends
 
 
 class OpenConnection(NamedTuple):
-    """A connection that came up; `at` in ms on the host's clock."""
+    """An established connection; `opened_at` in ms on the host's clock."""
 
     number: int
     side: Side
@@ -52,22 +51,22 @@
 
 
 class Observer:
-    """Hears what happens; each hook does nothing unless it is overridden."""
+    """Base class of observers; hooks do nothing unless overridden."""
 
     def connection_opened(self, opened: OpenConnection) -> None:
-        """A connection is up."""
+        """A connection was opened."""
 
     def connection_closing(self, number: int, why: CloseReason) -> None:
-        """A connection is about to be closed: its socket can be read for the last time."""
+        """A connection is about to be closed; its socket can be read for the last time."""
 
     def request_taken(self, request: Request, facts: i.RequestArrived) -> None:
-        """The host took a request."""
+        """The host accepted a request."""
 
     def attempt_sent(self, attempt: Attempt) -> None:
-        """An attempt's last byte is written to a connection."""
+        """The last byte of an attempt was written to a connection."""
 
     def attempt_started(self, attempt: Attempt) -> None:
-        """The first event of the attempt that is the client's has come."""
+        """The first event of the serving attempt has arrived."""
 
     def parts_forwarded(self, request: Request, parts: list[bytes]) -> None:
         """Parts of the stream were written to the client."""
@@ -76,33 +75,33 @@
         """An attempt has its outcome."""
 
     def probe_answered(self, endpoint: str, report: i.Report) -> None:
-        """An endpoint told its load."""
+        """An endpoint reported its load."""
 
     def probe_ended(self, endpoint: str, outcome: i.Outcome, lag: float) -> None:
-        """A probe has its outcome, after `lag` ms, answered or not."""
+        """A probe has ended after `lag` ms, answered or not."""
 
     def request_answered(self, request: Request) -> None:
-        """What a request comes to is settled, in `answered`; attempts may still be out."""
+        """A request has its `answer_kind`; attempts may still be running."""
 
     def request_declined(self, cls: int, how: str) -> None:
-        """A request of a known class was answered without being taken; `how` as in `Request.answered`."""
+        """A request of a known class was answered but not accepted; `how` as in `Request.answer_kind`."""
 
     def request_over(self, request: Request, now: float) -> None:
-        """A request is answered and its last attempt has ended; nothing more happens to it."""
+        """A request is answered and its last attempt has ended."""
 
 
 class Observers:
-    """The observers; each hook of theirs is called here by the same name."""
+    """Calls the hook of the same name on each observer."""
 
     def __init__(self) -> None:
         self.active = False
         self._observers: tuple[Observer, ...] = ()
-        self._open: dict[int, OpenConnection] = {}  # for observers that come later
-        # Seconds in front: numbers are not used again after a restart.
+        self._open: dict[int, OpenConnection] = {}  # for observers added later
+        # Unix seconds in the high bits, so that numbers are not reused after a restart.
         self._numbers = count((int(time.time()) << 24) + 1)
 
     def add(self, observer: Observer) -> None:
-        """Begin to tell an observer; the connections that are open already come first."""
+        """Add an observer and notify it of the connections that are open already."""
         self._set((*self._observers, observer))
         for opened in list(self._open.values()):
             try:
@@ -111,29 +110,29 @@
                 return self._failed(observer, error)
 
     def remove(self, observer: Observer) -> None:
-        """Tell it nothing more."""
+        """Remove an observer."""
         self._set(tuple(o for o in self._observers if o is not observer))
 
     def _set(self, observers: tuple[Observer, ...]) -> None:
         self._observers, self.active = observers, bool(observers)
 
     def _failed(self, observer: Observer, error: Exception) -> None:
-        """Guards serving against an observer's fault: it would come again with each request."""
+        """Remove an observer that raised, since the fault would probably recur with each request."""
         self.remove(observer)
         log_exception(f"observer {type(observer).__name__}", error)
 
     def connection_opened(self, side: Side, sock: socket, at: float, endpoint: str = "") -> int:
-        """A connection came up: its number."""
+        """Register a new connection and return its number."""
         number = next(self._numbers)
         try:
-            told = OpenConnection(number, side, sock.getsockname(), sock.getpeername(), endpoint, at, sock)
+            opened = OpenConnection(number, side, sock.getsockname(), sock.getpeername(), endpoint, at, sock)
         except OSError:
-            return number  # reset already: there is no telling from where it came
-        self._open[number] = told
+            return number  # reset already, so that its addresses are unknown
+        self._open[number] = opened
         if self.active:
             for observer in self._observers:
                 try:
-                    observer.connection_opened(told)
+                    observer.connection_opened(opened)
                 except Exception as error:
                     self._failed(observer, error)
         return number
@@ -148,7 +147,7 @@
                 self._failed(observer, error)
 
     def request_taken(self, request: Request, facts: i.RequestArrived) -> None:
-        """The host took a request."""
+        """The host accepted a request."""
         for observer in self._observers:
             try:
                 observer.request_taken(request, facts)
@@ -156,7 +155,7 @@
                 self._failed(observer, error)
 
     def attempt_sent(self, attempt: Attempt) -> None:
-        """An attempt's last byte is written."""
+        """The last byte of an attempt was written."""
         for observer in self._observers:
             try:
                 observer.attempt_sent(attempt)
@@ -164,7 +163,7 @@
                 self._failed(observer, error)
 
     def attempt_started(self, attempt: Attempt) -> None:
-        """The client's stream has begun."""
+        """The serving attempt's stream has started."""
         for observer in self._observers:
             try:
                 observer.attempt_started(attempt)
@@ -188,7 +187,7 @@
                 self._failed(observer, error)
 
     def probe_answered(self, endpoint: str, report: i.Report) -> None:
-        """An endpoint told its load."""
+        """An endpoint reported its load."""
         for observer in self._observers:
             try:
                 observer.probe_answered(endpoint, report)
@@ -196,7 +195,7 @@
                 self._failed(observer, error)
 
     def probe_ended(self, endpoint: str, outcome: i.Outcome, lag: float) -> None:
-        """A probe has its outcome."""
+        """A probe has ended."""
         for observer in self._observers:
             try:
                 observer.probe_ended(endpoint, outcome, lag)
@@ -204,7 +203,7 @@
                 self._failed(observer, error)
 
     def request_answered(self, request: Request) -> None:
-        """What a request comes to is settled."""
+        """A request has its `answer_kind`."""
         for observer in self._observers:
             try:
                 observer.request_answered(request)
@@ -212,7 +211,7 @@
                 self._failed(observer, error)
 
     def request_declined(self, cls: int, how: str) -> None:
-        """A request was answered without being taken."""
+        """A request was answered but not accepted."""
         for observer in self._observers:
             try:
                 observer.request_declined(cls, how)
@@ -220,7 +219,7 @@
                 self._failed(observer, error)
 
     def request_over(self, request: Request, now: float) -> None:
-        """Nothing more happens to a request."""
+        """A request is answered and its last attempt has ended."""
         for observer in self._observers:
             try:
                 observer.request_over(request, now)
--- a/spoolbarrow/net/request.py
+++ b/spoolbarrow/net/request.py
@@ -1,7 +1,7 @@
-"""A client's request and its attempts: what both the host and the endpoints know of them.
+"""A client's request and its attempts: the state shared by the host and the endpoint client.
 
-Owns the account of what became of each. Who may change it: the host decides when a request is over and an
-attempt has ended; endpoints note on which connection an attempt went out.
+Records the outcome of each. The host decides when a request is finished and an attempt has ended; the
+endpoint client records the connection that carries an attempt.
 """
 
 from __future__ import annotations
@@ -16,35 +16,35 @@
 
 
 class Answer(Protocol):
-    """How the client's side gives a request's one answer; only `pass_on` may block."""
+    """How a request is answered on the client's side; only `forward` may block."""
 
     def fail_fast(self, retry_after_ms: float, header: bytes = b"") -> None:
-        """Declined; trying again is harmless."""
+        """Decline the request; a retry is safe."""
 
     def client_address(self) -> str:
-        """The client's address; empty where it has gone."""
+        """The client's address; empty if it has disconnected."""
 
     def disconnected(self) -> bool:
-        """Whether the client has closed, reset or half-closed its connection, read or not; never waits."""
+        """Whether the client has closed, reset or half-closed its connection; never blocks."""
 
     def fail(self, late: bool) -> None:
-        """Failed; nothing is promised."""
+        """Fail the request; it may have run."""
 
     def reject(self) -> None:
-        """The endpoint can't use the request as its client sent it."""
+        """Reject the request: the endpoint can't process it as sent."""
 
     def forward(self, parts: list[bytes]) -> None:
-        """Events of the one stream that serves the request; raises OSError when the client has gone."""
+        """Write events of the serving attempt's stream; OSError if the client has disconnected."""
 
     def end(self) -> None:
-        """The stream is whole."""
+        """Complete the stream."""
 
     def abort(self) -> None:
-        """The stream broke: the client must see that it is not whole."""
+        """Break the stream off, so that the client sees it as incomplete."""
 
 
 class TransferredStream(Protocol):
-    """What another process of this router tells of a stream; times as on the host's clock."""
+    """A stream handed over by another process of this router; times on the host's clock."""
 
     id: str
     taken_at: float
@@ -55,7 +55,7 @@
 
 
 class Request:
-    """A client's request until it is answered and its last attempt has ended."""
+    """A client's request, until it is answered and its last attempt has ended."""
 
     def __init__(
         self,
@@ -69,28 +69,27 @@
         connection: int = 0,
     ) -> None:
         self.key, self.id, self.message, self.answer = key, id, message, answer
-        self.cls, self.tenant = facts.cls, facts.tenant  # their positions in the settings it was taken under
-        self.class_name = self.tenant_name = ""  # what they are called in any
+        self.cls, self.tenant = facts.cls, facts.tenant  # indices in the settings at the time of acceptance
+        self.class_name = self.tenant_name = ""  # valid for any settings
         if facts.settings is not None:
             self.class_name = facts.settings.classes[facts.cls].name
             self.tenant_name = facts.settings.tenant_name(facts.tenant)
-        self.connection = connection  # its client's, by the taps' number; 0: told by none
+        self.connection = connection  # the client connection's number from `Observers`; 0: unknown
         self.taken_at, self.deadline = now, deadline
-        self.repeat_window_ms = (
-            inf  # a further attempt is written whole so long after the first that may have run
-        )
-        self.max_attempts = 1  # unless the host says more
+        # How long after the first attempt that may have run a further one may be written.
+        self.repeat_window_ms = inf
+        self.max_attempts = 1  # the host may raise it
         self.attempts: list[Attempt] = []
-        self.serving_attempt: Attempt | None = None  # the attempt that is the client's
-        self.finished = False  # answered, or the client has gone
-        self.answer_kind = ""  # how: served, fail_fast, failed, broken, or left by its client
+        self.serving_attempt: Attempt | None = None  # whose stream the client receives
+        self.finished = False  # answered, or the client has disconnected
+        self.answer_kind = ""  # served, fail_fast, failed, rejected, broken, or left (by the client)
 
     def finish(self, how: str) -> None:
-        """It has its answer, or needs none."""
+        """Record how it was answered, or that it needs no answer."""
         self.finished, self.answer_kind = True, how
 
     def log_fields(self, now: float) -> dict[str, object]:
-        """What became of it, for the log: times in ms since it was taken, numbers as they were then."""
+        """Its outcome for the log: times in ms since acceptance, indices as of then."""
         since = self.taken_at
         return {
             "request": self.key,
@@ -104,29 +103,29 @@
         }
 
     def may_repeat(self, attempt: Attempt, now: float) -> bool:
-        """Whether an attempt that is written now falls within the time for repeats."""
+        """Whether an attempt written now is within the repeat window."""
         ran = [other.sent_at for other in self.attempts if other is not attempt and not other.never_ran()]
         return not ran or now < min(ran) + self.repeat_window_ms
 
     def settled(self) -> bool:
-        """Whether nothing more can happen to it."""
+        """Whether it is finished and all attempts have ended."""
         return self.finished and all(attempt.ended for attempt in self.attempts)
 
 
 class AnswerReader(Protocol):
-    """An attempt's answer while it is read."""
+    """Reads an attempt's response."""
 
     def must_finish(self) -> bool:
-        """Whether it must not be broken off now."""
+        """Whether it must not be stopped now."""
 
 
 class Attempt:
-    """One sending of a request to an endpoint."""
+    """One attempt to serve a request at an endpoint."""
 
     def __init__(self, request: Request, number: int, endpoint: str, sent_at: float) -> None:
         self.request, self.number, self.endpoint, self.sent_at = request, number, endpoint, sent_at
-        self.connection = 0  # the endpoint's, by the taps' number; 0: none came up
-        self.incarnation = 0  # of its endpoint, as it was decided on
+        self.connection = 0  # the endpoint connection's number from `Observers`; 0: none was opened
+        self.incarnation = 0  # of its endpoint at the time of the decision
         self.ended = False
         self.outcome: i.Outcome | None = None
         self.first_at = self.ended_at = 0.0
@@ -134,17 +133,17 @@
         self.answer_reader: AnswerReader | None = None
 
     def never_ran(self) -> bool:
-        """Whether its endpoint can't have run it: it turned it away, or never had the whole of it."""
+        """Whether the endpoint can't have run it: it refused the request or never received all of it."""
         return self.outcome in i.NEVER_RAN or not self.connection
 
     def log_fields(self, since: float) -> dict[str, object]:
-        """What became of it, for the log."""
-        told: dict[str, object] = {"endpoint": self.endpoint, "sent": round(self.sent_at - since)}
+        """Its outcome for the log."""
+        fields: dict[str, object] = {"endpoint": self.endpoint, "sent": round(self.sent_at - since)}
         if self.first_at:
-            told["first"] = round(self.first_at - since)
-        return told | {"ended": round(self.ended_at - since), "outcome": self.outcome and self.outcome.name}
+            fields["first"] = round(self.first_at - since)
+        return fields | {"ended": round(self.ended_at - since), "outcome": self.outcome and self.outcome.name}
 
     def stop(self) -> None:
-        """Give it up: its greenlet closes the connection."""
+        """Cancel it: its greenlet closes the connection."""
         if self.greenlet is not None and self.greenlet is not gevent.getcurrent():
             self.greenlet.kill(block=False)
--- a/spoolbarrow/net/request_admission.py
+++ b/spoolbarrow/net/request_admission.py
@@ -1,7 +1,7 @@
-"""A whole request, before the decisions have it: answered at once where it can't or may not be taken.
+"""Admission of complete requests: routes by path, answers those that can't be accepted, submits the rest.
 
-Owns the paths that clients ask for and the order of the checks. The connection is its caller's; what becomes
-of a request that is taken is the host's.
+Defines the client paths and the order of the checks. The caller owns the connection; the host owns accepted
+requests.
 """
 
 from __future__ import annotations
@@ -19,35 +19,35 @@
 from spoolbarrow.net.log import log
 from spoolbarrow.net.request_facts import read_facts
 
-CHAT, UP = b"/v1/chat/completions", b"/up"
-METHODS = {CHAT: b"POST", UP: b"GET"}
-LOOKED_AT = 64  # bytes of what is not read yet: enough to tell whether they begin a request
+CHAT_PATH, UP_PATH = b"/v1/chat/completions", b"/up"
+METHODS = {CHAT_PATH: b"POST", UP_PATH: b"GET"}
+PEEK_BYTES = 64  # of unread input: enough to tell whether it starts a request
 
 
 class Drains(Protocol):
-    """Drains: which are in force, and what they do, told."""
+    """The drains in force and their log."""
 
     state: DrainState
     log: DrainLog
 
 
 class Listener(Protocol):
-    """What is asked of the listener that accepted a connection."""
+    """What admission needs of the listener that accepted a connection."""
 
     config: Config
     host: Host
-    held_bytes: int  # bytes of bodies in memory
+    held_bytes: int  # request bodies in memory
 
     @property
     def drainer(self) -> Drains:
-        """The drains that are in force."""
+        """The drains in force."""
 
     def ready(self) -> bool:
-        """Whether clients may be sent here."""
+        """Whether new clients should be sent to this router."""
 
 
-class Asker(Protocol):
-    """The connection that a request came by."""
+class RequestConnection(Protocol):
+    """The connection that a request arrived on."""
 
     sock: socket.socket
     number: int
@@ -57,39 +57,39 @@
         """The listener that accepted it."""
 
     def disconnected(self) -> bool:
-        """Whether its client has closed, reset or half-closed it."""
+        """Whether the client has closed, reset or half-closed it."""
 
     def has_unread(self) -> bool:
-        """Whether the kernel holds something that its client sent."""
+        """Whether the kernel's receive buffer holds data or an end of stream."""
 
-    def voids(self, there: memoryview) -> bool:
-        """Whether what directly follows the request shows that its length was wrong."""
+    def proves_bad_length(self, data: memoryview) -> bool:
+        """Whether data right after the request shows that the request's length was wrong."""
 
-    def lost(self) -> None:
-        """Its client has gone."""
+    def abandon(self) -> None:
+        """Close it: the client has disconnected."""
 
 
-def admit(client: Asker, exchange: Exchange, message: Message, arrived: float) -> None:
-    """Answer a request, or have the host take it; HttpError where its client is to be told what is wrong."""
+def admit(client: RequestConnection, exchange: Exchange, message: Message, arrived: float) -> None:
+    """Answer a request or submit it to the host; HttpError if it is invalid."""
     path = message.path()
-    wanted = METHODS.get(path)
-    if wanted is None:
+    method = METHODS.get(path)
+    if method is None:
         raise HttpError(404, "no such path")
-    if message.method != wanted:
-        raise HttpError(405, f"{path.decode()} takes {wanted.decode()}", b"Allow: " + wanted)
-    if path == UP:
-        return exchange.whole(200 if client.inbound.ready() else 503, "not ready")
+    if message.method != method:
+        raise HttpError(405, f"{path.decode()} takes {method.decode()}", b"Allow: " + method)
+    if path == UP_PATH:
+        return exchange.respond(200 if client.inbound.ready() else 503, "not ready")
     _admit_chat(client, exchange, message, arrived)
 
 
-def _admit_chat(client: Asker, exchange: Exchange, message: Message, arrived: float) -> None:
+def _admit_chat(client: RequestConnection, exchange: Exchange, message: Message, arrived: float) -> None:
     inbound, host = client.inbound, client.inbound.host
     facts, budget = read_facts(message, host.config)
     name = message.fields[b"x-correlation-id"].decode("latin-1")
     if host.is_open(name):
-        # Guards the request of that name: an endpoint could not tell the two apart.
+        # An endpoint could not tell two requests with the same ID apart.
         raise HttpError(409, "X-Correlation-Id: a request of this name is open")
-    retry_after_ms = _refused(client, name)
+    retry_after_ms = _refusal_ms(client, name)
     if retry_after_ms is not None:
         notify_declined(inbound, message, "fail_fast")
         return exchange.fail_fast(retry_after_ms)
@@ -97,25 +97,27 @@
     if deadline <= host.now():
         notify_declined(inbound, message, "failed")
         return exchange.fail(True)
-    if client.disconnected():  # also where its end came while the connection waited to be accepted
+    if client.disconnected():  # possibly while the connection waited to be accepted
         notify_declined(inbound, message, "left")
-        return client.lost()
-    if client.has_unread() and client.voids(memoryview(client.sock.recv(LOOKED_AT, socket.MSG_PEEK))):
+        return client.abandon()
+    if client.has_unread() and client.proves_bad_length(
+        memoryview(client.sock.recv(PEEK_BYTES, socket.MSG_PEEK))
+    ):
         raise HttpError(400, "malformed request: its length is not that of its body")
     if inbound.drainer.state.active():
         inbound.drainer.log.request_taken(host.now(), name, client.number)
     exchange.request = host.submit(name, message, exchange, deadline, facts, client.number)
 
 
-def _refused(client: Asker, name: str) -> float | None:
-    """When to come back, ms, where nothing more is taken for now."""
+def _refusal_ms(client: RequestConnection, name: str) -> float | None:
+    """The Retry-After time in ms if no request is accepted at present."""
     inbound, host = client.inbound, client.inbound.host
-    refusal = inbound.drainer.state.refusal(host.now())
+    refusal = inbound.drainer.state.refusal_retry_ms(host.now())
     if refusal is not None:
         inbound.drainer.log.request_refused(host.now(), name, client.number)
         return refusal
     settings = inbound.config.settings
-    # Guards against running out of memory or over what the platform allows to be open at once.
+    # Limits memory and the number of open requests that the platform allows.
     if inbound.held_bytes > inbound.config.max_held_bytes or host.open_requests() >= settings.max_open:
         log("no_room", held=inbound.held_bytes, open=host.open_requests())
         return settings.max_retry_after_ms
@@ -123,8 +125,8 @@
 
 
 def notify_declined(inbound: Listener, message: Message, how: str) -> None:
-    """Tell whoever watches of a request that is not taken, where it names a class."""
-    taps, config = inbound.host.observers, inbound.config
+    """Notify observers of a request that is not accepted, if it names a class."""
+    observers, config = inbound.host.observers, inbound.config
     name = message.fields.get(b"x-service-class", b"").decode("latin-1")
-    if taps.active and message.path() == CHAT and name in config.classes:
-        taps.request_declined(config.classes[name], how)
+    if observers.active and message.path() == CHAT_PATH and name in config.classes:
+        observers.request_declined(config.classes[name], how)
--- a/spoolbarrow/net/request_writing.py
+++ b/spoolbarrow/net/request_writing.py
@@ -1,7 +1,7 @@
-"""A request written to its endpoint: whole in good time, or broken off so that it can't run.
+"""Writes requests to endpoints: completely and in time, or cut off so that they can't run.
 
-The head tells the time that is left as it was when the first byte was written. An endpoint that does not take
-in the rest leaves it here, or in this machine's kernel, which would send it on even over a closed connection.
+The head states the time left as of the first byte. What a slow endpoint does not read stays in this process
+or in the kernel's send buffer, which the kernel would still send after a normal close.
 """
 
 from __future__ import annotations
@@ -16,24 +16,24 @@
 
 from spoolbarrow.net import http1, tcpinfo
 
-WAIT_LOOK_S = 0.05  # between looks while the kernel takes no more
-UNSENT_LOOK_S = 0.002  # between looks while it holds what it has not sent: mostly for one round trip
-RESET = struct.pack("ii", 1, 0)  # SO_LINGER: what was not sent is thrown away at the close
+WRITABLE_POLL_S = 0.05  # between checks while the send buffer is full
+UNSENT_POLL_S = 0.002  # between checks while it holds unsent data, mostly for one round trip
+RESET_LINGER = struct.pack("ii", 1, 0)  # SO_LINGER: the close discards unsent data
 
 
-class _NotYet(Exception):
-    """The kernel still takes no more."""
+class _StillFull(Exception):
+    """The send buffer is still full."""
 
 
 def send_while(sock: socket, pieces: Sequence[bytes], may_go_on: Callable[[], bool]) -> bool:
-    """Hand all pieces to the kernel; asks after each wait, and at times within; whether all was taken."""
+    """Hand all pieces to the kernel; asks `may_go_on` after each wait; whether all was written."""
     rest: list[bytes | memoryview] = [piece for piece in pieces if piece]
     while rest:
         try:
             sent = sock.sendmsg(rest[: http1.IOV_MAX], [], MSG_DONTWAIT)
         except BlockingIOError:
-            with suppress(_NotYet):
-                wait_write(sock.fileno(), WAIT_LOOK_S, _NotYet())
+            with suppress(_StillFull):
+                wait_write(sock.fileno(), WRITABLE_POLL_S, _StillFull())
             if not may_go_on():
                 return False
         else:
@@ -42,20 +42,20 @@
 
 
 def await_sent(sock: socket, may_go_on: Callable[[], bool]) -> bool:
-    """Wait until the kernel has sent all that it was handed, or an answer has come; whether either came."""
+    """Wait until the kernel has sent all data or a response has arrived; false if stopped before."""
     while tcpinfo.has_unsent(sock) and not http1.poll_now(sock, select.POLLIN):
-        gevent.sleep(UNSENT_LOOK_S)
-        # Looked at again: from the caller's word to the close nothing must leave.
+        gevent.sleep(UNSENT_POLL_S)
+        # Checked again: nothing may be sent between the caller's decision and the close.
         if not may_go_on() and tcpinfo.has_unsent(sock):
             return False
     return True
 
 
 def close_and_discard(sock: socket) -> None:
-    """Close a connection and have nothing more leave that was written to it."""
+    """Close a connection and discard its unsent data."""
     try:
         if tcpinfo.has_unacknowledged(sock):
-            sock.setsockopt(SOL_SOCKET, SO_LINGER, RESET)
+            sock.setsockopt(SOL_SOCKET, SO_LINGER, RESET_LINGER)
     except OSError:
         pass  # closed already
     sock.close()
--- a/tests/router_harness.py
+++ b/tests/router_harness.py
@@ -209,7 +209,7 @@
             party.close()
 
 
-def end_answers(scene: RouterHarness) -> None:
+def close_after_answers(scene: RouterHarness) -> None:
     """From now on the end of an answer ends its connection, and nothing else is done."""
     scene.inbound.drainer.begin(DrainCause.SUCCESSOR, DrainSchedule({DrainStep.END_ANSWERS: 0.0}))
 
--- a/tests/test_accepting.py
+++ b/tests/test_accepting.py
@@ -53,7 +53,7 @@
 def test_a_connection_behind_a_failed_accept_is_taken(
     listener: Any, name: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(accepting, "PAUSE_S", 0.01)
+    monkeypatch.setattr(accepting, "RESOURCE_PAUSE_S", 0.01)
     heard: list[int | None] = []
     with socket.create_connection(listener.getsockname()) as near:
         far = accepting.next_connection(
@@ -62,7 +62,7 @@
         assert far.getpeername() == near.getsockname()
         far.close()
     assert heard == (
-        [] if getattr(errno, name) in accepting.OF_ONE_CONNECTION else [getattr(errno, name)] * 2
+        [] if getattr(errno, name) in accepting.CONNECTION_ERRNOS else [getattr(errno, name)] * 2
     )
 
 
--- a/tests/test_client_races.py
+++ b/tests/test_client_races.py
@@ -75,7 +75,7 @@
         client.send(b"".join(ask(X_Correlation_Id=str(n)) for n in range(5)) + b"POST")
         wait_until(inside.has_unread)
         scene.host.move_streams()
-        assert inside.ending and not inside._closed
+        assert inside.lingering and not inside._closed
         go.set()
         attempt.greenlet.join()
         assert not inside._closed
@@ -137,7 +137,7 @@
     with running_router(reject) as (scene, engine):
         client = scene.client().send(ask())
         inside = the_client(scene)
-        wait_until(lambda: inside.ending)
+        wait_until(lambda: inside.lingering)
         client.send(ask(Expect="100-continue").removesuffix(b'{"model":"chat"}'))
         wait_until(lambda: inside._closed or inside.has_unread())
         assert not inside._parser.reading
@@ -185,7 +185,7 @@
         client = scene.client().send(ask(Expect="100-continue").removesuffix(b'{"model":"chat"}'))
         waits.wait()
         inside = the_client(scene)
-        inside.overdue()
+        inside.time_out()
         gevent.idle()  # whoever would write has had a turn
         go.set()
         assert client.sock.recv(25, socket.MSG_WAITALL) == b"HTTP/1.1 100 Continue\r\n\r\n"
--- a/tests/test_drain.py
+++ b/tests/test_drain.py
@@ -674,7 +674,7 @@
     with running_router() as (scene,):
         idle, leaving = scene.client(), scene.client()
         leaving.send(b"GET /up HTTP/1.1\r\nConnection: close\r\n\r\n").answer()
-        wait_until(lambda: [client for client in scene.inbound._clients if client.ending])
+        wait_until(lambda: [client for client in scene.inbound._clients if client.lingering])
         draining = gevent.spawn(scene.inbound.drain, pass_on)
         assert idle.ended()
         wait_until(lambda: len(scene.inbound._clients) == 1)
--- a/tests/test_drain_state.py
+++ b/tests/test_drain_state.py
@@ -40,7 +40,7 @@
 )
 
 NEVER = 600_000.0
-HELD_MS, RECENT_MS, LATE_CALL_MS = 4000.0, 2000.0, 1000.0  # the operators' terms
+REPORT_HELD_MS, RECENT_MS, LATE_CALL_MS = 4000.0, 2000.0, 1000.0  # the operators' terms
 PATIENT = {"head_timeout_ms": NEVER, "keep_alive_ms": NEVER, "linger_ms": NEVER, "stall_ms": NEVER}
 UP = b"GET /up HTTP/1.1\r\n\r\n"
 END = b"0\r\n\r\n"
@@ -79,9 +79,9 @@
 def test_after_a_call_what_is_recent_by_the_terms_is_refused() -> None:
     """The call may have waited for up to a second: its clock began with its caller's."""
     schedule = operator_schedule(configured())
-    assert schedule.at(DrainStep.REFUSE) + RECENT_MS + LATE_CALL_MS <= HELD_MS
-    late = drainer.LATE_NEWCOMER_MS + drainer.LOOK_S * 1000.0
-    assert schedule.at(DrainStep.CLOSE_ALL) + late + LATE_CALL_MS <= HELD_MS
+    assert schedule.at(DrainStep.REFUSE) + RECENT_MS + LATE_CALL_MS <= REPORT_HELD_MS
+    late = drainer.LATE_NEWCOMER_MS + drainer.POLL_S * 1000.0
+    assert schedule.at(DrainStep.CLOSE_ALL) + late + LATE_CALL_MS <= REPORT_HELD_MS
     order = (DrainStep.END_ANSWERS, DrainStep.CLOSE_IDLE, DrainStep.REFUSE, DrainStep.CLOSE_ALL)
     assert [schedule.at(step) for step in order] == sorted(schedule.at(step) for step in order)
     assert not schedule.steps.keys() & {DrainStep.MOVE_STREAMS, DrainStep.ANSWER_ALL}  # the process goes on
@@ -119,7 +119,7 @@
         reached = [now - at >= schedules[one].at(step) for one, at in begun.items()]
         assert state.reached(step, now) is any(reached) and state.active() is bool(begun)
         refusing = [one for one, at in begun.items() if now - at >= schedules[one].at(DrainStep.REFUSE)]
-        assert (state.refusal(now) is not None) is bool(refusing)
+        assert (state.refusal_retry_ms(now) is not None) is bool(refusing)
         assert state.by_operator() is (DrainCause.OPERATOR in begun)
         assert state.process_ending() is bool(begun.keys() - {DrainCause.OPERATOR})
 
@@ -127,9 +127,9 @@
 def test_where_the_newer_process_takes_no_more_idle_connections_end_here() -> None:
     state = DrainState()
     state.begin(DrainCause.SUCCESSOR, shutdown_schedule(configured(), True), 0.0)
-    assert not state.reached(DrainStep.CLOSE_IDLE, 900.0) and state.refusal(900.0) is None
-    state.pass_nothing_more(100.0, resumes=False)
-    assert state.reached(DrainStep.END_ANSWERS, 100.0) and state.refusal(100.0) is not None
+    assert not state.reached(DrainStep.CLOSE_IDLE, 900.0) and state.refusal_retry_ms(900.0) is None
+    state.stop_idle_handover(100.0, resumes=False)
+    assert state.reached(DrainStep.END_ANSWERS, 100.0) and state.refusal_retry_ms(100.0) is not None
     assert not state.reached(DrainStep.CLOSE_IDLE, 900.0) and state.reached(DrainStep.CLOSE_IDLE, 1000.0)
 
 
@@ -197,11 +197,11 @@
         client.answer()
         (inside,) = scene.inbound._clients
         wait_until(inside.idle)
-        monkeypatch.setattr(type(inside), "answered", lambda self: False)
+        monkeypatch.setattr(type(inside), "all_acknowledged", lambda self: False)
         passed(scene, CALL_REFUSE_MS)
-        gevent.sleep(2 * drainer.LOOK_S)
+        gevent.sleep(2 * drainer.POLL_S)
         assert scene.inbound._clients
-        inside.since -= drainer.UNTAKEN_MS
+        inside.since -= drainer.UNACKNOWLEDGED_MS
         passed(scene, CALL_CLOSE_ALL_MS)
         assert client.ended()
 
@@ -210,7 +210,7 @@
     with running_router(serve_all, options=PATIENT) as (scene, _):
         client = scene.client().send(b"GET /up HTTP/1.1\r\nConnection: close\r\n\r\n")
         client.answer()
-        wait_until(lambda: [one for one in scene.inbound._clients if one.ending])
+        wait_until(lambda: [one for one in scene.inbound._clients if one.lingering])
         passed(scene, CALL_CLOSE_ALL_MS)
         wait_until(lambda: not scene.inbound._clients)
 
@@ -228,14 +228,14 @@
     with running_router(flood, options=PATIENT) as (scene, _):
         client = scene.client().send(ask())
         (inside,) = wait_until(lambda: scene.inbound._clients)
-        wait_until(lambda: inside.stalled(scene.host.now() - 100.0))
+        wait_until(lambda: inside.write_stalled(scene.host.now() - 100.0))
         cause = DrainCause.SIGTERM if ends else DrainCause.OPERATOR
         scene.inbound.drainer.begin(cause, DrainSchedule({DrainStep.CLOSE_ALL: 0.0}))
         inside.writing_since -= drainer.STALL_MS
         if ends:
             wait_until(lambda: not scene.inbound._clients)
         else:
-            gevent.sleep(3 * drainer.LOOK_S)
+            gevent.sleep(3 * drainer.POLL_S)
             assert scene.inbound._clients and not client.sock.closed
         stopped.set()
 
@@ -314,7 +314,7 @@
         client = scene.client().send(UP)
         client.answer()
         client.send(ask()[:40])  # half a request
-        monkeypatch.setitem(scene.inbound.drainer._acts, DrainStep.CLOSE_IDLE, lambda now: 1 / 0)
+        monkeypatch.setitem(scene.inbound.drainer._actions, DrainStep.CLOSE_IDLE, lambda now: 1 / 0)
         passed(scene, ALL_STEPS_REACHED_MS)
         assert client.answer().status == 503 and client.ended()
 
@@ -348,7 +348,7 @@
 def test_lines_on_single_requests_are_bounded_and_the_others_counted(
     capfd: pytest.CaptureFixture[str], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(drain_log, "LINES_A_SECOND", 3)
+    monkeypatch.setattr(drain_log, "MAX_LINES_PER_S", 3)
     made = drain_log.DrainLog()
     for n in range(10):
         made.request_refused(1000.0, f"q{n}", 1)
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -530,7 +530,7 @@
     assert one.send_stream(text, numbers) is True and got[0][0] == text and len(got[0][1]) == 2
     assert not set(got[0][1]) & set(numbers) and not os.get_inheritable(got[0][1][0])
     assert one.send_stream(b"bad", numbers) is False
-    monkeypatch.setattr(handover, "STREAM_S", 0.05)
+    monkeypatch.setattr(handover, "STREAM_TIMEOUT_S", 0.05)
     assert one.send_stream(b"slow", numbers) is None
     for _, descriptors in got:
         for number in descriptors:
--- a/tests/test_handover_races.py
+++ b/tests/test_handover_races.py
@@ -192,7 +192,7 @@
         new.inbound.drainer.begin(DrainCause.SIGTERM, DrainSchedule({}))
         if idle:
             os.close(numbers.pop())
-            text = connection_handover.IDLE
+            text = connection_handover.IDLE_MESSAGE
         with pytest.raises(HandoverDataError):
             connection_handover.receive(new.host, new.inbound, text, numbers)
         assert not new.inbound._clients and [end.recv(1) for end in ends] == [b"", b""]
--- a/tests/test_read_requests.py
+++ b/tests/test_read_requests.py
@@ -16,7 +16,7 @@
 from spoolbarrow import interface as i
 from spoolbarrow.net import client as client_module
 from spoolbarrow.net import http1, tcpinfo
-from spoolbarrow.net.client import FIRST_READ
+from spoolbarrow.net.client import FIRST_READ_BYTES
 from spoolbarrow.net.client import ClientConnection as InboundClient
 from spoolbarrow.net.http1 import Message, RequestParser
 from spoolbarrow.net.overflow import Overflow
@@ -25,7 +25,7 @@
     LISTEN,
     STREAM_HEAD,
     chunk,
-    end_answers,
+    close_after_answers,
     running_router,
     serve_all,
     wait_until,
@@ -110,7 +110,7 @@
         client.answer()
         inside = the_client(scene)
         wait_until(inside.idle)
-        end_answers(scene)
+        close_after_answers(scene)
         write, gate, came = inside.write, Event(), Event()
 
         def late(pieces: list[bytes]) -> None:
@@ -125,7 +125,7 @@
         wait_until(lambda: read_or_unread(inside))
         polls()
         gate.set()
-        wait_until(lambda: inside.ending)
+        wait_until(lambda: inside.lingering)
         polls()
         assert inside.has_unread() and not inside._parser.complete
         answer = client.answer()
@@ -139,7 +139,7 @@
     with running_router(serve_all, options={"linger_ms": NEVER}) as (scene, engine):
         client = scene.client().send(ask("last", Connection="close"))
         inside = the_client(scene)
-        wait_until(lambda: inside.ending)
+        wait_until(lambda: inside.lingering)
         client.send(ask("next"))
         wait_until(lambda: read_or_unread(inside))
         polls()
@@ -154,8 +154,8 @@
     with running_router(serve_all, options={"linger_ms": NEVER}) as (scene, engine):
         client = scene.client()
         inside = the_client(scene)
-        inside.overdue()
-        wait_until(lambda: inside.ending)
+        inside.time_out()
+        wait_until(lambda: inside.lingering)
         client.send(ask("late"))
         wait_until(lambda: read_or_unread(inside))
         polls()
@@ -170,7 +170,7 @@
         raw = asked(b"x" * 300_000)
         client = scene.client().send(raw[:-1000])
         inside = the_client(scene)
-        wait_until(lambda: inside.ending)
+        wait_until(lambda: inside.lingering)
         client.send(raw[-1000:] + ask("next"))
         wait_until(lambda: unread(inside) == ask("next"))
         polls()
@@ -358,7 +358,7 @@
         if by_call:
             scene.inbound.begin_operator_drain()
         else:
-            end_answers(scene)
+            close_after_answers(scene)
         client = scene.client().send(ask("a") + ask("b") + ask("c"))
         assert statuses(client) == [200] * 3 and names(engine) == [b"a", b"b", b"c"]
 
@@ -369,5 +369,5 @@
         one = ask("flood", X_Service_Class="unknown")
         client = scene.client().send(one * 500)
         answered = statuses(client)
-        assert set(answered) == {400} and len(answered) <= FIRST_READ // len(one)
+        assert set(answered) == {400} and len(answered) <= FIRST_READ_BYTES // len(one)
         assert not engine.requests
--- a/tests/test_shutdown_races.py
+++ b/tests/test_shutdown_races.py
@@ -32,7 +32,7 @@
     Client,
     ScriptedServer,
     ask,
-    end_answers,
+    close_after_answers,
     endpoint_entry,
     free_port,
     make_config,
@@ -105,14 +105,14 @@
             assert rest(client).status == 200
             client.sock.close()
         assert second.answer().status == 200
-        wait_until(lambda: not scene.inbound._leaving and not scene.inbound._waiting)
+        wait_until(lambda: not scene.inbound._closing_listeners and not scene.inbound._waiting)
 
 
 def test_a_drain_waits_for_the_last_connections_of_every_address() -> None:
     """One accepted at the first of three addresses has no place when all others have gone: taken once."""
     gate, seated = Event(), []
     with full(drain_accept_ms=1.0, drain_move_ms=NEVER, drain_answer_ms=NEVER) as (scene, engine, busy):
-        tell_steps, admit, looks = scene.inbound.drainer._tell_steps, scene.inbound._admit, 0
+        tell_steps, admit, looks = scene.inbound.drainer._log_steps, scene.inbound._admit, 0
 
         def look(now: float) -> None:
             nonlocal looks
@@ -127,12 +127,12 @@
             seated.append(sock)
             admit(sock)
 
-        scene.inbound.drainer._tell_steps, scene.inbound._make_room = look, no_room
+        scene.inbound.drainer._log_steps, scene.inbound._make_room = look, no_room
         scene.inbound._admit = seat
         waiting = scene.client().send(asked("waits"))
         wait_until(waits_for_room(scene, 1))
         move(scene), move(scene)
-        wait_until(lambda: len(scene.inbound._leaving) == 1)  # the second address has nothing left
+        wait_until(lambda: len(scene.inbound._closing_listeners) == 1)  # the second address has nothing left
         draining = gevent.spawn(scene.inbound.drain)
         engine.go.set()
         for client in busy:
@@ -169,7 +169,7 @@
             gevent.spawn(scene.inbound.apply, replace(scene.config, listen=(LISTEN, port))) for port in ports
         ]
         gevent.joinall(moves, raise_error=True)
-        wait_until(lambda: not scene.inbound._leaving)
+        wait_until(lambda: not scene.inbound._closing_listeners)
         with socket.socket() as sock:
             assert sock.connect_ex((LISTEN, ports[0])) != 0
         assert Client(ports[1]).send(ask()).answer().status == 200
@@ -220,7 +220,7 @@
         for one in ours:
             one.since -= NEVER
             one.close = lambda *why, one=one: closing(one, *why)
-        wait_until(lambda: all(one.answered() for one in ours))
+        wait_until(lambda: all(one.all_acknowledged() for one in ours))
         if close == "close_idle":
             scene.inbound.drainer.close_idle(scene.host.now())
         else:
@@ -264,7 +264,7 @@
         client = scene.client().send(UP)
         client.answer()
         (held,) = scene.inbound._clients
-        end_answers(scene)
+        close_after_answers(scene)
         write, gate, came = held.write, Event(), Event()
 
         def late(pieces: list[bytes]) -> None:
