--- a/tests/router_harness.py
+++ b/tests/router_harness.py
@@ -1,4 +1,4 @@
-"""A router on loopback sockets between scripted parties: for tests of what is said, never of how fast."""
+"""Runs a router on loopback sockets with scripted clients and servers, for tests of content, not of speed."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 from spoolbarrow.net.inbound import Inbound
 
 T = TypeVar("T")
-Script = Callable[[socket.socket, Message], object]  # true: hang up
+Script = Callable[[socket.socket, Message], object]  # closes the connection if it returns a true value
 EVENTS = [b'data: {"choices":[{"index":0,"delta":{"content":"ab"}}]}\n\n', b"data: [DONE]\n\n"]
 STREAM_HEAD = b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
 UNPROCESSED_503 = b"HTTP/1.1 503 Service Unavailable\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n"
@@ -36,7 +36,7 @@
 
 
 class ScriptedServer:
-    """A listener that answers each request by a script."""
+    """A server that answers each request with a script."""
 
     def __init__(self, script: Script) -> None:
         self.script = script
@@ -52,9 +52,9 @@
         while True:
             sock, _ = self.listener.accept()
             self.connections += 1
-            self.greenlets.append(gevent.spawn(self._converse, sock))
+            self.greenlets.append(gevent.spawn(self._serve, sock))
 
-    def _converse(self, sock: socket.socket) -> None:
+    def _serve(self, sock: socket.socket) -> None:
         parser = RequestParser(16384, 262144)
         with sock:
             try:
@@ -83,9 +83,9 @@
 
 
 def make_config(endpoints: list[dict[str, Any]], discovery: int = 1, **changes: Any) -> dict[str, Any]:
-    """The text of a configuration, as an object; no probes, so that only what a test does is seen.
+    """A configuration as an object, without probes, so that only the test causes requests.
 
-    The aim is long: where a busy machine stands still, waiting must not pass for a full destination set.
+    The latency objective is long, so that a stalled test machine does not look like a full destination set.
     """
     settings = {
         "Balancers": 1,
@@ -101,7 +101,7 @@
             "RetryAfter": True,
             "Cancelling": True,
             "MaxRetryAfterMs": 2000.0,
-            "ConnectTimeoutMs": 10_000.0,  # a busy machine must not pass for an endpoint that is cut off
+            "ConnectTimeoutMs": 10_000.0,  # a busy test machine must not look like an unreachable endpoint
         },
     }
     return {
@@ -116,7 +116,7 @@
 
 
 class Client:
-    """A client's connection."""
+    """A client connection."""
 
     def __init__(self, port: int) -> None:
         self.sock = socket.create_connection((LISTEN, port), 20)
@@ -126,10 +126,10 @@
         return self
 
     def answer(self) -> ResponseParser:
-        """The next whole answer, its body in `text`; ConnectionResetError where it is cut off."""
+        """The next complete response; ConnectionResetError if it is cut off."""
         parser = ResponseParser(16384)
         while not parser.complete:
-            if data := self.sock.recv(1):  # byte by byte: an answer that follows stays unread
+            if data := self.sock.recv(1):  # byte by byte, to leave a following response unread
                 parser.feed(memoryview(data))
             else:
                 parser.end()
@@ -140,28 +140,28 @@
 
 
 def ask(body: bytes = b'{"model":"chat"}', left: int = 5000, **headers: str) -> bytes:
-    """A request as clients write it; underscores in header names stand for dashes."""
-    named = {"X-Correlation-Id": "9b1f", "X-Service-Class": "chat", "X-Account": "acme"}
-    named |= {"X-Session-Key": "7f3a", "X-Facts": "prompt_len=40,max_out=8", "X-Time-Left-Ms": str(left)}
-    named["Content-Length"] = str(len(body))
-    named |= {name.replace("_", "-"): value for name, value in headers.items()}
-    head = "".join(f"{name}: {value}\r\n" for name, value in named.items())
+    """A request as clients send it; underscores in header names stand for dashes."""
+    fields = {"X-Correlation-Id": "9b1f", "X-Service-Class": "chat", "X-Account": "acme"}
+    fields |= {"X-Session-Key": "7f3a", "X-Facts": "prompt_len=40,max_out=8", "X-Time-Left-Ms": str(left)}
+    fields["Content-Length"] = str(len(body))
+    fields |= {name.replace("_", "-"): value for name, value in headers.items()}
+    head = "".join(f"{name}: {value}\r\n" for name, value in fields.items())
     return f"POST /v1/chat/completions?a=b HTTP/1.1\r\nHost: api\r\n{head}\r\n".encode() + body
 
 
 def run_ready() -> None:
-    """Let whatever is ready run, and what that makes ready."""
+    """Run all ready greenlets, and those that they make ready."""
     for _ in range(10):
         gevent.sleep(0)
 
 
-def wait_until(true: Callable[[], T], seconds: float = 40.0) -> T:
-    """Let greenlets and processes run until something holds, and give that; in vain it fails here."""
+def wait_until(condition: Callable[[], T], seconds: float = 40.0) -> T:
+    """Wait until a condition is true and return its value; fails after the time-out."""
     end = time.monotonic() + seconds
-    while not (found := true()):
-        assert time.monotonic() < end, "never came true"
+    while not (value := condition()):
+        assert time.monotonic() < end, "condition was not met in time"
         gevent.sleep(0.005)
-    return found
+    return value
 
 
 class RouterHarness:
@@ -176,16 +176,18 @@
         router: Any = self.host._router
         handle = router.handle
 
-        def listening(now: float, events: list[i.Event]) -> list[i.Action]:
+        def recording(now: float, events: list[i.Event]) -> list[i.Action]:
             self.events += events
             return handle(now, events)  # type: ignore[no-any-return]
 
-        router.handle = listening
+        router.handle = recording
         self.inbound.start()
         self.host.start()
 
     def client(self) -> Client:
-        self.clients.append(Client(self.config.listen[1]))  # kept: a forgotten socket would be closed
+        self.clients.append(
+            Client(self.config.listen[1])
+        )  # kept, as garbage collection would close the socket
         return self.clients[-1]
 
     def events_of(self, kind: type) -> list[Any]:
@@ -196,22 +198,22 @@
 def running_router(
     *scripts: Script, watch: Script = lambda sock, message: None, **changes: Any
 ) -> Iterator[tuple[Any, ...]]:
-    """A router before endpoints that follow these scripts, and a discovery: (stage, endpoints...)."""
-    parties = [ScriptedServer(script) for script in (watch, *scripts)]
-    endpoints = [endpoint_entry(f"e{n}", party.port) for n, party in enumerate(parties[1:])]
-    made = RouterHarness(make_config(endpoints, parties[0].port, **changes))
+    """A router with endpoints that follow these scripts, and a discovery server: (harness, endpoints...)."""
+    servers = [ScriptedServer(script) for script in (watch, *scripts)]
+    endpoints = [endpoint_entry(f"e{n}", server.port) for n, server in enumerate(servers[1:])]
+    harness = RouterHarness(make_config(endpoints, servers[0].port, **changes))
     try:
-        yield (made, *parties[1:])
+        yield (harness, *servers[1:])
     finally:
-        made.inbound.close()
-        made.host.stop()
-        for party in parties:
-            party.close()
+        harness.inbound.close()
+        harness.host.stop()
+        for server in servers:
+            server.close()
 
 
-def close_after_answers(scene: RouterHarness) -> None:
-    """From now on the end of an answer ends its connection, and nothing else is done."""
-    scene.inbound.drainer.begin(DrainCause.SUCCESSOR, DrainSchedule({DrainStep.END_ANSWERS: 0.0}))
+def close_after_answers(harness: RouterHarness) -> None:
+    """Start a drain whose only step is to close connections after their responses."""
+    harness.inbound.drainer.begin(DrainCause.SUCCESSOR, DrainSchedule({DrainStep.END_ANSWERS: 0.0}))
 
 
 def now_unix_ms() -> float:
--- a/tests/test_accepting.py
+++ b/tests/test_accepting.py
@@ -1,4 +1,4 @@
-"""Accept and connect fail in the ways that Linux documents, for a moment: nobody stops, nobody is blamed."""
+"""Transient errors of accept and connect, as documented by Linux, stop no accept loop and blame no peer."""
 
 from __future__ import annotations
 
@@ -19,11 +19,11 @@
 from tests.router_harness import LISTEN, ask, running_router, serve_all, wait_until
 
 ROOT = Path(spoolbarrow.__file__).parent
-FOR_A_MOMENT = ("ECONNABORTED", "EINTR", "EPROTO", "ENETDOWN", "EHOSTUNREACH", "EMFILE", "ENFILE", "ENOBUFS")
+TRANSIENT = ("ECONNABORTED", "EINTR", "EPROTO", "ENETDOWN", "EHOSTUNREACH", "EMFILE", "ENFILE", "ENOBUFS")
 
 
 def failing(listener: Any, *names: str) -> Any:
-    """A listener whose next accepts fail with these errors."""
+    """Wrap a listener so that its next accepts fail with these errors."""
     return _Failing(listener, names)
 
 
@@ -49,72 +49,70 @@
         yield made
 
 
-@pytest.mark.parametrize("name", FOR_A_MOMENT)
-def test_a_connection_behind_a_failed_accept_is_taken(
+@pytest.mark.parametrize("name", TRANSIENT)
+def test_accept_continues_after_a_passing_error(
     listener: Any, name: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(accepting, "RESOURCE_PAUSE_S", 0.01)
-    heard: list[int | None] = []
+    reported: list[int | None] = []
     with socket.create_connection(listener.getsockname()) as near:
         far = accepting.next_connection(
-            failing(listener, name, name), lambda error: heard.append(error.errno)
+            failing(listener, name, name), lambda error: reported.append(error.errno)
         )
         assert far.getpeername() == near.getsockname()
         far.close()
-    assert heard == (
+    assert reported == (
         [] if getattr(errno, name) in accepting.CONNECTION_ERRNOS else [getattr(errno, name)] * 2
     )
 
 
 @pytest.mark.parametrize("name", ["EBADF", "EINVAL", "EAGAIN"])
-def test_where_nobody_listens_or_nothing_waits_it_is_told(listener: Any, name: str) -> None:
+def test_errors_of_the_listener_itself_are_raised(listener: Any, name: str) -> None:
     with pytest.raises(OSError) as raised:
         accepting.next_connection(failing(listener, name), lambda error: None)
     assert raised.value.errno == getattr(errno, name)
 
 
-def test_no_accept_loop_is_left_to_itself() -> None:
-    """Each goes by `next_connection`: one that does not ends with the first connection that is reset."""
+def test_every_accept_loop_uses_next_connection() -> None:
+    """A loop of its own would end at the first connection that is reset."""
     own = [path for path in ROOT.rglob("*.py") if ".accept()" in path.read_text() and "lab" not in path.parts]
     assert own == [ROOT / "net" / "accepting.py"]
 
 
-def test_clients_are_accepted_after_errors_of_others(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_clients_are_accepted_after_accept_errors(monkeypatch: pytest.MonkeyPatch) -> None:
     accept: Callable[..., Any] = socket.socket.accept
     left = ["ECONNABORTED", "ENFILE", "ENOBUFS"]
 
     def accept_or_fail(self: Any) -> Any:
-        taken = accept(self)
+        accepted = accept(self)
         if left and self.getsockname()[1] == port:
-            taken[0].close()
+            accepted[0].close()
             number = getattr(errno, left.pop())
             raise OSError(number, os.strerror(number))
-        return taken
+        return accepted
 
-    with running_router(serve_all) as (scene, _):
-        port = scene.config.listen[1]
+    with running_router(serve_all) as (harness, _):
+        port = harness.config.listen[1]
         monkeypatch.setattr(socket.socket, "accept", accept_or_fail)
-        aborted = [scene.client() for _ in range(3)]
+        aborted = [harness.client() for _ in range(3)]
         wait_until(lambda: not left)
-        assert scene.client().send(ask()).answer().status == 200
+        assert harness.client().send(ask()).answer().status == 200
         assert all(client.ended() for client in aborted)
 
 
-def test_a_collector_goes_on_behind_a_connection_that_was_reset(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_collector_continues_after_a_reset_connection(monkeypatch: pytest.MonkeyPatch) -> None:
     made = Listener(Collector("tcp", LISTEN, 0), 1, lambda *given: None)
     with monkeypatch.context() as broken:
         broken.setattr(made, "_sock", failing(made._sock, "ECONNABORTED"))
-        accepting_again = gevent.spawn(made._accept)
+        loop = gevent.spawn(made._accept)
         with socket.create_connection((LISTEN, made.port)):
             wait_until(lambda: made._connections)
-        accepting_again.kill()
+        loop.kill()
     made.close()
 
 
 @pytest.mark.parametrize("name", ["EADDRNOTAVAIL", "ENOBUFS", "EAGAIN", "ENFILE"])
-def test_a_lack_of_this_machine_is_no_fault_of_the_other_side(
-    name: str, monkeypatch: pytest.MonkeyPatch
-) -> None:
+def test_a_local_resource_shortage_is_no_peer_failure(name: str, monkeypatch: pytest.MonkeyPatch) -> None:
     def connect(self: Any, address: Any) -> None:
         raise OSError(getattr(errno, name), name)
 
@@ -124,7 +122,7 @@
 
 
 @pytest.mark.parametrize("name", ["ENETUNREACH", "EHOSTUNREACH", "ECONNREFUSED", "ETIMEDOUT"])
-def test_one_that_cannot_be_reached_is_told_as_such(name: str, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_unreachable_peer_is_no_local_shortage(name: str, monkeypatch: pytest.MonkeyPatch) -> None:
     def connect(self: Any, address: Any) -> None:
         raise OSError(getattr(errno, name), name)
 
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -1,4 +1,4 @@
-"""Clients fill the descriptors of a real process while discovery is away, and it comes back."""
+"""Exhaustion of descriptors: clients flood a real process while discovery is down and then recovers."""
 
 from __future__ import annotations
 
@@ -36,9 +36,9 @@
     wait_until,
 )
 
-MANY = 2000  # clients that say nothing to the point
-TOLD_S = 3.0  # after connecting, each of them is told or closed
-LIST_S = 6.0  # after discovery can be reached, the list is known
+MANY = 2000  # clients without a valid request
+TOLD_S = 3.0  # time after connecting within which each of them is answered or closed
+LIST_S = 6.0  # time after discovery is reachable within which the list is known
 LIMITED = (
     "import resource, runpy, sys\n"
     "resource.setrlimit(resource.RLIMIT_NOFILE, (int(sys.argv[1]),) * 2)\n"
@@ -48,7 +48,7 @@
 
 
 class Discovery:
-    """A service at a port of its own: away (refusing), then silent, then answering."""
+    """A discovery server that refuses connections at first, then is unresponsive, then answers."""
 
     def __init__(self) -> None:
         self.sock = socket.socket()
@@ -72,7 +72,7 @@
 
     def _answer(self, sock: socket.socket) -> None:
         line = json.dumps({"index": 9, "snapshot": True, "endpoints": self.endpoints}).encode() + b"\n"
-        with suppress(OSError):  # it may have given up
+        with suppress(OSError):  # the router may have given up
             watch = b"stream=1" in sock.recv(4096)
             sock.sendall(STREAM_HEAD + chunk(line) + b"0\r\n\r\n" * (not watch))
             while watch:
@@ -87,14 +87,14 @@
 
 
 class Idler:
-    """A client that says nothing to the point, and stays until it is told, and then for `stays` s.
+    """A client without a valid request that waits for a response or the close, then stays for `stays` s.
 
-    `again`: then it comes again.
+    It reconnects while `again` is true.
     """
 
     def __init__(self, port: int, says: bytes, stays: float, again: bool) -> None:
         self.port, self.says, self.stays, self.again = port, says, stays, again
-        self.told_s: list[float] = []  # after connecting, on each connection
+        self.told_s: list[float] = []  # by connection: time until the response or the close
         self.running = gevent.spawn(self._run)
 
     def _run(self) -> None:
@@ -125,7 +125,7 @@
 
 
 class Router:
-    """A real process with its limit of descriptors; how many it holds is looked at all the time."""
+    """A router process with a descriptor limit; its open descriptors are counted continuously."""
 
     def __init__(self, folder: Path, sockets: int, limit: int, discovery: Discovery, **changes: Any) -> None:
         known = changes.pop("known", [])
@@ -137,9 +137,9 @@
         self.port = int(raw["listen"].rpartition(":")[2])
         self.process = Process("-c", LIMITED, str(limit), env={"NODE_CONFIG": str(file)})
         self.most = 0
-        self._looking = gevent.spawn(self._look)
+        self._counter = gevent.spawn(self._count)
 
-    def _look(self) -> None:
+    def _count(self) -> None:
         while self.process.popen.poll() is None:
             with suppress(OSError):
                 self.most = max(self.most, len(os.listdir(f"/proc/{self.process.popen.pid}/fd")))
@@ -149,13 +149,13 @@
         return any(line["serving"] for line in self.process.events("destinations"))
 
     def end(self) -> None:
-        self._looking.kill()
+        self._counter.kill()
         self.process.kill()
 
 
 @pytest.fixture
 def world(tmp_path: Path) -> Iterator[Callable[..., Any]]:
-    """Make routers, all of one discovery (`discovery`), with one engine (`engine`)."""
+    """A factory of routers that share one discovery server and one engine."""
     most_files()
     made: list[Router] = []
     discovery = Discovery()
@@ -178,16 +178,19 @@
 @pytest.mark.parametrize(
     "says, stays", [(b"", 0.0), (b"POST /v1/chat/completions HT", 0.0), (b"NONSENSE\r\n\r\n", 1.8)]
 )
-def test_a_flood_while_discovery_is_away_costs_neither_the_list_nor_a_place(
+def test_a_flood_while_discovery_is_down_delays_neither_the_list_nor_clients(
     world: Callable[..., Any], says: bytes, stays: float
 ) -> None:
-    """Silent, half a request, told but staying: each told in 3 s, the list known in 6, a request served."""
+    """Without a request, with half of one, or staying after a response.
+
+    Each client is answered in 3 s, the list is known in 6 s, and a request is served.
+    """
     router, discovery, _ = world()
     idlers = flood(router.port, MANY, says, stays, again=True)
     asking = [gevent.spawn(asked, router.port, f"a{n}") for n in range(9)]
     gevent.sleep(1.0)  # refused
     discovery.listen()
-    gevent.sleep(1.0)  # silent
+    gevent.sleep(1.0)  # unresponsive
     discovery.answers = True
     back = time.monotonic()
     wait_until(router.listed)
@@ -195,7 +198,7 @@
     for one in idlers:
         one.again = False
     begun, statuses = time.monotonic(), [0]
-    while statuses[-1] != 200:  # refused while others have come before it
+    while statuses[-1] != 200:  # refused while earlier clients wait
         statuses.append(asked(router.port, f"b{len(statuses)}"))
     assert time.monotonic() - begun < LIST_S and set(statuses) <= {0, 503, 200}
     assert longest(idlers) < TOLD_S
@@ -203,7 +206,7 @@
     assert router.most <= 256 and not router.process.events("accept_paused")
 
 
-def test_clients_that_take_nothing_of_their_streams_do_not_keep_others_waiting(
+def test_clients_that_do_not_read_their_streams_do_not_block_others(
     world: Callable[..., Any],
 ) -> None:
     def stream(sock: socket.socket, message: Any) -> None:
@@ -222,11 +225,11 @@
     assert longest(flood(router.port, 300)) < TOLD_S
     assert time.monotonic() - begun < 2 * TOLD_S and router.most <= 256
     assert router.process.events("no_room_for_clients")[0]["remedy"]
-    assert all(client.sock.recv(1) for client in slow)  # theirs go on
+    assert all(client.sock.recv(1) for client in slow)  # their streams continue
 
 
 def test_several_routers_each_keep_their_reserve(world: Callable[..., Any]) -> None:
-    """One has a lower limit than the platform told it, one a far larger: the lower counts."""
+    """One has a lower descriptor limit than its setting, one a far higher one: the lower value applies."""
     limits = ((256, 256), (1024, 100), (1024, 1024))
     made = [world(sockets, limit) for sockets, limit in limits]
     _, discovery, _ = made[0]
@@ -243,7 +246,7 @@
         assert router.most <= limit and not router.process.events("accept_paused")
 
 
-def test_a_process_that_may_hold_too_few_does_not_start(tmp_path: Path) -> None:
+def test_a_process_with_too_low_a_descriptor_limit_does_not_start(tmp_path: Path) -> None:
     file = tmp_path / "config.json"
     file.write_text(json.dumps(make_config([], 1)))
     process = Process("-c", LIMITED, "40", env={"NODE_CONFIG": str(file)})
@@ -252,7 +255,7 @@
     assert process.events("bad_config")[0]["error"].startswith("limits.sockets: ")
 
 
-def test_what_was_open_at_the_start_comes_out_of_what_connections_may_take() -> None:
+def test_descriptors_open_at_the_start_reduce_the_connection_limits() -> None:
     made = config.parse(json.dumps(make_config([], 1, limits={"sockets": 256})).encode())
     few, many = config.fit_descriptors(made, 1000, 6), config.fit_descriptors(made, 200, 48)
     assert (few.max_inbound, few.max_outbound) == (made.max_inbound, made.max_outbound) == (112, 112)
@@ -264,7 +267,7 @@
     )
 
 
-def test_two_processes_of_a_router_hold_together_what_one_may(tmp_path: Path) -> None:
+def test_two_processes_of_a_router_share_the_limits_of_one(tmp_path: Path) -> None:
     made = config.parse(json.dumps(make_config([], 1, limits={"sockets": 256}, control="h:1")).encode())
     older = Handover(str(tmp_path))
     newer = Handover(str(tmp_path))
@@ -286,18 +289,18 @@
 def test_running_out_of_descriptors_is_logged_once(
     monkeypatch: pytest.MonkeyPatch, capfd: pytest.CaptureFixture[str]
 ) -> None:
-    with running_router(serve_all) as (scene, _):
-        accept = type(scene.inbound._listener).accept
+    with running_router(serve_all) as (harness, _):
+        accept = type(harness.inbound._listener).accept
         failures = iter([OSError(24, "Too many open files")] * 4)
 
         def failing(listener: Any) -> Any:
-            for error in failures if listener is scene.inbound._listener else ():
+            for error in failures if listener is harness.inbound._listener else ():
                 raise error
             return accept(listener)
 
-        monkeypatch.setattr(type(scene.inbound._listener), "accept", failing)
-        scene.client().send(ask()).answer()  # the accept under way is the old one
-        assert scene.client().send(ask()).answer().status == 200
+        monkeypatch.setattr(type(harness.inbound._listener), "accept", failing)
+        harness.client().send(ask()).answer()  # by the accept call already in progress
+        assert harness.client().send(ask()).answer().status == 200
     assert capfd.readouterr().err.count('"accept_paused"') == 1
 
 
@@ -306,47 +309,47 @@
 
 
 @pytest.mark.parametrize("lack", ["places", "descriptors"])
-def test_engines_are_not_blamed_where_the_router_can_open_no_connection(
+def test_engines_are_not_blamed_if_the_router_can_open_no_connection(
     lack: str, monkeypatch: pytest.MonkeyPatch, capfd: pytest.CaptureFixture[str]
 ) -> None:
-    """Each request has its one answer at once, no engine is left out, one line of the log tells of it."""
+    """Each request is answered at once, no engine is excluded, and a single line is logged."""
     monkeypatch.setattr(
         connection_pool, "SHORTAGE_LOG_INTERVAL_MS", 1e9
-    )  # a busy machine must not pass for a second period
-    with running_router(serve_all, serve_all) as (scene, *engines):
-        pool, replicas = scene.host._endpoints._pool, scene.host._router.pool.replicas.values()
+    )  # a slow test must not reach a second logging period
+    with running_router(serve_all, serve_all) as (harness, *engines):
+        pool, replicas = harness.host._endpoints._pool, harness.host._router.pool.replicas.values()
         with monkeypatch.context() as lacking:
             if lack == "places":
-                lacking.setattr(pool, "_open_count", scene.config.max_outbound)
+                lacking.setattr(pool, "_open_count", harness.config.max_outbound)
             else:
                 lacking.setattr(http1, "socket", none_left)
             for n in range(3):
-                answer = scene.client().send(ask(X_Correlation_Id=f"a{n}")).answer()
+                answer = harness.client().send(ask(X_Correlation_Id=f"a{n}")).answer()
                 assert answer.status == 503 and answer.fields[b"retry-after"]
                 pool.sweep()
-            # Each at once after its attempts, on both engines: a deadline would have ended it otherwise.
-            assert [event.outcome for event in scene.events_of(i.AttemptEnded)] == [i.Outcome.MOOT] * 6
+            # Each was answered after an attempt at both engines, not at its deadline.
+            assert [event.outcome for event in harness.events_of(i.AttemptEnded)] == [i.Outcome.MOOT] * 6
             for name in ("e0", "e1"):
-                scene.host._endpoints.probe(name)
-            wait_until(lambda: len(scene.events_of(i.ProbeAnswered)) == 2)
-            assert {event.outcome for event in scene.events_of(i.ProbeAnswered)} == {i.Outcome.MOOT}
+                harness.host._endpoints.probe(name)
+            wait_until(lambda: len(harness.events_of(i.ProbeAnswered)) == 2)
+            assert {event.outcome for event in harness.events_of(i.ProbeAnswered)} == {i.Outcome.MOOT}
             assert not any(replica.suspect_count or replica.load_ms for replica in replicas)
-        assert scene.client().send(ask(X_Correlation_Id="b")).answer().status == 200
+        assert harness.client().send(ask(X_Correlation_Id="b")).answer().status == 200
         assert sum(len(engine.requests) for engine in engines) == 1
     lines = [json.loads(line) for line in capfd.readouterr().err.splitlines()]
     events = [line["event"] for line in lines]
     assert events.count("no_room_for_attempts") == 1 and "not_sent" not in events
 
 
-def test_a_check_that_asked_nothing_for_lack_of_descriptors_says_nothing_of_a_zone(
+def test_a_check_not_made_for_lack_of_descriptors_says_nothing_about_a_zone(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    with running_router(serve_all) as (scene, engine):
-        watch = ZoneMonitor(scene.host, FailoverTable(period_ms=600_000.0))
+    with running_router(serve_all) as (harness, engine):
+        watch = ZoneMonitor(harness.host, FailoverTable(period_ms=600_000.0))
         with monkeypatch.context() as lacking:
             lacking.setattr(http1, "socket", none_left)
             watch._check("e0", ("127.0.0.1", engine.port))
         assert not watch._outcomes
         watch._check("e0", ("127.0.0.1", engine.port))
-        assert [heard.ok for heard in watch._outcomes] == [True]
+        assert [outcome.ok for outcome in watch._outcomes] == [True]
         watch.stop()
--- a/tests/test_drain.py
+++ b/tests/test_drain.py
@@ -1,8 +1,8 @@
-"""After SIGTERM: each path on which a request may still come or be open, against the real process.
+"""Drains after SIGTERM: each way in which a request may still arrive or be open, with a real process.
 
-Every test waits for events. What the clock of the drain has reached is seen from outside by connections that
-stand by for it: an idle one is closed when `drain_keep_ms` passes, a running stream broken off at
-`drain_move_ms`, a request that waits answered at `drain_answer_ms`.
+The tests wait for events, not for times. Additional connections show which step the drain has reached: an
+idle one is closed at `drain_keep_ms`, a running stream is broken off at `drain_move_ms`, and a waiting
+request is answered at `drain_answer_ms`.
 """
 
 from __future__ import annotations
@@ -59,7 +59,7 @@
 
 
 class Engine(ScriptedServer):
-    """One that does what a request's body says: answer, begin and wait for `go`, or say nothing."""
+    """An engine that does what the request body says: answer, start and wait for `go`, or stay silent."""
 
     def __init__(self) -> None:
         self.go = Event()
@@ -81,7 +81,7 @@
 
 
 class Router:
-    """The program as a process."""
+    """A router process."""
 
     def __init__(self, folder: Path, raw: dict[str, Any], engine: Engine) -> None:
         self.engine, self.port = engine, int(raw["listen"].rpartition(":")[2])
@@ -104,19 +104,19 @@
         return Client(self.port)
 
     def used(self) -> Client:
-        """A connection that was used once and is idle."""
+        """An idle connection that was used once."""
         client = self.client().send(b"GET /up HTTP/1.1\r\n\r\n")
         assert client.answer().status == 200
         return client
 
     def begun(self, name: str) -> Client:
-        """A connection whose stream has begun and waits for the engine's `go`."""
+        """A connection whose stream has started and waits for the engine's `go`."""
         client = self.client().send(asked(name, b"begin"))
         assert client.sock.recv(1) == b"H"
         return client
 
     def waiting(self) -> Client:
-        """A connection whose request has come to its engine and is never answered there."""
+        """A connection whose request has reached the engine, which never answers it."""
         client = self.client().send(asked("waits", b"silence"))
         wait_until(lambda: self.engine.got("waits"))
         return client
@@ -142,10 +142,10 @@
     full: socket.socket | None = None,
     **changes: Any,
 ) -> Iterator[Router]:
-    """The program before an engine, or before a machine (`full`) that takes no connection up."""
+    """A router with an engine, or with a listener (`full`) that accepts no connection."""
     engine, port = Engine(), 0
     if full is not None:
-        full.bind(("127.0.0.1", 0))  # where `entry` says that engines are
+        full.bind(("127.0.0.1", 0))  # the address that `endpoint_entry` uses
         full.listen(0)
         port = full.getsockname()[1]
         for _ in range(2):
@@ -172,24 +172,24 @@
 
 
 def rest(client: Client, begun: bytes = b"H") -> ResponseParser:
-    """The whole answer whose first byte was read."""
+    """Read the rest of a response whose first byte was read."""
     parser = ResponseParser(16384)
     parser.feed(memoryview(begun))
     while not parser.complete:
         seen = client.sock.recv(65536, socket.MSG_PEEK)
         size = seen.find(END) + len(END) if END in seen else max(1, len(seen) - len(END))
-        data = client.sock.recv(size)  # never more: an answer that follows stays unread
+        data = client.sock.recv(size)  # no more, so that a following response stays unread
         parser.feed(memoryview(data)) if data else parser.end()
     return parser
 
 
 def refused(client: Client) -> bool:
-    """Its next answer: refused, and told when to come back."""
+    """Whether its next response is a 503 with Retry-After."""
     answer = client.answer()
     return answer.status == 503 and float(answer.fields[b"retry-after"]) > 0
 
 
-# Requests that come after SIGTERM on connections that stay open
+# Requests after SIGTERM on connections that stay open
 
 
 def test_after_drain_accept_a_kept_connection_is_served(tmp_path: Path) -> None:
@@ -203,7 +203,7 @@
         made.ends()
 
 
-def test_after_drain_keep_what_a_busy_connection_asks_next_is_served(tmp_path: Path) -> None:
+def test_after_drain_keep_the_next_request_on_a_busy_connection_is_served(tmp_path: Path) -> None:
     with router(tmp_path, TIMES | {"move": NEVER, "answer": NEVER}) as made:
         idle, busy = made.used(), made.begun("first")
         made.term()
@@ -216,8 +216,8 @@
         made.ends()
 
 
-def test_after_drain_answer_a_request_is_refused_at_once_and_never_sent_on(tmp_path: Path) -> None:
-    """A stream whose client reads slowly holds its connection open; what it asks next was read behind it."""
+def test_after_drain_answer_a_request_is_refused_at_once_and_reaches_no_engine(tmp_path: Path) -> None:
+    """A slow reader of a stream keeps its connection open; its next request is read after the stream."""
     with router(tmp_path, TIMES | {"move": NEVER}) as made:
         slow, got = slow_client(made.port, made.engine)
         waiting = made.waiting()
@@ -229,7 +229,7 @@
         made.ends()
 
 
-def test_without_resumed_streams_each_request_read_ahead_is_refused(tmp_path: Path) -> None:
+def test_without_resumable_streams_each_request_read_ahead_is_refused(tmp_path: Path) -> None:
     with router(tmp_path, TIMES | {"answer": NEVER}, resume=False) as made:
         idle, busy = made.used(), made.begun("first")
         busy.send(asked("second") + asked("third"))
@@ -244,11 +244,11 @@
         made.ends()
 
 
-def test_requests_read_ahead_are_answered_one_by_one_when_all_that_waits_is(tmp_path: Path) -> None:
+def test_requests_read_ahead_are_answered_in_turn_at_drain_answer(tmp_path: Path) -> None:
     with router(tmp_path) as made:
         waiting = made.waiting().send(asked("second") + asked("third"))
         made.term()
-        assert waiting.answer().status == 502  # it may have run
+        assert waiting.answer().status == 502  # the request may have run
         assert refused(waiting) and refused(waiting) and waiting.ended()
         assert len(made.engine.requests) == 1
         made.ends()
@@ -258,14 +258,14 @@
 
 
 @pytest.mark.parametrize("resume", [True, False])
-def test_half_read_when_the_drain_begins_a_request_becomes_whole(tmp_path: Path, resume: bool) -> None:
+def test_a_request_half_read_at_the_start_of_a_drain_may_be_completed(tmp_path: Path, resume: bool) -> None:
     with router(tmp_path, TIMES | {"move": NEVER, "answer": NEVER}, resume) as made:
         idle, half, fresh = made.used(), made.used(), made.client()
         half.send(asked("half")[:60])
         fresh.send(asked("fresh")[:-1])
         wait_until(lambda: nothing_unsent(half.sock) and nothing_unsent(fresh.sock))
         made.term()
-        assert idle.ended()  # drain_keep_ms has passed, or where nobody resumes drain_accept_ms
+        assert idle.ended()  # drain_keep_ms has passed, or drain_accept_ms if streams can't be resumed
         half.send(asked("half")[60:])
         fresh.send(asked("fresh")[-1:])
         if resume:
@@ -276,7 +276,7 @@
         made.ends()
 
 
-def test_half_read_when_all_is_answered_a_request_is_refused(tmp_path: Path) -> None:
+def test_a_request_half_read_at_drain_answer_is_refused(tmp_path: Path) -> None:
     with router(tmp_path) as made:
         half = made.used().send(asked("half")[:60])
         wait_until(lambda: nothing_unsent(half.sock))
@@ -285,17 +285,17 @@
         made.ends()
 
 
-# Connections that the kernel has accepted
+# Connections in the kernel's accept queue
 
 
-def test_connections_that_wait_to_be_accepted_are_served_before_the_listener_closes(tmp_path: Path) -> None:
-    """Sixteen connections are held at most, each busy; four more wait in the kernel with a whole request."""
+def test_connections_in_the_accept_queue_are_served_before_the_listener_closes(tmp_path: Path) -> None:
+    """At the limit of sixteen busy connections, four more wait in the queue with a complete request."""
     limits = {"sockets": 64}
     with router(tmp_path, TIMES | {"move": NEVER, "answer": NEVER}, limits=limits) as made:
         busy = [made.begun(f"busy{n}") for n in range(16)]
         queued = [made.client().send(asked(f"queued{n}")) for n in range(4)]
         made.term()
-        gevent.sleep(0.5)  # drain_accept_ms and drain_keep_ms have passed; nothing tells so from outside
+        gevent.sleep(0.5)  # drain_accept_ms and drain_keep_ms pass; not observable from outside
         assert not any(made.engine.got(f"queued{n}") for n in range(4))
         made.engine.go.set()
         for client in busy:
@@ -305,40 +305,40 @@
         made.ends()
 
 
-def test_a_connection_that_waits_when_the_address_changes_is_served() -> None:
-    with running_router(serve_all) as (scene, _), plain.socket() as waits:
-        waits.connect(scene.config.listen)  # no other greenlet runs meanwhile
+def test_a_connection_in_the_accept_queue_is_served_when_the_address_changes() -> None:
+    with running_router(serve_all) as (harness, _), plain.socket() as waits:
+        waits.connect(harness.config.listen)  # a plain socket: no other greenlet runs meanwhile
         waits.sendall(ask())
-        scene.inbound.apply(replace(scene.config, listen=(LISTEN, free_port())))
+        harness.inbound.apply(replace(harness.config, listen=(LISTEN, free_port())))
         client = Client.__new__(Client)
         client.sock = socket.socket(fileno=os.dup(waits.fileno()))
         assert client.answer().status == 200
         client.sock.close()
 
 
-def test_a_connection_that_came_just_now_may_still_say_what_it_wants(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_new_connection_may_still_send_a_request(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(drainer, "NEWCOMER_MS", NEVER)
-    with running_router(options={"drain_accept_ms": 50.0}) as (scene,):
-        idle, newcomer = scene.client().send(b"GET /up HTTP/1.1\r\n\r\n"), scene.client()
+    with running_router(options={"drain_accept_ms": 50.0}) as (harness,):
+        idle, newcomer = harness.client().send(b"GET /up HTTP/1.1\r\n\r\n"), harness.client()
         idle.answer()
-        draining = gevent.spawn(scene.inbound.drain)
+        draining = gevent.spawn(harness.inbound.drain)
         assert idle.ended()
         assert refused(newcomer.send(ask())) and newcomer.ended()
         draining.join()
 
 
-def test_a_request_that_has_come_and_is_not_read_yet_keeps_its_connection() -> None:
-    with running_router(serve_all) as (scene, _):
-        client = scene.client()
+def test_a_connection_with_an_unread_request_is_not_closed() -> None:
+    with running_router(serve_all) as (harness, _):
+        client = harness.client()
         for name in ("first", "second"):
-            wait_until(lambda: [c for c in scene.inbound._clients if c.idle()])
-            client.send(asked(name))  # written, and no other greenlet has run
-            scene.inbound.drainer.close_idle(scene.host.now() + NEVER)
+            wait_until(lambda: [c for c in harness.inbound._clients if c.idle()])
+            client.send(asked(name))  # no other greenlet has run since
+            harness.inbound.drainer.close_idle(harness.host.now() + NEVER)
             assert client.answer().status == 200
 
 
-def test_a_client_that_still_takes_in_its_answer_keeps_its_connection(tmp_path: Path) -> None:
-    """All of it is the kernel's: a request that crosses the close would reset it."""
+def test_a_client_that_is_still_reading_its_response_keeps_its_connection(tmp_path: Path) -> None:
+    """The response is in the kernel's send buffer, and a request that crosses the close would reset it."""
     with router(tmp_path, TIMES | {"move": NEVER, "answer": NEVER}) as made:
         idle, slow = made.used(), slow_socket(made.port)
         slow.send(asked("slow", b"much"))
@@ -350,39 +350,39 @@
         made.ends()
 
 
-def test_a_request_gets_its_answer_or_its_connection_is_closed_before_it_is_read(tmp_path: Path) -> None:
-    """Clients ask one thing after the other on kept connections till these are closed, then too."""
+def test_a_request_is_answered_or_its_connection_is_closed_before_it_is_read(tmp_path: Path) -> None:
+    """Clients send requests one after another on kept connections until these are closed."""
     with router(tmp_path, TIMES | {"accept": 30.0, "move": NEVER, "answer": NEVER}) as made:
-        asking, told, unheard = [made.used() for _ in range(24)], 0, []
+        clients, answered, unanswered = [made.used() for _ in range(24)], 0, []
 
-        def ask_on(who: int) -> None:
-            nonlocal told
+        def keep_asking(who: int) -> None:
+            nonlocal answered
             for number in range(10_000):
                 name = f"{who}-{number}"
                 try:
-                    answer = asking[who].send(asked(name)).answer()
+                    answer = clients[who].send(asked(name)).answer()
                 except ConnectionError:
-                    return unheard.append(name)
+                    return unanswered.append(name)
                 assert answer.status == 200
-                told += 1
+                answered += 1
                 if answer.fields.get(b"connection") == b"close":
                     return None
                 gevent.sleep(0.001 * (who % 5))
             return None
 
-        clients = [gevent.spawn(ask_on, who) for who in range(24)]
-        wait_until(lambda: told > 100)
+        asking = [gevent.spawn(keep_asking, who) for who in range(24)]
+        wait_until(lambda: answered > 100)
         made.term()
-        gevent.joinall(clients, raise_error=True)
+        gevent.joinall(asking, raise_error=True)
         made.ends()
-        assert told == len(made.engine.requests) and not any(made.engine.got(name) for name in unheard)
+        assert answered == len(made.engine.requests) and not any(made.engine.got(name) for name in unanswered)
 
 
-# What waits for its first event
+# Requests that wait for their first event
 
 
-def test_what_cannot_have_run_is_refused_and_not_failed(tmp_path: Path) -> None:
-    """Its engine's machine never takes the connection up."""
+def test_a_request_that_cannot_have_run_is_refused_and_not_failed(tmp_path: Path) -> None:
+    """The engine never accepts the connection."""
     with socket.socket() as full, router(tmp_path, full=full) as made:
         waits = made.client().send(asked("waits"))
         wait_until(lambda: nothing_unsent(waits.sock))
@@ -391,8 +391,8 @@
         made.ends()
 
 
-def test_where_sigkill_comes_sooner_all_is_answered_sooner(tmp_path: Path) -> None:
-    """SIGKILL comes 2.2 s after SIGTERM; its own deadline, 2.9 s, would end the request with a 504."""
+def test_with_an_earlier_sigkill_requests_are_answered_earlier(tmp_path: Path) -> None:
+    """SIGKILL comes 2.2 s after SIGTERM; at its own deadline, 2.9 s, the request would get a 504."""
     with router(tmp_path, {}, deadline=1500.0) as made:
         waiting = made.client()
         waiting.send(ask(b"silence", left=2900))
@@ -403,8 +403,8 @@
 
 
 @pytest.mark.parametrize(
-    ("longest", "resume", "succeeded", "times"),
-    [  # accept, keep, refuse, pass_on, move, answer
+    ("longest", "resume", "has_successor", "times"),
+    [  # accept, keep, refuse, handover, move, answer
         (15_000.0, True, False, (500, 2000, 2800, 1000, 2800, 3200)),
         (3000.0, True, False, (500, 2000, 2800, 1000, 2800, 3200)),
         (3000.0, False, False, (500, 500, 500, 1000, 2800, 3200)),
@@ -414,32 +414,32 @@
         (1500.0, True, True, (0, 0, 1300, 0, 1300, 1700)),
     ],
 )
-def test_the_clock_of_a_drain_ends_before_sigkill(
-    longest: float, resume: bool, succeeded: bool, times: tuple[float, ...]
+def test_a_drain_is_over_before_sigkill(
+    longest: float, resume: bool, has_successor: bool, times: tuple[float, ...]
 ) -> None:
     raw = make_config([])
     raw["settings"] |= RESUME if resume else {}
     raw["settings"]["Classes"][0]["DeadlineMs"] = longest
-    told = shutdown_schedule(parse(msgspec.json.encode(raw)), succeeded)
-    ends = (told.at(step) for step in (DrainStep.END_ANSWERS, DrainStep.REFUSE, DrainStep.ANSWER_ALL))
-    keep, refuse, answer = ends
-    move = told.at(DrainStep.MOVE_STREAMS) if resume else times[4]
-    assert (told.accept_ms, keep, refuse, told.handover_ms, move, answer, told.retry_after_ms) == (
+    made = shutdown_schedule(parse(msgspec.json.encode(raw)), has_successor)
+    steps = (made.at(step) for step in (DrainStep.END_ANSWERS, DrainStep.REFUSE, DrainStep.ANSWER_ALL))
+    keep, refuse, answer = steps
+    move = made.at(DrainStep.MOVE_STREAMS) if resume else times[4]
+    assert (made.accept_ms, keep, refuse, made.handover_ms, move, answer, made.retry_after_ms) == (
         *times,
         500,
     )
-    assert told.at(DrainStep.CLOSE_IDLE) == (NEVER_MS if succeeded else keep)
-    assert told.at(DrainStep.REFUSE_HALF_READ) == answer and (
-        resume or told.at(DrainStep.MOVE_STREAMS) == NEVER_MS
+    assert made.at(DrainStep.CLOSE_IDLE) == (NEVER_MS if has_successor else keep)
+    assert made.at(DrainStep.REFUSE_HALF_READ) == answer and (
+        resume or made.at(DrainStep.MOVE_STREAMS) == NEVER_MS
     )
-    assert told.at(DrainStep.CLOSE_ALL) == max(told.accept_ms, min(longest, 3000.0) + 700.0)
+    assert made.at(DrainStep.CLOSE_ALL) == max(made.accept_ms, min(longest, 3000.0) + 700.0)
 
 
 # Streams
 
 
-def test_a_stream_that_still_runs_is_let_go_and_its_last_event_is_not(tmp_path: Path) -> None:
-    """The engine has written its last event, and its end comes after drain_move_ms."""
+def test_a_running_stream_is_broken_off_unless_its_last_event_was_sent(tmp_path: Path) -> None:
+    """The engine has sent its last event, but the end of its response comes after drain_move_ms."""
     with router(tmp_path, TIMES | {"answer": NEVER}) as made:
         runs = made.begun("runs")
         step = Event()
@@ -462,8 +462,8 @@
         made.ends()
 
 
-def test_a_stream_that_its_engine_has_finished_is_passed_on_to_its_end(tmp_path: Path) -> None:
-    """Its client reads slowly: at drain_move_ms the end stands in the router's machine, not yet read."""
+def test_a_stream_that_its_engine_has_finished_is_forwarded_to_its_end(tmp_path: Path) -> None:
+    """The client reads slowly: at drain_move_ms the end of the stream is unread in the router's kernel."""
     with router(tmp_path, TIMES | {"answer": NEVER}) as made:
         slow, got = slow_client(made.port, made.engine)
         runs = made.begun("runs")
@@ -490,12 +490,12 @@
         (chunk(EVENTS[1]), b"", True),
     ],
 )
-def test_a_stream_stays_whose_end_has_come_as_far_as_this_machine(
+def test_a_stream_whose_end_has_arrived_at_this_host_must_finish(
     read: bytes, unread: bytes, stays: bool
 ) -> None:
     engine, sock = socket.socketpair()
     with engine, sock:
-        request: Any = None  # nothing is asked of it
+        request: Any = None  # not used
         connection = Connection("e", ("", 1), sock, 1)
         underway = InFlightAttempt(Attempt(request, 0, "e", 0.0), connection, ResponseParser(16384))
         underway.parser.feed(memoryview(STREAM_HEAD + read))
@@ -507,12 +507,12 @@
 
 
 def nothing_unsent(sock: socket.socket) -> bool:
-    """Whether the other side's machine has all that was written."""
+    """Whether the peer's host has acknowledged everything that was written."""
     return fcntl.ioctl(sock.fileno(), termios.TIOCOUTQ, b"\0" * 4) == b"\0" * 4
 
 
 def slow_socket(port: int) -> Client:
-    """A client whose machine holds little that it has not read."""
+    """A client with a small receive buffer."""
     client = Client.__new__(Client)
     client.sock = socket.socket()
     client.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
@@ -521,14 +521,14 @@
 
 
 def slow_client(port: int, engine: Engine) -> tuple[Client, bytes]:
-    """A client that has read some of a stream whose end stands unread in its router's machine."""
+    """A client that has read a part of a stream whose end is unread in the router's kernel."""
     full, finished, block = Event(), Event(), chunk(b"data: " + b"x" * 8000 + b"\n\n")
 
     def flood(sock: socket.socket, message: Message) -> None:
         sock.sendall(STREAM_HEAD)
         sock.settimeout(0.5)
         written = 0
-        with suppress(TimeoutError):  # neither side's kernel takes any more
+        with suppress(TimeoutError):  # the buffers of both sides are full
             while True:
                 written += sock.send(block[written % len(block) :])
         sock.settimeout(None)
@@ -548,10 +548,10 @@
     return client, got
 
 
-# While an upgrade hands over
+# Handover in an upgrade
 
 
-def test_an_upgrade_answers_what_the_older_process_has_read_and_passes_on_the_rest(tmp_path: Path) -> None:
+def test_in_an_upgrade_requests_read_are_answered_and_the_rest_is_handed_over(tmp_path: Path) -> None:
     engine = Engine()
     with service(tmp_path, engine, options=PATIENT) as made:
         old = made.start()
@@ -574,8 +574,8 @@
         assert made.processes[old].returncode == 0 and len(engine.requests) == 6
 
 
-def test_a_newer_process_that_hangs_does_not_hold_up_the_drain(tmp_path: Path) -> None:
-    """Stopped by a signal, it holds its lock and says nothing. SIGKILL would come 3.7 s after SIGTERM."""
+def test_an_unresponsive_newer_process_does_not_delay_the_drain(tmp_path: Path) -> None:
+    """Stopped by a signal, it holds its lock but never responds. SIGKILL would come 3.7 s after SIGTERM."""
     engine = Engine()
     with service(tmp_path, engine, options=PATIENT | {"drain_answer_ms": 1000.0}) as made:
         old = made.start()
@@ -590,7 +590,7 @@
             assert waiting.answer().status == 502 and waiting.ended()
             wait_until(lambda: made.processes[old].poll() is not None)
         assert made.processes[old].returncode == 0
-        assert sum(closed(client) for client in idle) == 15  # one may be the newer process's
+        assert sum(closed(client) for client in idle) == 15  # the newer process may have one
         made.processes[new].send_signal(signal.SIGCONT)
 
 
@@ -604,41 +604,43 @@
         return False
 
 
-def test_a_connection_that_has_ended_is_not_passed_on() -> None:
-    """Another one's passing takes time, and its client may leave meanwhile."""
-    with running_router() as (scene,):
-        client = scene.client().send(b"GET /up HTTP/1.1\r\n\r\n")
+def test_a_closed_connection_is_not_handed_over() -> None:
+    """While another connection is handed over, its client may disconnect."""
+    with running_router() as (harness,):
+        client = harness.client().send(b"GET /up HTTP/1.1\r\n\r\n")
         client.answer()
-        (held,) = scene.inbound._clients
+        (held,) = harness.inbound._clients
         wait_until(held.idle)
         client.sock.close()
-        wait_until(lambda: not scene.inbound._clients)
+        wait_until(lambda: not harness.inbound._clients)
         assert not held.idle() and not connection_handover.send_idle(held, lambda text, descriptors: True)
 
 
-def test_a_stream_on_its_way_to_a_newer_process_is_not_broken_off() -> None:
-    asked_for, told = Event(), Event()
+def test_a_stream_is_not_broken_off_during_its_handover() -> None:
+    asked_for, replied = Event(), Event()
 
     def send(text: bytes, descriptors: Any) -> bool:
         asked_for.set()
-        told.wait()
+        replied.wait()
         return False
 
     def in_two(sock: socket.socket, message: Message) -> None:
         sock.sendall(STREAM_HEAD + chunk(EVENTS[0]))
-        told.wait()
+        replied.wait()
         sock.sendall(chunk(EVENTS[1]) + END)
 
-    with running_router(in_two) as (scene, _):
-        scene.host.hand_over = lambda underway: connection_handover.send_stream(scene.host, underway, send)
-        client = scene.client().send(ask())
+    with running_router(in_two) as (harness, _):
+        harness.host.hand_over = lambda underway: connection_handover.send_stream(
+            harness.host, underway, send
+        )
+        client = harness.client().send(ask())
         asked_for.wait()
-        scene.host.move_streams()
-        told.set()
+        harness.host.move_streams()
+        replied.set()
         assert client.answer().status == 200
 
 
-def test_where_a_newer_process_takes_nothing_and_nobody_resumes_nothing_more_is_taken() -> None:
+def test_if_the_newer_process_rejects_connections_and_streams_cannot_resume_requests_are_refused() -> None:
     step, met = Event(), Event()
 
     def in_two(sock: socket.socket, message: Message) -> None:
@@ -647,13 +649,13 @@
         sock.sendall(chunk(EVENTS[1]) + END)
 
     with running_router(in_two, options={"drain_accept_ms": NEVER, "drain_move_ms": NEVER}) as (
-        scene,
+        harness,
         engine,
     ):
-        idle, busy = scene.client().send(b"GET /up HTTP/1.1\r\n\r\n"), scene.client().send(ask())
+        idle, busy = harness.client().send(b"GET /up HTTP/1.1\r\n\r\n"), harness.client().send(ask())
         idle.answer()
         wait_until(lambda: engine.requests)
-        draining = gevent.spawn(scene.inbound.drain, lambda client: met.set())
+        draining = gevent.spawn(harness.inbound.drain, lambda client: met.set())
         met.wait()
         busy.send(asked("next"))
         step.set()
@@ -663,7 +665,7 @@
         draining.join()
 
 
-def test_a_connection_that_was_told_to_go_does_not_keep_idle_ones_from_passing_on() -> None:
+def test_a_lingering_connection_does_not_prevent_the_handover_of_idle_ones() -> None:
     met: list[Any] = []
 
     def pass_on(client: Any) -> bool:
@@ -671,21 +673,21 @@
         client.detach()
         return True
 
-    with running_router() as (scene,):
-        idle, leaving = scene.client(), scene.client()
+    with running_router() as (harness,):
+        idle, leaving = harness.client(), harness.client()
         leaving.send(b"GET /up HTTP/1.1\r\nConnection: close\r\n\r\n").answer()
-        wait_until(lambda: [client for client in scene.inbound._clients if client.lingering])
-        draining = gevent.spawn(scene.inbound.drain, pass_on)
+        wait_until(lambda: [client for client in harness.inbound._clients if client.lingering])
+        draining = gevent.spawn(harness.inbound.drain, pass_on)
         assert idle.ended()
-        wait_until(lambda: len(scene.inbound._clients) == 1)
-        assert len(met) == 1 and not scene.inbound.drainer.state.reached(
-            DrainStep.CLOSE_IDLE, scene.host.now()
+        wait_until(lambda: len(harness.inbound._clients) == 1)
+        assert len(met) == 1 and not harness.inbound.drainer.state.reached(
+            DrainStep.CLOSE_IDLE, harness.host.now()
         )
         leaving.sock.close()
         draining.join()
 
 
-def test_what_one_connection_runs_into_leaves_none_unanswered(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_fault_on_one_connection_leaves_no_request_unanswered(monkeypatch: pytest.MonkeyPatch) -> None:
     met = Event()
 
     def fault(retry_after_ms: float) -> None:
@@ -694,13 +696,13 @@
         raise ZeroDivisionError
 
     def silent(sock: socket.socket, message: Message) -> None:
-        """Say nothing."""
+        """Never answer."""
 
-    with running_router(silent, options={f"drain_{name}_ms": 20.0 for name in TIMES}) as (scene, engine):
-        waiting = scene.client().send(ask())
+    with running_router(silent, options={f"drain_{name}_ms": 20.0 for name in TIMES}) as (harness, engine):
+        waiting = harness.client().send(ask())
         wait_until(lambda: engine.requests)
-        monkeypatch.setattr(scene.host, "answer_all", fault)
-        draining = gevent.spawn(scene.inbound.drain)
+        monkeypatch.setattr(harness.host, "answer_all", fault)
+        draining = gevent.spawn(harness.inbound.drain)
         assert waiting.answer().status == 502 and met.is_set()
         waiting.sock.close()
         draining.join()
--- a/tests/test_drain_terms.py
+++ b/tests/test_drain_terms.py
@@ -1,8 +1,8 @@
-"""What is owed after an operator drains a router by hand, on runs of real processes.
+"""The guarantees of an operator's drain, checked on runs of real processes.
 
-Four seconds after the call a router holds no idle connection and no request of the last two, whatever its
-clients do; and each request still has its one answer. Times are the kernels', on the clients' side. The drawn
-runs are a few seeds of `benchmarks/drains.py`.
+Four seconds after the call a router holds no idle connection and no request of the last two seconds, whatever
+its clients do, and each request still gets exactly one answer. Times are those of the kernels on the clients'
+side. The random runs are a few seeds of `benchmarks/drains.py`.
 """
 
 from __future__ import annotations
@@ -23,29 +23,29 @@
 @pytest.mark.parametrize(
     ("routers", "habit"), [(1, "eager"), (1, "ahead"), (1, "renews"), (2, "eager"), (2, "ahead")]
 )
-def test_a_drained_router_holds_nothing_new_whatever_its_clients_do(
+def test_a_drained_router_holds_nothing_recent_whatever_its_clients_do(
     tmp_path: Path, routers: int, habit: str
 ) -> None:
-    """Where it is the only one, clients come back to it; else those that it has are left to it."""
+    """Clients of the only router reconnect to it; otherwise it keeps only the clients that it has."""
     assert broken(tmp_path, scene(routers, [habit] * 10, DRAIN)) == ""
 
 
 @pytest.mark.parametrize("routers", [2, 3])
 @pytest.mark.parametrize("faults", [DRAIN, AGAIN])
-def test_a_drained_router_of_several_holds_nothing_new(
+def test_a_drained_router_of_several_holds_nothing_recent(
     tmp_path: Path, routers: int, faults: list[tuple[float, str]]
 ) -> None:
     assert broken(tmp_path, scene(routers, MIXED * 2, faults)) == ""
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_drawn_drains_and_faults_break_no_term(tmp_path: Path, seed: int) -> None:
+def test_random_drains_and_faults_violate_no_term(tmp_path: Path, seed: int) -> None:
     assert broken(tmp_path, draw(seed)) == ""
 
 
-def test_drawn_drains_break_no_term_where_system_calls_fail_and_fall_short(
+def test_random_drains_violate_no_term_if_system_calls_fail_or_are_partial(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Accept, connect, short reads and writes, and wall clocks that differ between the routers."""
+    """Failures of accept and connect, short reads and writes, and wall clocks that differ between routers."""
     monkeypatch.setenv("PYTHONPATH", str(SHIMS))
     assert broken(tmp_path, draw(100)) == ""
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -1,4 +1,4 @@
-"""Upgrades: two processes that are one router, what passes between them, and what goes wrong on the way."""
+"""Upgrades: two processes of one router, the handover between them, and its failures."""
 
 from __future__ import annotations
 
@@ -50,16 +50,16 @@
 # Overrides
 
 
-def test_the_later_word_holds_in_whatever_order_it_is_heard() -> None:
+def test_the_latest_override_applies_in_any_order_of_arrival() -> None:
     one, two = Overrides(), Overrides()
     assert one.put("e0", True, 10.0) and not one.put("e0", True, 11.0) and not two.put("e1", False, 1.0)
-    assert two.put("e0", True, 12.0) and two.put("e0", False, 5.0)  # set back
-    assert {m: word.on for m, word in one.merge(two).items()} == {"e0": False} and not two.merge(one)
+    assert two.put("e0", True, 12.0) and two.put("e0", False, 5.0)  # the clock was set back
+    assert {m: override.on for m, override in one.merge(two).items()} == {"e0": False} and not two.merge(one)
     assert one.put(ROUTER_DRAIN, True, 20.0) and set(two.merge(one)) == {ROUTER_DRAIN}
     one.prune(30.0 + overrides.CLEARED_RETENTION_MS)
     assert list(overrides.decode(one.encode("n0"), "n0")._by_target) == [
         ROUTER_DRAIN
-    ]  # what was taken back is forgotten
+    ]  # cleared overrides are pruned
 
 
 @pytest.mark.parametrize(
@@ -72,7 +72,7 @@
         b" " * 2**21,
     ],
 )
-def test_words_that_are_torn_or_foreign_are_not_taken(text: bytes) -> None:
+def test_malformed_or_foreign_overrides_are_rejected(text: bytes) -> None:
     with pytest.raises(ValueError):
         overrides.decode(text, "n0")
 
@@ -91,53 +91,55 @@
     return router
 
 
-def test_what_was_learnt_and_spent_reaches_the_next_process() -> None:
+def test_learned_state_and_used_entitlements_reach_the_next_process() -> None:
     router = learned()
     known = HostList(5, True, [ListEntry("e0", "127.0.0.1:1", since_ms=9.0)])
-    read = state.decode(state.encode("n0", known, {"e0": 77.0}, router), "n0")
-    assert read.known == known and read.resumed == {"e0": 77.0}
+    decoded = state.decode(state.encode("n0", known, {"e0": 77.0}, router), "n0")
+    assert decoded.known == known and decoded.resumed == {"e0": 77.0}
     other = Router(SETTINGS, 2)
     other.handle(2.0, [i.ReplicaList(i.ListKind.RESTORED, (i.ReplicaEntry("e0"),))])
-    state.restore(read, other)
+    state.restore(decoded, other)
     replica = other.pool.replicas["e0"]
     assert (replica.slow_factor, replica.slow_factor_at, replica.suspect_until) == (2.5, 50.0, 4000.0)
     assert (other.pool.prefix_counts, other.pool.mean_request_tokens) == (
         {7: 3.0},
         router.pool.mean_request_tokens,
     )
-    assert other.entitlements[0].debt == 0.4 and other.entitlements[0].in_flight == 0  # that ends there
+    assert (
+        other.entitlements[0].debt == 0.4 and other.entitlements[0].in_flight == 0
+    )  # requests in flight stay with the old one
     assert set(other.pool.replicas) == {"e0"}
 
 
-def test_state_that_does_not_fit_is_left_out() -> None:
-    read = state.decode(state.encode("n0", HostList(), {}, learned()), "n0")
-    read.pool |= {"heat_sum": "much"}
-    read.zones = {"9": (1.0, 2.0, 3.0)}
-    read.classes = {"0": {"answer_ms": "much", "missed": [0.1]}, "9": {"answer_ms": 7.0}}
-    read.entitlements["9"] = {"debt": 1.0}
+def test_state_that_does_not_fit_is_ignored() -> None:
+    decoded = state.decode(state.encode("n0", HostList(), {}, learned()), "n0")
+    decoded.pool |= {"heat_sum": "much"}
+    decoded.zones = {"9": (1.0, 2.0, 3.0)}
+    decoded.classes = {"0": {"answer_ms": "much", "missed": [0.1]}, "9": {"answer_ms": 7.0}}
+    decoded.entitlements["9"] = {"debt": 1.0}
     other = Router(SETTINGS, 2)
-    guess = vars(Router(SETTINGS, 2).class_stats[0])
-    state.restore(read, other)
+    initial = vars(Router(SETTINGS, 2).class_stats[0])
+    state.restore(decoded, other)
     assert (
         other.pool.zone_load_ms == [0.0] and other.pool.keyed_count == 0.0 and list(other.class_stats) == [0]
     )
-    assert vars(other.class_stats[0]) == guess and list(other.entitlements) == [0]
+    assert vars(other.class_stats[0]) == initial and list(other.entitlements) == [0]
     for text in (b"", b'{"v":1', state.encode("n1", HostList(), {}, learned())):
         with pytest.raises(ValueError):
             state.decode(text, "n0")
 
 
-# Who is there
+# Processes in the folder
 
 
-def test_a_process_is_there_while_it_holds_its_lock(tmp_path: Path) -> None:
+def test_a_process_is_alive_while_it_holds_its_lock(tmp_path: Path) -> None:
     one = Handover(str(tmp_path))
     two = Handover(str(tmp_path))
     one.refresh_peers()
     assert one.newer == [two.process_name] and two.older == [one.process_name] and not one.older
     one.write_overrides(b"said")
     assert two.read_peer_overrides([]) == [b"said"] and two.read_peer_overrides([]) == []
-    one.close()  # as a kill would, but for what is left of it
+    one.close()  # like a kill, except for the files left behind
     dead = two.refresh_peers()
     assert dead == [one.process_name] and not two.older
     two.remove_files(dead)
@@ -145,7 +147,7 @@
     two.close()
 
 
-def test_words_of_the_dead_hold(tmp_path: Path) -> None:
+def test_overrides_of_dead_processes_apply(tmp_path: Path) -> None:
     first = Handover(str(tmp_path))
     first.write_overrides(b"banned")
     first.close()
@@ -154,7 +156,7 @@
     second.close()
 
 
-def test_a_folder_that_cannot_be_written_costs_only_what_would_be_passed_on(
+def test_an_unwritable_folder_affects_only_the_handover(
     tmp_path: Path, capfd: pytest.CaptureFixture[str]
 ) -> None:
     one = Handover(str(tmp_path))
@@ -165,12 +167,12 @@
 
 
 @pytest.mark.parametrize("text", ["", "three", "-1", "1000000", "99999999999999999999"])
-def test_what_is_no_descriptor_is_a_fault_that_names_its_variable(text: str) -> None:
+def test_an_invalid_descriptor_is_an_error_that_names_its_variable(text: str) -> None:
     with pytest.raises(ConfigError, match=f"^{INHERITED_FD_VARIABLE}: "):
         handover.inherited_listener({INHERITED_FD_VARIABLE: text})
 
 
-def test_only_a_listening_tcp_socket_is_taken() -> None:
+def test_only_a_listening_tcp_socket_is_accepted() -> None:
     with socket.socket() as idle, open(os.devnull) as file:
         for number in (idle.fileno(), file.fileno()):
             with pytest.raises(ConfigError, match="no "):
@@ -178,24 +180,24 @@
     assert handover.inherited_listener({}) is None
 
 
-def test_words_of_another_process_are_carried_out() -> None:
-    with running_router(serve_all) as (scene, _):
-        orders, other = OperatorCommands(scene.host, scene.inbound), Overrides()
+def test_overrides_of_another_process_are_applied() -> None:
+    with running_router(serve_all) as (harness, _):
+        commands, other = OperatorCommands(harness.host, harness.inbound), Overrides()
         other.put("e0", True, 1.0)
         other.put(ROUTER_DRAIN, True, 1.0)
-        assert orders.apply_remote(other) and not orders.apply_remote(other)
-        assert scene.host.destinations.suspended("e0") and scene.inbound.operator_drained()
+        assert commands.apply_remote(other) and not commands.apply_remote(other)
+        assert harness.host.destinations.suspended("e0") and harness.inbound.operator_drained()
         other.put("e0", False, 2.0)
         other.put(ROUTER_DRAIN, False, 2.0)
-        orders.apply_remote(other)
-        assert scene.host.destinations.serving("e0") and not scene.inbound.operator_drained()
+        commands.apply_remote(other)
+        assert harness.host.destinations.serving("e0") and not harness.inbound.operator_drained()
 
 
 # Real processes
 
 
 class Service:
-    """A platform that starts processes of one router on one listening socket."""
+    """A platform that starts the processes of one router on a shared listening socket."""
 
     def __init__(self, folder: Path, raw: dict[str, Any]) -> None:
         self.folder, self.raw = folder, raw
@@ -207,7 +209,7 @@
         self.calls: list[int] = []
 
     def start(self, ready: bool = True) -> int:
-        """Start one more process: its number."""
+        """Start another process and return its number."""
         number, control = len(self.processes), free_port()
         file = self.folder / f"config-{number}.json"
         file.write_bytes(msgspec.json.encode({**self.raw, "control": f"{LISTEN}:{control}"}))
@@ -241,7 +243,7 @@
             return 0
 
     def end(self, number: int) -> int:
-        """SIGTERM, as after a yes: the exit status."""
+        """Send SIGTERM, as after the new process is ready, and return the exit status."""
         process = self.processes[number]
         process.send_signal(signal.SIGTERM)
         wait_until(lambda: process.poll() is not None)
@@ -252,8 +254,8 @@
 
 
 @contextmanager
-def service(folder: Path, *parties: ScriptedServer, **changes: Any) -> Iterator[Service]:
-    endpoints = [endpoint_entry(f"e{n}", party.port) for n, party in enumerate(parties)]
+def service(folder: Path, *servers: ScriptedServer, **changes: Any) -> Iterator[Service]:
+    endpoints = [endpoint_entry(f"e{n}", server.port) for n, server in enumerate(servers)]
     made = Service(folder, make_config(endpoints, **changes))
     try:
         yield made
@@ -262,12 +264,12 @@
             process.kill()
             process.wait()
         made.listener.close()
-        for party in parties:
-            party.close()
+        for server in servers:
+            server.close()
 
 
-def test_ten_upgrades_in_a_row_under_load_lose_nothing(tmp_path: Path) -> None:
-    """Every request gets one final answer, from the router that holds the socket at that time."""
+def test_ten_upgrades_in_a_row_under_load_lose_no_request(tmp_path: Path) -> None:
+    """Every request gets one response, from the process that holds the socket at that time."""
 
     def in_steps(sock: socket.socket, message: Message) -> None:
         sock.sendall(STREAM_HEAD + chunk(EVENTS[0]))
@@ -275,10 +277,10 @@
         sock.sendall(chunk(EVENTS[1]) + b"0\r\n\r\n")
 
     answers: dict[str, list[int]] = {}
-    unheard = ended = 0
+    unanswered = ended = 0
 
     def load(who: int) -> None:
-        nonlocal unheard
+        nonlocal unanswered
         client, number = None, 0
         while not ended:
             name, number = f"{who}-{number}", number + 1
@@ -290,8 +292,8 @@
                     got.append(answer.status)
                     if answer.fields.get(b"connection") == b"close":
                         client = None
-                except ConnectionError:  # closed between requests: it comes again by another connection
-                    client, unheard = None, unheard + 1
+                except ConnectionError:  # closed between requests: sent again on another connection
+                    client, unanswered = None, unanswered + 1
             gevent.sleep(0.02)
 
     with service(tmp_path, ScriptedServer(in_steps)) as made:
@@ -304,12 +306,12 @@
         ended = 1
         gevent.joinall(clients, raise_error=True)
         assert len(answers) > 100 and all(got == [200] for got in answers.values())
-        # Connections pass on as well; where a process stands still for half a second, one upgrade's do not.
-        assert unheard <= 2 * len(clients)
+        # Connections are handed over as well, except in an upgrade whose process stalls for half a second.
+        assert unanswered <= 2 * len(clients)
         assert all("unexpected" not in made.log(number) for number in range(11))
 
 
-def test_bans_and_drains_hold_over_an_upgrade_and_words_said_to_either_hold_in_both(tmp_path: Path) -> None:
+def test_overrides_survive_an_upgrade_and_apply_in_both_processes(tmp_path: Path) -> None:
     engines = [ScriptedServer(serve_all), ScriptedServer(serve_all)]
 
     def asked(number: int) -> int:
@@ -323,11 +325,11 @@
         assert made.call(first, "engines/e0/suspend") == 200 and made.call(first, "router/drain") == 200
         second = made.start()
         assert {up() for _ in range(8)} == {503}
-        assert made.call(first, "router/activate") == 200  # said to the older one
+        assert made.call(first, "router/activate") == 200  # sent to the older process
         wait_until(lambda: {up() for _ in range(8)} == {200})
         assert made.call(second, "engines/e1/suspend") == 200  # and to the newer one
         wait_until(lambda: '"on":true' in made.log(first).rpartition("e1")[2])
-        assert {asked(n) for n in range(8)} == {503} and not any(party.requests for party in engines)
+        assert {asked(n) for n in range(8)} == {503} and not any(engine.requests for engine in engines)
         assert made.end(first) == 0
         third = made.start()
         assert made.call(second, "engines/e1/resume") == 200
@@ -336,7 +338,7 @@
         assert made.call(third, "engines/e0/suspend") == 200 and not engines[0].requests
 
 
-def test_a_new_process_that_does_not_come_up_leaves_the_old_one_as_it_was(tmp_path: Path) -> None:
+def test_a_new_process_that_fails_to_start_does_not_affect_the_old_one(tmp_path: Path) -> None:
     with service(tmp_path, ScriptedServer(serve_all)) as made:
         old = made.start()
         new = made.start(ready=False)
@@ -346,7 +348,7 @@
         faulty = made.start(ready=False)
         wait_until(lambda: made.processes[faulty].poll() is not None)
         assert made.processes[faulty].returncode == 2
-        made.raw = make_config([])  # one without an endpoint is never ready
+        made.raw = make_config([])  # without an endpoint it is never ready
         made.raw["name"] = "n1"
         idle = made.start(ready=False)
         wait_until(lambda: made.call(idle, "readyz", "GET") == 503)
@@ -362,7 +364,7 @@
 
 @contextmanager
 def two_processes(*script: Any) -> Iterator[tuple[Any, Any, Any]]:
-    """Two routers of which the first passes its streams to the second: (old, new, engine)."""
+    """Two routers, of which the first hands its streams over to the second: (old, new, engine)."""
     with running_router(*script) as (old, engine), running_router() as (new,):
 
         def send(text: bytes, descriptors: Any) -> bool:
@@ -376,13 +378,13 @@
         yield old, new, engine
 
 
-def test_a_stream_goes_on_in_the_next_process_with_each_event_once() -> None:
+def test_a_stream_continues_in_the_next_process_with_each_event_once() -> None:
     step = Event()
 
     def in_steps(sock: socket.socket, message: Message) -> None:
         sock.sendall(STREAM_HEAD + chunk(EVENTS[0]))
         step.wait()
-        sock.sendall(chunk(EVENTS[1])[:5])  # cut anywhere
+        sock.sendall(chunk(EVENTS[1])[:5])  # cut at any place
         gevent.sleep(0.05)
         sock.sendall(chunk(EVENTS[1])[5:] + b"0\r\n\r\n")
 
@@ -396,26 +398,28 @@
         answer = client.answer()
         assert answer.status == 200 and b"".join(answer.take_body()) == b"".join(EVENTS)
         wait_until(lambda: new.host.open_requests() == 0)
-        assert client.send(ask()).answer().status == 503  # it is the new one's now, which has no engine
+        assert client.send(ask()).answer().status == 503  # the new process has no engine
         assert len(new.events_of(i.RequestArrived)) == 1 and len(old.events_of(i.RequestArrived)) == 1
 
 
-def test_an_idle_connection_goes_on_in_the_next_process() -> None:
+def test_an_idle_connection_continues_in_the_next_process() -> None:
     with two_processes(serve_all) as (old, _, engine):
         client, busy = old.client(), old.client().send(ask()[:30])
         assert client.send(ask()).answer().status == 200
         wait_until(lambda: len(old.inbound._clients) == 2 and old.host.open_requests() == 0)
         given = [connection_handover.send_idle(one, old.send) for one in list(old.inbound._clients)]
-        assert sorted(given) == [False, True]  # not the one that is half read
-        assert client.send(ask()).answer().status == 503 and len(engine.requests) == 1  # the new one has none
+        assert sorted(given) == [False, True]  # not the half-read one
+        assert (
+            client.send(ask()).answer().status == 503 and len(engine.requests) == 1
+        )  # the new process has none
         assert busy.send(ask()[30:]).answer().status == 200
         (left,) = old.inbound._clients
         wait_until(lambda: left.idle())
         assert not connection_handover.send_idle(left, lambda text, descriptors: False)
-        assert busy.send(ask(X_Correlation_Id="on")).answer().status == 200  # and is read on here
+        assert busy.send(ask(X_Correlation_Id="on")).answer().status == 200  # still read here
 
 
-def test_a_client_that_leaves_after_the_passing_frees_its_engine() -> None:
+def test_a_client_that_disconnects_after_the_handover_frees_its_engine() -> None:
     def begin(sock: socket.socket, message: Message) -> None:
         sock.sendall(STREAM_HEAD + chunk(EVENTS[0]))
 
@@ -426,7 +430,7 @@
         wait_until(lambda: engine.closed == 1 and new.host.open_requests() == 0 and not new.inbound._clients)
 
 
-def test_an_engine_that_breaks_after_the_passing_ends_the_clients_connection() -> None:
+def test_an_engine_failure_after_the_handover_closes_the_client_connection() -> None:
     step = Event()
 
     def half(sock: socket.socket, message: Message) -> bool:
@@ -443,7 +447,7 @@
 
 
 @pytest.mark.parametrize("taken", [False, None])
-def test_a_stream_that_is_not_taken_stays_and_one_that_may_be_ends_for_both(taken: bool | None) -> None:
+def test_a_rejected_stream_stays_and_one_of_unknown_outcome_ends_in_both(taken: bool | None) -> None:
     tries: list[bytes] = []
 
     def send(text: bytes, descriptors: Any) -> bool | None:
@@ -472,7 +476,7 @@
     sock.sendall(STREAM_HEAD + chunk(EVENTS[0]))
 
 
-def test_nothing_is_passed_while_something_of_it_is_half_read() -> None:
+def test_nothing_half_read_is_handed_over() -> None:
     step = Event()
 
     def cut(sock: socket.socket, message: Message) -> None:
@@ -487,7 +491,7 @@
         assert not new.inbound._clients
         step.set()
         assert client.answer().status == 200
-    with two_processes(begin_only) as (old, new, _):  # nor where the client has sent more already
+    with two_processes(begin_only) as (old, new, _):  # nor if the client has sent more already
         old.client().send(ask() + ask(X_Correlation_Id="next"))
         wait_until(lambda: old.events_of(i.StreamStarted))
         gevent.sleep(0.05)
@@ -495,7 +499,7 @@
 
 
 @pytest.mark.parametrize("text", [b"", b'{"v":1', b'{"v":2}', b"[]"])
-def test_a_message_that_is_torn_or_foreign_is_not_taken(text: bytes) -> None:
+def test_a_malformed_or_foreign_message_is_rejected(text: bytes) -> None:
     with running_router() as (new,):
         ends = socket.socketpair()
         with pytest.raises(ValueError):
@@ -507,8 +511,8 @@
             end.close()
 
 
-def test_streams_travel_between_processes_or_stay(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    folder = tmp_path / ("long" * 30)  # longer than a Unix socket's path may be
+def test_streams_move_between_processes_or_stay(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    folder = tmp_path / ("long" * 30)  # longer than a Unix socket path may be
     folder.mkdir()
     one, two = Handover(str(folder)), Handover(str(folder))
     one.refresh_peers()
@@ -541,12 +545,12 @@
         end.close()
 
 
-def test_long_streams_outlive_the_process_that_began_them(tmp_path: Path) -> None:
-    go_on = Event()
+def test_long_streams_outlive_the_process_that_started_them(tmp_path: Path) -> None:
+    go = Event()
 
     def long(sock: socket.socket, message: Message) -> None:
         sock.sendall(STREAM_HEAD)
-        while not go_on.is_set():
+        while not go.is_set():
             sock.sendall(chunk(EVENTS[0]))
             gevent.sleep(0.05)
         sock.sendall(chunk(EVENTS[1]) + b"0\r\n\r\n")
@@ -558,7 +562,7 @@
         second = made.start()
         assert made.end(first) == 0
         assert made.log(second).count("stream_taken") == 4 and "moved" not in made.log(first)
-        go_on.set()
+        go.set()
         for client in clients:
             rest = b"H"
             while not rest.endswith(b"0\r\n\r\n"):
--- a/tests/test_handover_races.py
+++ b/tests/test_handover_races.py
@@ -1,6 +1,6 @@
-"""Hand-over between processes: what comes between two steps of giving, taking and acknowledging.
+"""Races in the handover between processes: events between sending, adopting and acknowledging.
 
-Each test forces its order: a hook stands where another greenlet may run, and lets in what must not be lost.
+Each test forces the order of events with a hook at a place where another greenlet may run.
 """
 
 from __future__ import annotations
@@ -42,54 +42,54 @@
 
 
 class LateReader:
-    """A connection's reader that runs once more before it ends, as it may where a hub's turn is long."""
+    """A connection's reader that runs once more before it is killed, as in a long event loop iteration."""
 
-    def __init__(self, held: Any, came: Callable[[], object]) -> None:
-        self.held, self.reader, self.came = held, held.reader, came
+    def __init__(self, held: Any, before_kill: Callable[[], object]) -> None:
+        self.held, self.reader, self.before_kill = held, held.reader, before_kill
         held.reader = self
 
     def kill(self) -> None:
-        self.came()
+        self.before_kill()
         self.reader.kill()
 
 
 def never_sent(text: bytes, descriptors: Any) -> bool:
-    raise AssertionError("it was passed on")
+    raise AssertionError("the connection was handed over")
 
 
-# The client sends while its connection is made ready to be passed on
+# The client sends while its connection is prepared for the handover
 
 
-def test_a_request_that_is_read_while_an_idle_connection_is_paused_is_answered_here() -> None:
+def test_a_request_read_while_an_idle_connection_is_paused_is_answered_here() -> None:
     given = Event()
 
     def later(sock: socket.socket, message: Message) -> None:
         given.wait()
         serve_all(sock, message)
 
-    with running_router(later) as (scene, engine):
-        client = scene.client().send(b"GET /up HTTP/1.1\r\n\r\n")
+    with running_router(later) as (harness, engine):
+        client = harness.client().send(b"GET /up HTTP/1.1\r\n\r\n")
         client.answer()
-        (held,) = scene.inbound._clients
+        (held,) = harness.inbound._clients
         wait_until(held.idle)
 
         def crossing() -> None:
             client.send(asked("crossing"))
-            wait_until(lambda: scene.events_of(i.RequestArrived))
+            wait_until(lambda: harness.events_of(i.RequestArrived))
 
         LateReader(held, crossing)
         assert not connection_handover.send_idle(held, never_sent)
         given.set()
         assert client.answer().status == 200 and len(engine.requests) == 1
-        assert client.send(asked("next")).answer().status == 200  # it is read on
+        assert client.send(asked("next")).answer().status == 200  # reading continues
 
 
 @pytest.mark.parametrize("size", [1, 40])
-def test_the_begin_of_a_request_that_is_read_while_it_is_paused_is_kept(size: int) -> None:
-    with running_router(serve_all) as (scene, _):
-        client = scene.client().send(b"GET /up HTTP/1.1\r\n\r\n")
+def test_a_partial_request_read_while_reading_is_paused_is_kept(size: int) -> None:
+    with running_router(serve_all) as (harness, _):
+        client = harness.client().send(b"GET /up HTTP/1.1\r\n\r\n")
         client.answer()
-        (held,) = scene.inbound._clients
+        (held,) = harness.inbound._clients
         wait_until(held.idle)
 
         def crossing() -> None:
@@ -101,8 +101,8 @@
         assert client.send(asked("crossing")[size:]).answer().status == 200
 
 
-def test_a_request_that_comes_while_a_stream_is_paused_is_answered_by_the_next_process() -> None:
-    """It is not read here: the next process reads it once the stream has ended."""
+def test_a_request_that_arrives_while_a_stream_is_paused_is_answered_by_the_next_process() -> None:
+    """It is not read here; the next process reads it after the end of the stream."""
     step = Event()
 
     def in_two(sock: socket.socket, message: Message) -> None:
@@ -127,8 +127,8 @@
         assert not old.inbound._clients and not held._parser.complete
 
 
-def test_a_stream_is_not_broken_off_while_its_reader_is_stopped() -> None:
-    """The clock of a drain may come to `drain_move_ms` then."""
+def test_a_stream_is_not_broken_off_while_its_reader_is_being_stopped() -> None:
+    """A drain may reach `drain_move_ms` at that moment."""
     with two_processes(begin_only) as (old, new, engine):
         client = old.client()
         wait_until(lambda: old.inbound._clients)
@@ -138,10 +138,10 @@
         wait_until(lambda: new.host.in_progress() == 1)
         assert old.events_of(i.StreamStarted) and engine.closed == 0
         client.sock.settimeout(0.0)
-        taken = client.sock.recv(65536)
-        assert taken.endswith(chunk(EVENTS[0]))
+        received = client.sock.recv(65536)
+        assert received.endswith(chunk(EVENTS[0]))
         with pytest.raises(BlockingIOError):
-            client.sock.recv(1)  # neither ended nor broken
+            client.sock.recv(1)  # neither closed nor reset
 
 
 # The other process
@@ -149,8 +149,8 @@
 
 @contextmanager
 def stream(**changes: Any) -> Iterator[tuple[bytes, list[int], list[socket.socket]]]:
-    """A stream's message, and descriptors of two connections that run: those the other sides hold."""
-    told = connection_handover.StreamState(
+    """A stream's message, the descriptors of its two connections, and their peers."""
+    state = connection_handover.StreamState(
         connection_handover.VERSION, "9b1f", "chat", "acme", 0.0, 0.0, "e0", 0.0, 0.0,
         [("content-type", "text/event-stream"), ("transfer-encoding", "chunked")], "", True, False,
     )  # fmt: skip
@@ -159,7 +159,7 @@
     for _, theirs in pairs:
         theirs.close()
     try:
-        yield msgspec.json.encode(replace(told, **changes)), numbers, [ours for ours, _ in pairs]
+        yield msgspec.json.encode(replace(state, **changes)), numbers, [ours for ours, _ in pairs]
     finally:
         for ours, _ in pairs:
             ours.close()
@@ -173,21 +173,21 @@
         [("snowman", "\u2603")],
     ],
 )
-def test_a_stream_whose_head_this_process_cannot_read_leaves_nothing_here(
+def test_a_rejected_stream_with_an_invalid_head_leaves_nothing_behind(
     head: list[tuple[str, str]],
 ) -> None:
-    """The other process is told so and goes on with it."""
+    """The other process is told that it was rejected, and keeps it."""
     with running_router() as (new,), stream(head=head) as (text, numbers, ends):
         with pytest.raises(HandoverDataError):
             connection_handover.receive(new.host, new.inbound, text, numbers)
         assert not new.inbound._clients and not new.host.open_requests() and not new.host.is_open("9b1f")
         assert new.host._endpoints._pool._open_count == 0
-        assert [end.recv(1) for end in ends] == [b"", b""]  # no descriptor stays
+        assert [end.recv(1) for end in ends] == [b"", b""]  # no descriptor stays open
 
 
 @pytest.mark.parametrize("idle", [True, False])
-def test_a_process_that_ends_takes_nothing_more(idle: bool) -> None:
-    """It may be at its last step, after it looked for what is still open."""
+def test_an_ending_process_accepts_no_handover(idle: bool) -> None:
+    """It may have already checked for the last time what is still open."""
     with running_router() as (new,), stream() as (text, numbers, ends):
         new.inbound.drainer.begin(DrainCause.SIGTERM, DrainSchedule({}))
         if idle:
@@ -199,7 +199,7 @@
 
 
 @pytest.mark.parametrize("first", [True, False])
-def test_where_a_descriptor_is_no_socket_none_stays_open(first: bool) -> None:
+def test_if_one_descriptor_is_no_socket_all_are_closed(first: bool) -> None:
     with running_router() as (new,), stream() as (text, numbers, ends):
         file = os.open(os.devnull, os.O_RDONLY)
         numbers.insert(0 if first else 2, file)
@@ -211,22 +211,22 @@
 
 
 @pytest.mark.parametrize("taken", [True, False])
-def test_what_was_never_sent_is_not_in_doubt(tmp_path: Path, taken: bool) -> None:
-    """Only what left this process may be with another one: else the stream goes on here."""
+def test_a_stream_that_was_never_sent_is_rejected_and_not_unknown(tmp_path: Path, taken: bool) -> None:
+    """Only a stream that was sent may be in another process; otherwise it continues here."""
     one, two = Handover(str(tmp_path)), Handover(str(tmp_path))
     one.refresh_peers()
     two.listen_for_streams(lambda text, descriptors: lambda: None)
     with socket.socket() as idle:
-        number = idle.fileno() if taken else -1  # one that is closed can't be sent
+        number = idle.fileno() if taken else -1  # a closed descriptor can't be sent
         assert one.send_stream(b"x", [number]) is taken
     one.close()
     two.close()
 
 
-def test_words_that_could_not_be_read_are_read_at_the_next_look(
+def test_overrides_that_could_not_be_read_are_read_at_the_next_poll(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A process may be out of descriptors for a moment."""
+    """A process may run out of descriptors for a short time."""
     one, two = Handover(str(tmp_path)), Handover(str(tmp_path))
     one.refresh_peers()
     two.write_overrides(b"said")
@@ -245,15 +245,15 @@
 def test_a_newer_process_that_has_just_ended_is_no_successor(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """SIGTERM may come before the next look: the router then ends as one that nobody follows."""
+    """SIGTERM may arrive before the next poll; the router then ends without a successor."""
     raw = make_config([])
-    with socket.socket() as shared, running_router() as (scene,):
+    with socket.socket() as shared, running_router() as (harness,):
         shared.bind((LISTEN, 0))
         shared.listen(8)
         monkeypatch.setenv("TMPDIR", str(tmp_path))
         monkeypatch.setenv(INHERITED_FD_VARIABLE, str(os.dup(shared.fileno())))
         older = Coordinator(config.parse(msgspec.json.encode(raw)))
-        older._host, older._inbound = scene.host, scene.inbound
+        older._host, older._inbound = harness.host, harness.inbound
         newer = Handover(str(tmp_path))
         older._handover.refresh_peers()  # type: ignore[union-attr]
         assert older.has_successor()
@@ -264,26 +264,26 @@
         older.inherited_socket.close()
 
 
-def test_a_request_that_comes_as_an_idle_connection_is_tried_is_no_reason_to_pass_no_others(
+def test_a_request_that_arrives_during_an_idle_handover_does_not_end_it_for_others(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """It comes after the first look at the connection and before the second, unread as yet."""
-    give_idle = connection_handover.send_idle
+    """It arrives between the two checks of the connection and is still unread."""
+    send_idle = connection_handover.send_idle
     monkeypatch.setenv("TMPDIR", str(tmp_path))
-    with running_router(serve_all) as (scene, _):
-        client = scene.client().send(ask())
+    with running_router(serve_all) as (harness, _):
+        client = harness.client().send(ask())
         assert client.answer().status == 200
-        (held,) = scene.inbound._clients
+        (held,) = harness.inbound._clients
         wait_until(held.idle)
 
         def just_now(given: Any, send: Any) -> bool:
             client.send(ask(X_Correlation_Id="next"))
-            assert given.has_unread() and given.idle()  # no greenlet had its turn
-            return give_idle(given, send)
+            assert given.has_unread() and given.idle()  # no other greenlet ran
+            return send_idle(given, send)
 
         monkeypatch.setattr(connection_handover, "send_idle", just_now)
-        operations = Coordinator(scene.config)
-        monkeypatch.setattr(operations, "_send_idle", never_sent)
-        assert operations._give_idle(held)
+        coordinator = Coordinator(harness.config)
+        monkeypatch.setattr(coordinator, "_send_idle", never_sent)
+        assert coordinator._give_idle(held)
         assert client.answer().status == 200
-        operations.close()
+        coordinator.close()
--- a/tests/test_log.py
+++ b/tests/test_log.py
@@ -1,4 +1,4 @@
-"""The log: what is written, and that a reader that stops reading holds nobody up."""
+"""The log: what is written, and that a blocked reader does not block the program."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
     return [orjson.loads(line) for line in os.read(reader, 1 << 20).splitlines()]
 
 
-def test_lines_of_the_wanted_level_are_written_in_order(pipe: tuple[int, int]) -> None:
+def test_lines_of_an_enabled_level_are_written_in_order(pipe: tuple[int, int]) -> None:
     log = Log(pipe[1])
     log.configure("warning")
     for event in ("started", "reset", "unexpected"):  # info, warning, error
@@ -38,7 +38,7 @@
     ]
 
 
-def test_for_people_a_value_stays_on_its_line(pipe: tuple[int, int]) -> None:
+def test_text_format_keeps_a_value_on_one_line(pipe: tuple[int, int]) -> None:
     log = Log(pipe[1])
     log.configure(format="text")
     log.write("reset", {"why": "two words\nand a line", "endpoint": "e0", "status": 500})
@@ -47,14 +47,14 @@
     assert "reset" in text and '"two words\\nand a line"' in text and " warning " in text
 
 
-def test_a_reader_that_stops_costs_lines_and_is_told_how_many(pipe: tuple[int, int]) -> None:
+def test_a_blocked_reader_loses_lines_that_are_counted(pipe: tuple[int, int]) -> None:
     log = Log(pipe[1], buffer_bytes=20_000)
     log.start()
     wide = "x" * 9000  # longer than one write
     written = 400
     for n in range(written):
         log.write("request", {"n": n, "wide": wide if n % 50 == 0 else ""})
-        gevent.sleep(0)  # the writer runs till the pipe is full, and never holds this loop up
+        gevent.sleep(0)  # the writer runs until the pipe is full, and never blocks this loop
     assert log._held <= 20_000
     got = b""
     while b"log_dropped" not in got or not got.endswith(b"\n"):
@@ -70,7 +70,7 @@
     log.stop()
 
 
-def test_what_waits_at_the_end_is_written(pipe: tuple[int, int]) -> None:
+def test_buffered_lines_are_written_at_the_end(pipe: tuple[int, int]) -> None:
     log = Log(pipe[1])
     log.start()
     for n in range(3000):  # more than a pipe holds
@@ -90,7 +90,7 @@
     assert [orjson.loads(line)["n"] for line in text.splitlines()] == list(range(3000))
 
 
-def test_a_log_nobody_can_read_ends_nothing(pipe: tuple[int, int]) -> None:
+def test_a_log_without_a_reader_does_not_raise(pipe: tuple[int, int]) -> None:
     reader, writer = os.pipe()
     log = Log(writer)
     os.close(reader)
--- a/tests/test_shutdown_races.py
+++ b/tests/test_shutdown_races.py
@@ -1,7 +1,7 @@
-"""Listeners, drains and signals: what comes between two steps of a change of address, a reload or an end.
+"""Races of listeners, drains and signals: events between two steps of a reload or a shutdown.
 
-Each test forces its order: a connection is held at a gate, a hook runs where another greenlet may, a signal
-is sent once a state was seen.
+Each test forces the order of events: a connection waits for an event, a hook runs where another greenlet may,
+or a signal is sent once a state is reached.
 """
 
 from __future__ import annotations
@@ -49,127 +49,128 @@
 
 @contextmanager
 def full(**options: float) -> Iterator[tuple[Any, Engine, list[Client]]]:
-    """A router whose clients' places are all taken by streams that wait for the engine's `go`."""
+    """A router at its connection limit, with streams that wait for the engine's `go`."""
     engine = Engine()
     with running_router(
         lambda sock, message: engine.script(sock, message), limits=SMALL, options=PATIENT | options
-    ) as (scene, _):
-        busy = [scene.client().send(asked(f"busy{n}", b"begin")) for n in range(scene.config.max_inbound)]
+    ) as (harness, _):
+        busy = [harness.client().send(asked(f"busy{n}", b"begin")) for n in range(harness.config.max_inbound)]
         for client in busy:
             assert client.sock.recv(1) == b"H"
         try:
-            yield scene, engine, busy
+            yield harness, engine, busy
         finally:
             engine.close()
 
 
-def move(scene: Any) -> int:
-    """Listen at another address: its port."""
+def move(harness: Any) -> int:
+    """Listen at another address and return its port."""
     port = free_port()
-    scene.inbound.apply(replace(scene.inbound.config, listen=(LISTEN, port)))
+    harness.inbound.apply(replace(harness.inbound.config, listen=(LISTEN, port)))
     return port
 
 
-def waits_for_room(scene: Any, count: int) -> Callable[[], bool]:
-    """Whether so many connections were accepted and have no place yet."""
-    return lambda: len(scene.inbound._waiting) == count
+def waits_for_room(harness: Any, count: int) -> Callable[[], bool]:
+    """A condition: so many accepted connections wait for room."""
+    return lambda: len(harness.inbound._waiting) == count
 
 
 # Listeners
 
 
-def test_connections_that_wait_at_two_addresses_do_not_take_each_others_place() -> None:
-    """The one of the first address gets a place, then the second address ends: its own still waits there."""
+def test_connections_that_wait_at_two_addresses_keep_separate_places() -> None:
+    """The first address's connection is served, then the second address is closed while its own waits."""
     reached, gate = Event(), Event()
-    with full() as (scene, engine, busy):
-        first = scene.client().send(asked("first"))
-        wait_until(waits_for_room(scene, 1))
-        second = Client(move(scene)).send(asked("second"))
-        wait_until(waits_for_room(scene, 2))
-        held = scene.inbound._accepting
+    with full() as (harness, engine, busy):
+        first = harness.client().send(asked("first"))
+        wait_until(waits_for_room(harness, 1))
+        second = Client(move(harness)).send(asked("second"))
+        wait_until(waits_for_room(harness, 2))
+        held = harness.inbound._accepting
 
         def no_room() -> bool:
             if gevent.getcurrent() is held:
                 reached.set()
-                gate.wait()  # until it is ended
+                gate.wait()  # until the greenlet is killed
             return False
 
-        scene.inbound._make_room = no_room
+        harness.inbound._make_room = no_room
         reached.wait()
         engine.go.set()
         rest(busy[0])
         busy[0].sock.close()
         assert first.answer().status == 200
-        move(scene)
+        move(harness)
         for client in busy[1:]:
             assert rest(client).status == 200
             client.sock.close()
         assert second.answer().status == 200
-        wait_until(lambda: not scene.inbound._closing_listeners and not scene.inbound._waiting)
+        wait_until(lambda: not harness.inbound._closing_listeners and not harness.inbound._waiting)
 
 
 def test_a_drain_waits_for_the_last_connections_of_every_address() -> None:
-    """One accepted at the first of three addresses has no place when all others have gone: taken once."""
-    gate, seated = Event(), []
-    with full(drain_accept_ms=1.0, drain_move_ms=NEVER, drain_answer_ms=NEVER) as (scene, engine, busy):
-        tell_steps, admit, looks = scene.inbound.drainer._log_steps, scene.inbound._admit, 0
+    """A connection of the first of three addresses still waits when all others are closed: served once."""
+    gate, admitted = Event(), []
+    with full(drain_accept_ms=1.0, drain_move_ms=NEVER, drain_answer_ms=NEVER) as (harness, engine, busy):
+        log_steps, admit, polls = harness.inbound.drainer._log_steps, harness.inbound._admit, 0
 
-        def look(now: float) -> None:
-            nonlocal looks
-            looks += not scene.inbound._clients
-            tell_steps(now)
+        def poll(now: float) -> None:
+            nonlocal polls
+            polls += not harness.inbound._clients
+            log_steps(now)
 
         def no_room() -> bool:
             gate.wait()
             return False
 
-        def seat(sock: socket.socket) -> None:
-            seated.append(sock)
+        def record_admit(sock: socket.socket) -> None:
+            admitted.append(sock)
             admit(sock)
 
-        scene.inbound.drainer._log_steps, scene.inbound._make_room = look, no_room
-        scene.inbound._admit = seat
-        waiting = scene.client().send(asked("waits"))
-        wait_until(waits_for_room(scene, 1))
-        move(scene), move(scene)
-        wait_until(lambda: len(scene.inbound._closing_listeners) == 1)  # the second address has nothing left
-        draining = gevent.spawn(scene.inbound.drain)
+        harness.inbound.drainer._log_steps, harness.inbound._make_room = poll, no_room
+        harness.inbound._admit = record_admit
+        waiting = harness.client().send(asked("waits"))
+        wait_until(waits_for_room(harness, 1))
+        move(harness), move(harness)
+        wait_until(lambda: len(harness.inbound._closing_listeners) == 1)  # the second has no connections left
+        draining = gevent.spawn(harness.inbound.drain)
         engine.go.set()
         for client in busy:
             rest(client)
             client.sock.close()
-        wait_until(lambda: looks > 2 or draining.ready())
+        wait_until(lambda: polls > 2 or draining.ready())
         assert not draining.ready()
         gate.set()
         assert refused(waiting) and waiting.ended()
         waiting.sock.close()
         draining.join()
-        assert len(seated) == 1
+        assert len(admitted) == 1
 
 
-def test_close_ends_what_waits_at_every_address() -> None:
-    with full() as (scene, _, _busy):
-        waiting = [scene.client()]
-        wait_until(waits_for_room(scene, 1))
+def test_close_ends_waiting_connections_at_every_address() -> None:
+    with full() as (harness, _, _busy):
+        waiting = [harness.client()]
+        wait_until(waits_for_room(harness, 1))
         for number in (1, 2):
-            waiting.append(Client(move(scene)))
-            wait_until(waits_for_room(scene, number + 1))
-        scene.inbound.close()
+            waiting.append(Client(move(harness)))
+            wait_until(waits_for_room(harness, number + 1))
+        harness.inbound.close()
         assert all(closed(client) for client in waiting)
 
 
 def test_two_changes_of_address_at_once_leave_only_the_last_listener(
     capfd: pytest.CaptureFixture[str],
 ) -> None:
-    """No other greenlet runs in the middle of a change: each ends the listener before it, once."""
-    with running_router(serve_all) as (scene, _):
+    """No other greenlet runs in the middle of a change; each closes the previous listener once."""
+    with running_router(serve_all) as (harness, _):
         run_ready()
         ports = [free_port(), free_port()]
         moves = [
-            gevent.spawn(scene.inbound.apply, replace(scene.config, listen=(LISTEN, port))) for port in ports
+            gevent.spawn(harness.inbound.apply, replace(harness.config, listen=(LISTEN, port)))
+            for port in ports
         ]
         gevent.joinall(moves, raise_error=True)
-        wait_until(lambda: not scene.inbound._closing_listeners)
+        wait_until(lambda: not harness.inbound._closing_listeners)
         with socket.socket() as sock:
             assert sock.connect_ex((LISTEN, ports[0])) != 0
         assert Client(ports[1]).send(ask()).answer().status == 200
@@ -177,7 +178,7 @@
 
 
 def test_a_newer_process_that_never_served_leaves_the_shared_listener_to_the_older_one() -> None:
-    """It is ended while it waits for its list: what is in the kernel's queue is the older one's to serve."""
+    """It is ended while it waits for its list; the older process serves the connections in the queue."""
     raw = make_config([], options={"drain_accept_ms": 1.0})
     settings = config.parse(msgspec.json.encode(raw))
     shared = socket.socket()
@@ -189,7 +190,7 @@
         newer.start(socket.socket(fileno=shared.dup().detach()), alone=False)
         client = Client(shared.getsockname()[1]).send(UP)
         gevent.spawn(newer.drain).join()
-        accepted, _ = shared.accept()  # at once: still there
+        accepted, _ = shared.accept()  # it is still in the queue
         with accepted:
             assert accepted.recv(65536) == UP
         client.sock.close()
@@ -200,20 +201,20 @@
 
 
 @pytest.mark.parametrize("close", ["close_idle", "_make_room"])
-def test_a_request_that_comes_while_others_are_closed_keeps_its_connection(close: str) -> None:
-    """Each connection is looked at just before it is closed, not all of them before the first one is."""
-    with running_router(serve_all) as (scene, _):
-        clients = [scene.client().send(UP) for _ in range(2)]
+def test_a_request_that_arrives_while_others_are_closed_keeps_its_connection(close: str) -> None:
+    """Each connection is checked just before it is closed, not all of them before the first close."""
+    with running_router(serve_all) as (harness, _):
+        clients = [harness.client().send(UP) for _ in range(2)]
         assert [client.answer().status for client in clients] == [200, 200]
-        wait_until(lambda: len(held := scene.inbound._clients) == 2 and all(one.idle() for one in held))
+        wait_until(lambda: len(held := harness.inbound._clients) == 2 and all(one.idle() for one in held))
         of = {client.sock.getsockname(): client for client in clients}
-        ours = {one: of[one.sock.getpeername()] for one in scene.inbound._clients}
+        ours = {one: of[one.sock.getpeername()] for one in harness.inbound._clients}
         met: list[Any] = []
 
         def closing(one: Any, *why: Any) -> None:
             (other,) = ours.keys() - {one}
             if not met:
-                ours[other].send(ask())  # written, and no other greenlet runs
+                ours[other].send(ask())  # no other greenlet runs
             met.append(one)
             type(one).close(one, *why)
 
@@ -222,26 +223,26 @@
             one.close = lambda *why, one=one: closing(one, *why)
         wait_until(lambda: all(one.all_acknowledged() for one in ours))
         if close == "close_idle":
-            scene.inbound.drainer.close_idle(scene.host.now())
+            harness.inbound.drainer.close_idle(harness.host.now())
         else:
-            scene.inbound._make_room()
-        (gone,) = met
-        (kept,) = ours.keys() - {gone}
-        assert ours[kept].answer().status == 200 and ours[gone].ended()
+            harness.inbound._make_room()
+        (dropped,) = met
+        (kept,) = ours.keys() - {dropped}
+        assert ours[kept].answer().status == 200 and ours[dropped].ended()
 
 
-def test_a_request_in_single_bytes_over_the_begin_of_a_drain_is_answered() -> None:
-    """Ruled out: a connection whose request has begun to come is not idle, whatever the drain closes."""
+def test_a_request_sent_byte_by_byte_across_the_start_of_a_drain_is_answered() -> None:
+    """A connection with a partly received request is not idle, so the drain does not close it."""
     times = {"drain_accept_ms": 1.0, "drain_keep_ms": 1.0, "drain_move_ms": NEVER, "drain_answer_ms": NEVER}
-    with running_router(serve_all, options=PATIENT | times, settings=resumed()) as (scene, _):
-        client, idle, raw = scene.client(), scene.client().send(UP), ask()
+    with running_router(serve_all, options=PATIENT | times, settings=resumed()) as (harness, _):
+        client, idle, raw = harness.client(), harness.client().send(UP), ask()
         idle.answer()
         for byte in raw[:20]:
             client.send(bytes([byte]))
-            run_ready()  # each is read alone
-        wait_until(lambda: [one for one in scene.inbound._clients if one._parser.reading])
-        draining = gevent.spawn(scene.inbound.drain)
-        assert idle.ended()  # the drain closes what is idle
+            run_ready()  # each byte is read on its own
+        wait_until(lambda: [one for one in harness.inbound._clients if one._parser.reading])
+        draining = gevent.spawn(harness.inbound.drain)
+        assert idle.ended()  # the drain closes idle connections
         for byte in raw[20:]:
             client.send(bytes([byte]))
             run_ready()
@@ -255,16 +256,16 @@
     return raw
 
 
-def test_what_comes_behind_the_last_answer_is_never_sent_on() -> None:
-    """Ruled out: a request comes while the answer that says `Connection: close` waits to be written.
+def test_a_request_after_the_last_response_reaches_no_engine() -> None:
+    """A request arrives while the response with `Connection: close` waits to be written.
 
-    Its client was told so and asks again elsewhere; here it must reach no engine.
+    The client will resend it elsewhere, so it must reach no engine here.
     """
-    with running_router(serve_all) as (scene, engine):
-        client = scene.client().send(UP)
+    with running_router(serve_all) as (harness, engine):
+        client = harness.client().send(UP)
         client.answer()
-        (held,) = scene.inbound._clients
-        close_after_answers(scene)
+        (held,) = harness.inbound._clients
+        close_after_answers(harness)
         write, gate, came = held.write, Event(), Event()
 
         def late(pieces: list[bytes]) -> None:
@@ -282,15 +283,15 @@
         answer = client.answer()
         assert answer.status == 200 and answer.fields[b"connection"] == b"close" and client.ended()
         client.sock.close()
-        wait_until(lambda: not scene.inbound._clients)
-        assert not engine.requests and not scene.host.open_requests() and not held._parser.complete
+        wait_until(lambda: not harness.inbound._clients)
+        assert not engine.requests and not harness.host.open_requests() and not held._parser.complete
 
 
 # Reloads
 
 
 class Program:
-    """What `serve.main` joins, in this process."""
+    """The components that `serve.main` joins, in this process."""
 
     def __init__(self, folder: Path, raw: dict[str, Any], monkeypatch: pytest.MonkeyPatch) -> None:
         self.raw, self.file = raw, folder / "config.json"
@@ -298,20 +299,20 @@
         monkeypatch.setenv("TMPDIR", str(folder))
         self.write()
         settings = config.load()
-        self.operations = Coordinator(settings)
+        self.coordinator = Coordinator(settings)
         self.host = Host(settings)
         self.inbound = Inbound(settings, self.host)
-        self.reloader = Reloader(self.host, self.inbound, self.operations, DescriptorLimit())
+        self.reloader = Reloader(self.host, self.inbound, self.coordinator, DescriptorLimit())
         self.inbound.start()
-        self.operations.start(self.host, self.inbound)
+        self.coordinator.start(self.host, self.inbound)
 
     def write(self, **changes: Any) -> None:
-        """Other files."""
+        """Change the configuration file."""
         self.raw = self.raw | changes
         self.file.write_bytes(msgspec.json.encode(self.raw))
 
     def close(self) -> None:
-        self.operations.close()
+        self.coordinator.close()
         self.inbound.close()
         self.host.stop()
 
@@ -324,9 +325,9 @@
     made.close()
 
 
-def at_the_move(program: Program, met: Callable[[], object]) -> None:
-    """Have `met` called in the middle of a reload: where its operators' listener is changed for another."""
-    control: Any = program.operations._control
+def in_the_middle(program: Program, met: Callable[[], object]) -> None:
+    """Have `met` called in the middle of a reload, while the control listener is replaced."""
+    control: Any = program.coordinator._control
     stop_listening = control._stop_listening
 
     def stopping() -> None:
@@ -337,7 +338,7 @@
     control._stop_listening = stopping
 
 
-def test_a_reload_in_the_middle_of_another_comes_after_it(program: Program) -> None:
+def test_a_reload_during_another_one_runs_after_it(program: Program) -> None:
     second: list[Any] = []
 
     def met() -> None:
@@ -346,21 +347,21 @@
         run_ready()
         assert program.inbound.config.name == program.host.config.name == "first"
 
-    at_the_move(program, met)
+    in_the_middle(program, met)
     program.write(name="first", control=f"{LISTEN}:{free_port()}")
     assert program.reloader.reload() is None
     gevent.joinall(second, raise_error=True)
     assert program.inbound.config.name == program.host.config.name == "second"
 
 
-def test_a_reload_is_whole_also_where_its_caller_is_ended(program: Program) -> None:
-    """An operator's call may be the caller: it gives way to others, and ends with its listener."""
+def test_a_reload_completes_even_if_its_caller_is_killed(program: Program) -> None:
+    """The caller may be an operator's call, which yields to others and ends with its listener."""
 
     def met() -> None:
         caller.kill(block=False)
         run_ready()
 
-    at_the_move(program, met)
+    in_the_middle(program, met)
     program.write(name="other", control=f"{LISTEN}:{free_port()}")
     caller = gevent.spawn(program.reloader.reload)
     caller.join()
@@ -372,7 +373,7 @@
     )
 
 
-def test_a_drain_begins_after_the_reload_that_is_in_the_middle(program: Program) -> None:
+def test_a_drain_starts_after_a_reload_in_progress(program: Program) -> None:
     def end() -> None:
         program.reloader.drain()
         program.inbound.drain()
@@ -384,34 +385,34 @@
         run_ready()
         assert not program.inbound.drainer.state.process_ending()
 
-    at_the_move(program, met)
+    in_the_middle(program, met)
     program.write(name="other", control=f"{LISTEN}:{free_port()}")
     assert program.reloader.reload() is None
     gevent.joinall(ending, raise_error=True)
     assert program.host.config.name == "other" and program.reloader.reload() is not None
 
 
-def test_a_process_that_comes_in_the_middle_of_a_reload_halves_the_room_of_both_sides(
+def test_a_process_that_starts_during_a_reload_halves_both_connection_limits(
     program: Program,
 ) -> None:
-    """The room is shared out when the files are read, and anew when another process comes or goes."""
+    """The limits are divided when the files are read, and again when another process starts or ends."""
 
     def met() -> None:
-        program.operations._handover.newer = ["newer"]  # type: ignore[union-attr]
-        program.operations._update_limits()
+        program.coordinator._handover.newer = ["newer"]  # type: ignore[union-attr]
+        program.coordinator._update_limits()
 
-    at_the_move(program, met)
+    in_the_middle(program, met)
     whole = program.host.config.max_outbound
     program.write(name="other", control=f"{LISTEN}:{free_port()}")
     assert program.reloader.reload() is None
     assert program.host.config.max_outbound == program.inbound.config.max_outbound < whole
 
 
-def test_sighup_while_the_program_starts_is_carried_out_once_it_is_up(tmp_path: Path) -> None:
-    """An older process that says nothing has the newer one wait for its state, before it decides anything."""
+def test_sighup_during_the_start_is_handled_once_the_program_is_up(tmp_path: Path) -> None:
+    """With an unresponsive older process, the newer one waits for its state before it starts to serve."""
     older = Handover(str(tmp_path))
-    party = ScriptedServer(serve_all)
-    raw = make_config([endpoint_entry("e0", party.port)], control=f"{LISTEN}:{free_port()}")
+    server = ScriptedServer(serve_all)
+    raw = make_config([endpoint_entry("e0", server.port)], control=f"{LISTEN}:{free_port()}")
     (tmp_path / "config.json").write_bytes(msgspec.json.encode(raw))
     environment = {"NODE_CONFIG": str(tmp_path / "config.json"), "TMPDIR": str(tmp_path)}
     port = int(raw["listen"].rpartition(":")[2])
@@ -426,14 +427,14 @@
             wait_until(lambda: not socket.socket().connect_ex((LISTEN, port)))
             process.send_signal(signal.SIGHUP)
             wait_until(lambda: process.poll() is not None or '"reloaded"' in log.read_text())
-            told = log.read_text()
-            assert process.poll() is None, told
-            assert told.index('"handover_failed"') < told.index('"reloaded"')
+            text = log.read_text()
+            assert process.poll() is None, text
+            assert text.index('"handover_failed"') < text.index('"reloaded"')
             assert Client(port).send(ask()).answer().status == 200
             process.send_signal(signal.SIGTERM)
             wait_until(lambda: process.poll() is not None)
             assert process.returncode == 0
         finally:
             process.kill()
-            party.close()
+            server.close()
             older.close()
--- a/tests/test_taps.py
+++ b/tests/test_taps.py
@@ -1,4 +1,4 @@
-"""What observers hear, in which order, and that they can't hurt serving."""
+"""Observers: which events they are notified of, in which order, and that faults don't affect serving."""
 
 from __future__ import annotations
 
@@ -16,53 +16,53 @@
 
 
 class Listener(Observer):
-    """Writes down what it hears."""
+    """Records its notifications."""
 
     def __init__(self) -> None:
-        self.heard: list[tuple[Any, ...]] = []
+        self.events: list[tuple[Any, ...]] = []
         self.socks: dict[int, Any] = {}
         self.counters: dict[int, tcpinfo.Counters] = {}
 
     def connection_opened(self, opened: OpenConnection) -> None:
-        self.heard.append(("opened", opened.side, opened.number, opened.endpoint))
+        self.events.append(("opened", opened.side, opened.number, opened.endpoint))
         self.socks[opened.number] = opened.sock
 
     def connection_closing(self, number: int, why: CloseReason) -> None:
         self.counters[number] = tcpinfo.counters(self.socks.pop(number))
-        self.heard.append(("closing", why, number))
+        self.events.append(("closing", why, number))
 
     def request_taken(self, request: Request, facts: i.RequestArrived) -> None:
-        self.heard.append(("taken", request.connection))
+        self.events.append(("taken", request.connection))
 
     def attempt_sent(self, attempt: Attempt) -> None:
-        self.heard.append(("sent", attempt.connection))
+        self.events.append(("sent", attempt.connection))
 
     def attempt_started(self, attempt: Attempt) -> None:
-        self.heard.append(("started", attempt.connection))
+        self.events.append(("started", attempt.connection))
 
     def parts_forwarded(self, request: Request, parts: list[bytes]) -> None:
-        self.heard.append(("passed", sum(map(len, parts))))
+        self.events.append(("passed", sum(map(len, parts))))
 
     def attempt_ended(self, attempt: Attempt) -> None:
-        self.heard.append(("ended", attempt.outcome))
+        self.events.append(("ended", attempt.outcome))
 
     def request_over(self, request: Request, now: float) -> None:
-        self.heard.append(("over", request.answer_kind))
+        self.events.append(("over", request.answer_kind))
 
 
-def test_an_observer_hears_a_request_and_its_connections_from_first_to_last() -> None:
-    with running_router(serve_all) as (scene, _):
+def test_an_observer_is_notified_of_a_request_and_its_connections_in_order() -> None:
+    with running_router(serve_all) as (harness, _):
         listener = Listener()
-        scene.host.observers.add(listener)
-        client = scene.client().send(ask())
+        harness.host.observers.add(listener)
+        client = harness.client().send(ask())
         assert client.answer().status == 200
         client.sock.close()
-        wait_until(lambda: any(told[0] == "closing" for told in listener.heard))
-        (_, _, ours, _), (_, _, theirs, name) = [told for told in listener.heard if told[0] == "opened"]
-        passed = sum(size for what, size in [t[:2] for t in listener.heard] if what == "passed")
+        wait_until(lambda: any(noted[0] == "closing" for noted in listener.events))
+        (_, _, ours, _), (_, _, theirs, name) = [noted for noted in listener.events if noted[0] == "opened"]
+        passed = sum(size for what, size in [t[:2] for t in listener.events] if what == "passed")
         assert passed == sum(map(len, EVENTS)) and name == "e0" and theirs > ours
-        told = [t for t in listener.heard if t[0] != "passed"]
-        assert told == [
+        noted = [t for t in listener.events if t[0] != "passed"]
+        assert noted == [
             ("opened", Side.CLIENT, ours, ""),
             ("taken", ours),
             ("opened", Side.ENDPOINT, theirs, "e0"),
@@ -78,48 +78,50 @@
             and counted.bytes_sent > passed
             and counted.data_segments_received == 1
         )
-        scene.host._endpoints._pool.forget("e0")
-        assert listener.heard[-1] == ("closing", CloseReason.DONE, theirs)
+        harness.host._endpoints._pool.forget("e0")
+        assert listener.events[-1] == ("closing", CloseReason.DONE, theirs)
         assert listener.counters[theirs].bytes_sent > len(b'{"model":"chat"}')
 
 
-def test_a_broken_connection_is_told_as_broken() -> None:
+def test_a_broken_connection_is_reported_as_broken() -> None:
     def half(sock: socket.socket, message: Message) -> bool:
         sock.sendall(STREAM_HEAD + chunk(EVENTS[0]))
         return True
 
-    with running_router(half) as (scene, _):
+    with running_router(half) as (harness, _):
         listener = Listener()
-        scene.host.observers.add(listener)
+        harness.host.observers.add(listener)
         with pytest.raises(ConnectionResetError):
-            scene.client().send(ask()).answer()
-        wait_until(lambda: sum(told[0] == "closing" for told in listener.heard) == 2)
-        assert {told[1] for told in listener.heard if told[0] == "closing"} == {CloseReason.BROKEN}
+            harness.client().send(ask()).answer()
+        wait_until(lambda: sum(noted[0] == "closing" for noted in listener.events) == 2)
+        assert {event[1] for event in listener.events if event[0] == "closing"} == {CloseReason.BROKEN}
 
 
-HOOKS = [name for name in vars(Observer) if not name.startswith(("_", "probe_"))]  # this stage sends no probe
+HOOKS = [
+    name for name in vars(Observer) if not name.startswith(("_", "probe_"))
+]  # the harness sends no probes
 
 
 @pytest.mark.parametrize("hook", HOOKS)
-def test_an_observer_that_raises_is_heard_no_more_and_serving_goes_on(
+def test_an_observer_that_raises_is_removed_and_serving_continues(
     hook: str, capfd: pytest.CaptureFixture[str]
 ) -> None:
-    with running_router(serve_all) as (scene, _):
+    with running_router(serve_all) as (harness, _):
         faulty, sound = Listener(), Listener()
         setattr(faulty, hook, lambda *told: 1 / 0)
-        scene.host.observers.add(faulty)
-        scene.host.observers.add(sound)
-        client = scene.client().send(ask())
+        harness.host.observers.add(faulty)
+        harness.host.observers.add(sound)
+        client = harness.client().send(ask())
         assert client.answer().status == 200
         client.sock.close()
-        assert scene.client().send(ask(X_Facts="odd")).answer().status == 400  # turned away, not taken
-        wait_until(lambda: any(told[0] == "closing" for told in sound.heard))
-        assert scene.host.observers._observers == (sound,)
-        assert scene.client().send(ask()).answer().status == 200
+        assert harness.client().send(ask(X_Facts="odd")).answer().status == 400  # declined
+        wait_until(lambda: any(event[0] == "closing" for event in sound.events))
+        assert harness.host.observers._observers == (sound,)
+        assert harness.client().send(ask()).answer().status == 200
     assert capfd.readouterr().err.count("observer Listener") == 1
 
 
-def test_numbers_of_connections_are_not_used_again_after_a_restart(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_connection_numbers_are_not_reused_after_a_restart(monkeypatch: pytest.MonkeyPatch) -> None:
     with socket.create_server(("127.0.0.1", 0)) as listener:
         monkeypatch.setattr("time.time", lambda: 1000.0)
         first = [Observers().connection_opened(Side.CLIENT, listener, 0.0) for _ in range(2)][-1]
