--- a/benchmarks/gone.py
+++ b/benchmarks/gone.py
@@ -39,7 +39,8 @@
 ROOT = Path(__file__).resolve().parent.parent
 KINDS = {
     "as_it_is": "",
-    "read_only": "from spoolbarrow.net.client import ClientConnection; ClientConnection.disconnected = lambda self: self._closed; ",
+    "read_only": "from spoolbarrow.net.client import ClientConnection; "
+    "ClientConnection.disconnected = lambda self: self._closed; ",
 }
 PAIRS = 2
 ALLOWED_S = 0.1  # the operators' term
--- a/spoolbarrow/net/__init__.py
+++ b/spoolbarrow/net/__init__.py
@@ -1,1 +1,1 @@
-"""The router on real sockets: everything that touches the network, built round the decisions."""
+"""Networking of the router: everything that uses sockets, around the decision module."""
--- a/spoolbarrow/net/clock.py
+++ b/spoolbarrow/net/clock.py
@@ -1,4 +1,4 @@
-"""The decisions' clock."""
+"""Provides the clock of the decision module."""
 
 from __future__ import annotations
 
@@ -6,16 +6,16 @@
 
 
 def unix_offset_s() -> float:
-    """What Unix time is ahead of the monotonic clock now; another value once the wall clock was set."""
+    """Unix time minus the monotonic clock, s; changes whenever the wall clock is set."""
     return time.time() - time.monotonic()
 
 
 class Clock:
-    """The module's clock: Unix milliseconds at the start, never set back after it.
+    """A monotonic clock that starts at the Unix time, in ms.
 
-    Discovery tells the start of an endpoint in Unix time; on this clock it means the same, unless the wall
-    clock was wrong at the start (`DestinationSet` bounds what that does). The processes of one router share
-    an offset: they tell each other times.
+    Discovery reports start times of endpoints in Unix time. They hold on this clock too, unless the wall
+    clock was wrong at the start (`DestinationSet` bounds the effect). The processes of one router exchange
+    times, so they share one offset.
     """
 
     def __init__(self, offset_s: float | None = None) -> None:
--- a/spoolbarrow/net/destinations.py
+++ b/spoolbarrow/net/destinations.py
@@ -1,8 +1,8 @@
-"""The destination set: the endpoints that discovery lists, and which of them are in service.
+"""Keeps the set of endpoints that discovery lists, and which of them are in service.
 
-An endpoint is in service if discovery says so and neither an operator nor failover has taken it out. The
-decisions are told of an endpoint that was taken out as one that drains, and of its return as a start. The
-list comes from `net/discovery_watch.py`.
+An endpoint is in service if discovery says so and neither an operator nor failover has taken it out. To the
+decision module, an endpoint that was taken out is reported as draining, and its return as a start. The list
+comes from `net/discovery_watch.py`.
 """
 
 from __future__ import annotations
@@ -20,37 +20,37 @@
 from spoolbarrow.net.log import log
 from spoolbarrow.wire import STATES
 
-MAX_SUSPENDED = 4096  # names; they stay while their endpoints are gone, so only operators take them out
+MAX_SUSPENDED = 4096  # names; kept while their endpoints are unlisted, so that only operators remove them
 
 
 class NoRoom(Problem):
-    """As many endpoints are suspended as can be."""
+    """The limit of suspended endpoints is reached."""
 
     where = "none"
-    remedy = "Resume suspended engines that are gone, by `POST /v1/engines/ID/resume`."
+    remedy = "Resume suspended engines that are no longer listed, by `POST /v1/engines/ID/resume`."
 
 
-STALE_NEWS_MS = 60_000.0  # a start that is told as a change and was so long ago was told by a wrong clock
+STALE_START_MS = 60_000.0  # a start reported as a change but older than this comes from a wrong clock
 
 
-class Listed(NamedTuple):
+class ListedEndpoint(NamedTuple):
     """An endpoint that discovery lists."""
 
-    line: ListEntry  # what discovery said last
+    line: ListEntry  # the last report from discovery
     address: Address
-    incarnation: int  # another number after each restart, move or return
-    started_at: float  # ms, on the host's clock; never after it was heard of
+    incarnation: int  # changes with each restart, move or return
+    started_at: float  # ms, on the host's clock; never later than the report of it
 
     def serving(self) -> bool:
-        """Whether discovery has it in service."""
+        """Whether it is in service according to discovery."""
         return STATES[self.line.status] is i.ReplicaState.SERVING
 
 
 class DestinationSet:
     """The listed endpoints by name: address, state, suspension.
 
-    `tell` gets each change as an event for the decisions; `left` the name of each endpoint that leaves
-    service or restarts.
+    `tell` is called with each change, as an event for the decision module; `left` with the name of each
+    endpoint that leaves service or restarts.
     """
 
     def __init__(
@@ -60,78 +60,78 @@
         left: Callable[[str], None],
         now: Callable[[], float],
     ) -> None:
-        self._config, self._tell, self._left = config, tell, left
+        self._config, self._notify, self._on_left = config, tell, left
         self._now = now
-        self._listed: dict[str, Listed] = {}
-        self._suspended: set[str] = set()  # by hand, at this router
-        self._shared: frozenset[str] = frozenset()  # by the document that all routers share
-        self._listing: dict[str, tuple[str, bool]] | None = None  # of both; None: to be made anew
-        self._resumed: dict[str, float] = {}  # when, of those listed: they may have been restarted meanwhile
+        self._listed: dict[str, ListedEndpoint] = {}
+        self._suspended: set[str] = set()  # by an operator, at this router
+        self._shared_suspended: frozenset[str] = frozenset()  # by the document shared by all routers
+        self._listing: dict[str, tuple[str, bool]] | None = None  # cache of `listing`; None: outdated
+        self._resumed: dict[str, float] = {}  # resume times of listed endpoints, which may have restarted
         self._discovery = DiscoveryWatch(config, self, tell, now)
         self._next_incarnation = count(1)
         self._serving: set[str] = set()
-        self._heard = False  # discovery has told this process a list
-        # Endpoints of this type, or of this group, never serve: they are told to `_aside_tell`.
-        self._aside_type, self._aside_group = "", -1
+        self._list_received = False  # from discovery, by this process
+        # Endpoints of this type or group never serve; they are reported to `_notify_excluded`.
+        self._excluded_type, self._excluded_group = "", -1
         self._excluded: dict[str, tuple[str, Address, bool, float]] = {}
-        self._aside_tell: Callable[[list[tuple[str, Address, bool, float]]], None] | None = None
-        self._zones_out: frozenset[str] = frozenset()  # failed by failover's verdict: like suspended
-        self._zones_back: dict[str, float] = {}  # returning since, by zone: its endpoints began anew then
-        self.verdicts: dict[str, dict[str, object]] | None = None  # failover's, by zone and region; None: off
+        self._notify_excluded: Callable[[list[tuple[str, Address, bool, float]]], None] | None = None
+        self._failed_zones: frozenset[str] = frozenset()  # by failover; treated like suspended
+        self._returning_zones: dict[str, float] = {}  # by zone, when its endpoints began their slow start
+        self.verdicts: dict[str, dict[str, object]] | None = None  # of failover, by zone or region; None: off
 
     def apply(self, config: Config) -> None:
-        """Go by a new configuration; the endpoints stay as they are until discovery's next list has come."""
+        """Apply a new configuration; the endpoints stay unchanged until discovery's next list."""
         old, self._config = self._config, config
         if (config.zones, config.kinds, config.settings.zone) != (old.zones, old.kinds, old.settings.zone):
-            # News may wait that has the old numbers of zones and types. The list is told as it was last
-            # taken, and as restored: any other kind would count as an answer from discovery.
-            lines = tuple(self._masked(listed) for listed in self._listed.values())
-            self._tell(i.ReplicaList(i.ListKind.RESTORED, lines))
+            # Queued updates may hold the old numbers of zones and types, so the current list is reported
+            # again, as RESTORED: any other kind would count as an answer from discovery.
+            lines = tuple(self._replica_entry(listed) for listed in self._listed.values())
+            self._notify(i.ReplicaList(i.ListKind.RESTORED, lines))
         self._discovery.apply(config)
 
     def watch(self, pause_ms: float = 0.0) -> None:
-        """Watch discovery from now on, or after a pause."""
+        """Watch discovery from now on, or after `pause_ms`."""
         self._discovery.watch(pause_ms)
 
-    def ask(self) -> None:
-        """Watch discovery, unless calls to it are on their way."""
-        self._discovery.ask()
+    def ensure_watch(self) -> None:
+        """Watch discovery, unless calls to it are in flight."""
+        self._discovery.ensure_watch()
 
-    def hear_first(self) -> None:
-        """Watch discovery, and wait a moment for the list of an agent on this machine."""
-        self._discovery.hear_first()
+    def await_first_list(self) -> None:
+        """Watch discovery, and wait briefly for the list of an agent on this machine."""
+        self._discovery.await_first_list()
 
     def close(self) -> None:
-        """Stop watching discovery, for good."""
+        """Stop watching discovery permanently."""
         self._discovery.close()
 
     def exclude(
         self, kind: str, group: int, tell: Callable[[list[tuple[str, Address, bool, float]]], None]
     ) -> None:
-        """Keep endpoints of a type or a group out of service; `tell` hears them all, now and at each change.
+        """Keep endpoints of a type or group out of service; `tell` gets all of them, now and at each change.
 
-        An empty type, a negative group: none. Where they change, endpoints that are meant leave service at
-        once, and the whole list is asked for again: until it has come, those set aside before serve nobody.
+        An empty type and a negative group exclude nothing. When they change, matching endpoints leave service
+        at once and the whole list is requested again: until then, formerly excluded ones stay out of service.
         """
-        changed = (kind, group) != (self._aside_type, self._aside_group)
-        self._aside_type, self._aside_group, self._aside_tell = kind, group, tell
+        changed = (kind, group) != (self._excluded_type, self._excluded_group)
+        self._excluded_type, self._excluded_group, self._notify_excluded = kind, group, tell
         if changed:
             self._excluded.clear()
-            leaving = [n for n, one in self._listed.items() if self._is_aside(one.line.type, one.line.group)]
+            leaving = [n for n, e in self._listed.items() if self._is_excluded(e.line.type, e.line.group)]
             for name in leaving:
                 listed = self._listed[name]
                 self._excluded[name] = (name, listed.address, name in self._serving, listed.line.since_ms)
                 self._forget(name)
             if leaving:
                 gone = [i.ReplicaEntry(name, state=i.ReplicaState.GONE) for name in leaving]
-                self._tell(i.ReplicaList(i.ListKind.CHANGES, tuple(gone)))
-            self._discovery.start_over()
+                self._notify(i.ReplicaList(i.ListKind.CHANGES, tuple(gone)))
+            self._discovery.request_whole_list()
         tell(list(self._excluded.values()))
 
-    def _is_aside(self, kind: str, group: int) -> bool:
-        return (self._aside_type != "" and kind == self._aside_type) or group == self._aside_group
+    def _is_excluded(self, kind: str, group: int) -> bool:
+        return (self._excluded_type != "" and kind == self._excluded_type) or group == self._excluded_group
 
-    def _set_aside(self, entry: ListEntry) -> None:
+    def _update_excluded(self, entry: ListEntry) -> None:
         try:
             where = parse_address("address", entry.address)
         except ConfigError:
@@ -143,11 +143,11 @@
             self._excluded[entry.name] = (entry.name, where, entry.status == "in_service", entry.since_ms)
 
     def any_serving(self) -> bool:
-        """Whether some endpoint is in service."""
+        """Whether any endpoint is in service."""
         return bool(self._serving)
 
     def any_listed_serving(self) -> bool:
-        """Whether discovery has some endpoint in service, be it suspended or not."""
+        """Whether any endpoint is in service according to discovery, suspended or not."""
         return any(listed.serving() for listed in self._listed.values())
 
     def address(self, name: str) -> Address | None:
@@ -156,35 +156,37 @@
         return None if listed is None else listed.address
 
     def incarnation(self, name: str) -> int:
-        """A number that is another one after each restart, move or return of the endpoint; 0: not listed."""
+        """A number that changes with each restart, move or return of the endpoint; 0: not listed."""
         listed = self._listed.get(name)
         return 0 if listed is None else listed.incarnation
 
     def serving(self, name: str) -> bool:
-        """Whether the endpoint takes new work, as far as this router was told."""
+        """Whether the endpoint accepts new work, as far as this router knows."""
         return name in self._serving
 
     def starting(self, name: str) -> bool:
-        """Whether the endpoint is in its slow start, by discovery's word."""
+        """Whether the endpoint is in its slow start, by its reported start."""
         listed = self._listed.get(name)
-        return listed is not None and self._now() < self._started_at(listed) + self._config.settings.cold_ms
+        return (
+            listed is not None and self._now() < self._slow_start_at(listed) + self._config.settings.cold_ms
+        )
 
     def names(self) -> list[str]:
-        """The endpoints that are listed, those that drain too."""
+        """The listed endpoints, including draining ones."""
         return list(self._listed)
 
     def suspended(self, name: str) -> bool:
-        """Whether operators want nothing more sent to it."""
-        return name in self._suspended or name in self._shared
+        """Whether operators have suspended it."""
+        return name in self._suspended or name in self._shared_suspended
 
     def has(self, name: str) -> bool:
-        """Whether an operator can mean this endpoint: it is listed, or was when it was suspended."""
+        """Whether an operator can name this endpoint: it is listed, or was when it was suspended."""
         return name in self._listed or name in self._suspended
 
     def listing(self) -> dict[str, tuple[str, bool]]:
-        """Each listed endpoint's zone, and whether it is in service by discovery's word and operators'.
+        """Each listed endpoint's zone, and whether it is in service by discovery and operators.
 
-        The same object until that changes, not to be changed by who asks.
+        Returns the same object until that changes; callers must not modify it.
         """
         if self._listing is None:
             self._listing = {
@@ -194,99 +196,101 @@
         return self._listing
 
     def seen(self) -> tuple[int, list[ListEntry]]:
-        """The list's index and its lines by name, without the addresses, which may differ by router."""
+        """The list's index and its lines by name, without the addresses, which may differ between routers."""
         lines = [replace(self._listed[name].line, address="") for name in sorted(self._listed)]
         return self._discovery.index or 0, lines
 
-    def all_suspended(self) -> list[str]:
-        """The endpoints that operators want nothing more sent to."""
+    def suspended_names(self) -> list[str]:
+        """The endpoints that operators suspended at this router."""
         return sorted(self._suspended)
 
-    def zones(
+    def apply_zone_verdicts(
         self, out: frozenset[str], back: dict[str, float], verdicts: dict[str, dict[str, object]] | None
     ) -> None:
-        """Failover's verdicts: zones `out` take no new work; those of `back` began anew then (ms)."""
+        """Apply failover's verdicts: zones `out` get no new work, zones `back` restarted then (ms)."""
         self.verdicts = verdicts
-        changed = (out ^ self._zones_out) | {
-            z for z in back.keys() | self._zones_back.keys() if back.get(z) != self._zones_back.get(z)
+        changed = (out ^ self._failed_zones) | {
+            z
+            for z in back.keys() | self._returning_zones.keys()
+            if back.get(z) != self._returning_zones.get(z)
         }
-        self._zones_out, self._zones_back = out, dict(back)
+        self._failed_zones, self._returning_zones = out, dict(back)
         for name, listed in list(self._listed.items()):
             if listed.line.zone not in changed:
                 continue
-            if self._masked(listed).state is i.ReplicaState.SERVING:
+            if self._replica_entry(listed).state is i.ReplicaState.SERVING:
                 self._serving.add(name)
             else:
                 self._serving.discard(name)
-                self._left(name)
-            self._say_again(name)
+                self._on_left(name)
+            self._notify_again(name)
 
     def suspend(self, name: str) -> None:
-        """Send nothing more to an endpoint, whatever discovery says, until it is resumed; NoRoom."""
+        """Take an endpoint out of service, regardless of discovery, until it is resumed; may raise NoRoom."""
         if name in self._suspended:
             return
         if len(self._suspended) >= MAX_SUSPENDED:
-            raise NoRoom("", f"{MAX_SUSPENDED} endpoints are suspended: resume one that is gone")
+            raise NoRoom("", f"{MAX_SUSPENDED} endpoints are suspended: resume one that is no longer listed")
         self._suspended.add(name)
-        self._taken_out(name)
+        self._take_out(name)
 
     def resume(self, name: str) -> None:
-        """Take an endpoint into service again, as far as discovery does; it counts as started now."""
+        """End an endpoint's suspension; if it is in service, it counts as started now."""
         if name not in self._suspended:
             return
         self._suspended.discard(name)
-        self._taken_back(name)
+        self._take_back(name)
 
-    def share_suspensions(self, names: frozenset[str]) -> None:
-        """What all routers suspend, apart from those by hand: an engine is out while either says so."""
-        old, self._shared = self._shared, names
+    def set_shared_suspensions(self, names: frozenset[str]) -> None:
+        """Set the suspensions shared by all routers; they add to those made at this router."""
+        old, self._shared_suspended = self._shared_suspended, names
         for name in sorted(names ^ old):
             if name in self._suspended:
                 continue
             if name in names:
-                self._taken_out(name)
+                self._take_out(name)
             else:
-                self._taken_back(name)
+                self._take_back(name)
 
-    def _taken_out(self, name: str) -> None:
+    def _take_out(self, name: str) -> None:
         self._listing = None
         self._serving.discard(name)
-        self._left(name)
-        self._say_again(name)
+        self._on_left(name)
+        self._notify_again(name)
 
-    def _taken_back(self, name: str) -> None:
+    def _take_back(self, name: str) -> None:
         self._listing = None
         if name in self._listed and not self.suspended(name):
             self._resumed[name] = self._now()
             if self._listed[name].serving():
                 self._serving.add(name)
-        self._say_again(name)
+        self._notify_again(name)
 
     def export(self) -> tuple[HostList, dict[str, float]]:
-        """The list as this router has it, and when operators took endpoints of it back."""
-        # Endpoints that are set aside are not in the export, and are told by a whole list only: discovery
-        # answers version 0 with one.
-        aside = self._aside_type or self._aside_group >= 0
-        index = 0 if aside else self._discovery.index or 0
+        """The list as known to this router, and when operators resumed endpoints on it."""
+        # Excluded endpoints are not exported and are only reported in a whole list, which discovery sends
+        # in answer to version 0.
+        any_excluded = self._excluded_type or self._excluded_group >= 0
+        index = 0 if any_excluded else self._discovery.index or 0
         return HostList(index, True, [one.line for one in self._listed.values()]), dict(self._resumed)
 
     def restore(self, known: HostList | None = None, resumed: dict[str, float] | None = None) -> None:
-        """Begin with the list as this router last had it: as configured, or as another process passed it."""
+        """Start from the last known list: as configured, or as passed by another process."""
         known = self._config.known if known is None else known
         self._discovery.index, self._resumed = known.index, dict(resumed or {})
         self.apply_list(known, i.ListKind.RESTORED)
 
-    def _say_again(self, name: str) -> None:
+    def _notify_again(self, name: str) -> None:
         if name in self._listed:
-            self._tell(i.ReplicaList(i.ListKind.CHANGES, (self._masked(self._listed[name]),)))
+            self._notify(i.ReplicaList(i.ListKind.CHANGES, (self._replica_entry(self._listed[name]),)))
 
-    def _started_at(self, listed: Listed) -> float:
+    def _slow_start_at(self, listed: ListedEndpoint) -> float:
         """When an endpoint began its slow start, ms on the host's clock."""
         resumed = self._resumed.get(listed.line.name, 0.0)
-        return max(listed.started_at, resumed, self._zones_back.get(listed.line.zone, 0.0))
+        return max(listed.started_at, resumed, self._returning_zones.get(listed.line.zone, 0.0))
 
-    def _masked(self, listed: Listed) -> i.ReplicaEntry:
-        """What the decisions hear of a line: operators' word goes before discovery's."""
+    def _replica_entry(self, listed: ListedEndpoint) -> i.ReplicaEntry:
+        """An endpoint's entry for the decision module: suspensions and failover override discovery."""
         config, line = self._config, listed.line
         entry = i.ReplicaEntry(
             line.name,
@@ -297,83 +301,92 @@
             line.weight,
             listed.started_at,
         )
-        out = self.suspended(entry.replica) or line.zone in self._zones_out
+        out = self.suspended(entry.replica) or line.zone in self._failed_zones
         if out and entry.state is i.ReplicaState.SERVING:
             return replace(entry, state=i.ReplicaState.DRAINING)
-        started_at = self._started_at(listed)
+        started_at = self._slow_start_at(listed)
         return replace(entry, started_at_ms=started_at) if started_at > entry.started_at_ms else entry
 
-    def apply_list(self, news: HostList, kind: i.ListKind) -> None:
-        """Take over a list, or changes of it, and tell the decisions."""
+    def apply_list(self, host_list: HostList, kind: i.ListKind) -> None:
+        """Apply a list, or changes of it, and notify the decision module."""
         if kind is not i.ListKind.CHANGES:
-            for name in self._listed.keys() - {entry.name for entry in news.endpoints}:
+            for name in self._listed.keys() - {entry.name for entry in host_list.endpoints}:
                 self._forget(name)
             self._excluded.clear()
-        live = kind is i.ListKind.CHANGES and self._heard
-        self._heard = self._heard or kind in (i.ListKind.CHANGES, i.ListKind.WHOLE)
-        entries, aside = [], False
-        for entry in news.endpoints:
-            if self._is_aside(entry.type, entry.group):
-                aside = True
-                self._set_aside(entry)
-                if entry.name in self._listed:  # it served until now
+        is_change = kind is i.ListKind.CHANGES and self._list_received
+        self._list_received = self._list_received or kind in (i.ListKind.CHANGES, i.ListKind.WHOLE)
+        entries, any_excluded = [], False
+        for entry in host_list.endpoints:
+            if self._is_excluded(entry.type, entry.group):
+                any_excluded = True
+                self._update_excluded(entry)
+                if entry.name in self._listed:  # it was in service until now
                     self._forget(entry.name)
                     entries.append(i.ReplicaEntry(entry.name, state=i.ReplicaState.GONE))
                 continue
-            if not self._accepts(entry, live):
+            if not self._accept_entry(entry, is_change):
                 continue
-            made = self._masked(self._listed[entry.name])
+            made = self._replica_entry(self._listed[entry.name])
             entries.append(made)
             if made.state is i.ReplicaState.SERVING:
                 self._serving.add(entry.name)
             elif made.state is i.ReplicaState.DRAINING:
                 self._serving.discard(entry.name)
-                self._left(entry.name)
+                self._on_left(entry.name)
             else:
                 self._forget(entry.name)
-        if self._aside_tell is not None and (aside or kind is not i.ListKind.CHANGES):
-            self._aside_tell(list(self._excluded.values()))
+        if self._notify_excluded is not None and (any_excluded or kind is not i.ListKind.CHANGES):
+            self._notify_excluded(list(self._excluded.values()))
         serving = len(self._serving)
-        log("destinations", kind=kind.name.lower(), index=news.index, changed=len(entries), serving=serving)
-        self._tell(i.ReplicaList(kind, tuple(entries)))
+        log(
+            "destinations",
+            kind=kind.name.lower(),
+            index=host_list.index,
+            changed=len(entries),
+            serving=serving,
+        )
+        self._notify(i.ReplicaList(kind, tuple(entries)))
 
     def _forget(self, name: str) -> None:
-        """Guards against tables that grow with every endpoint that ever was."""
+        """Remove an endpoint from all tables, so that they do not grow with every endpoint ever listed."""
         self._serving.discard(name)
         self._listed.pop(name, None)
         self._listing = None
         self._resumed.pop(name, None)
-        self._left(name)
+        self._on_left(name)
 
-    def _accepts(self, entry: ListEntry, live: bool) -> bool:
-        """Keep what a line says, which may be live news; one that can't be used is logged and left out."""
+    def _accept_entry(self, entry: ListEntry, is_change: bool) -> bool:
+        """Store a line's contents and return True; an invalid line is logged and skipped."""
         try:
-            listens = parse_address("address", entry.address)
+            listen_address = parse_address("address", entry.address)
         except ConfigError:
-            listens = None
-        if entry.status not in STATES or listens is None:
+            listen_address = None
+        if entry.status not in STATES or listen_address is None:
             log("bad_entry", name=entry.name, address=entry.address, status=entry.status)
             return False
-        was = self._listed.get(entry.name)
-        if was is not None and (was.address, was.line.since_ms) == (listens, entry.since_ms):
-            incarnation, started_at = was.incarnation, was.started_at
-        else:  # it moved or restarted: connections to what it was are of no use, idle or not
-            started = was is None or was.line.since_ms != entry.since_ms  # else it moved
+        previous = self._listed.get(entry.name)
+        if previous is not None and (previous.address, previous.line.since_ms) == (
+            listen_address,
+            entry.since_ms,
+        ):
+            incarnation, started_at = previous.incarnation, previous.started_at
+        else:  # it moved or restarted: connections to its old process are useless, idle or not
+            started = previous is None or previous.line.since_ms != entry.since_ms  # otherwise it moved
             incarnation = next(self._next_incarnation)
-            started_at = self._start_of(entry, live and started)
-            self._left(entry.name)
-        self._listed[entry.name] = Listed(entry, listens, incarnation, started_at)
+            started_at = self._estimate_start(entry, is_change and started)
+            self._on_left(entry.name)
+        self._listed[entry.name] = ListedEndpoint(entry, listen_address, incarnation, started_at)
         self._listing = None
         return True
 
-    def _start_of(self, entry: ListEntry, live: bool) -> float:
-        """When an endpoint started, ms on the host's clock, as far as the wall clocks can be believed.
+    def _estimate_start(self, entry: ListEntry, is_change: bool) -> float:
+        """When an endpoint started, ms on the host's clock, corrected for wrong wall clocks.
 
-        Guards the slow start where this machine's was set before this process began, or the endpoint's: a
-        start to come is now, and one long ago that has just become news is now, too. Both err to the slow
-        side, for one slow start at most.
+        Protects the slow start if this machine's or the endpoint's wall clock was wrong. A start in the
+        future counts as now, and so does an old start that is reported as a new change. Both err towards a
+        slow start, for one slow start at most.
         """
         now = self._now()
-        if live and 0.0 < entry.since_ms < now - STALE_NEWS_MS and entry.status == "in_service":
+        if is_change and 0.0 < entry.since_ms < now - STALE_START_MS and entry.status == "in_service":
             return now
         return min(entry.since_ms, now)
--- a/spoolbarrow/net/endpoint_response.py
+++ b/spoolbarrow/net/endpoint_response.py
@@ -1,4 +1,4 @@
-"""An endpoint's answer on its way: how far it has come, and each of its pieces read in good time."""
+"""Tracks the answer to an attempt in flight and reads it with a time limit on each of its parts."""
 
 from __future__ import annotations
 
@@ -12,32 +12,32 @@
 from spoolbarrow.net.connection_pool import Connection
 from spoolbarrow.net.request import Attempt
 
-TAIL = 4096  # bytes kept of a stream's end, where it tells its usage
-DONE = b"\ndata: [DONE]"  # a stream's last event
-LAST_CHUNK, END = b"\r\n0\r\n", b"0\r\n\r\n"  # with what is before it; to the end, without trailers
+TAIL_BYTES = 4096  # kept of a stream's end, where its usage is
+DONE_EVENT = b"\ndata: [DONE]"  # a stream's last event
+LAST_CHUNK, CHUNKED_END = b"\r\n0\r\n", b"0\r\n\r\n"  # after the line end before it; without trailers
 EVENT_ENDS = b"\n\n", b"\r\n\r\n", b"\r\r"
-LONGEST_EVENT_END = max(map(len, EVENT_ENDS))
-MOST_HELD = 65536  # bytes of a stream's beginning that are kept back until its first event is whole
-MOST_UNREAD = 1 << 20  # bytes in the kernel that are searched for a stream's end
+MAX_EVENT_END_BYTES = max(map(len, EVENT_ENDS))
+MAX_HELD_BYTES = 65536  # of a stream's beginning, held until its first event is complete
+MAX_PEEK_BYTES = 1 << 20  # in the kernel, searched for a stream's end
 
 
 class InFlightAttempt:
-    """An attempt that was written, and its answer as far as it has come."""
+    """An attempt that was sent, and the state of its answer."""
 
     def __init__(self, attempt: Attempt, connection: Connection, parser: http1.ResponseParser) -> None:
         self.attempt, self.connection, self.parser = attempt, connection, parser
-        self.tail = b""  # the last of what was passed on
-        self.claimed = False  # its stream is the client's
-        self.handing_over = False  # on its way to another process of this router
-        self._held: list[bytes] = []  # of a first event that is not whole yet
+        self.tail = b""  # the last bytes forwarded
+        self.claimed = False  # this attempt serves the client
+        self.handing_over = False  # to another process of this router
+        self._held: list[bytes] = []  # parts of an incomplete first event
         self._held_bytes = 0
-        self._held_end = b""  # its last bytes: an event's end may come in two pieces
+        self._held_end = b""  # its last bytes: an event's end may be split between reads
 
-    def passable(self, parts: list[bytes]) -> list[bytes]:
-        """What may be passed on, now that these bytes have come: nothing until the first event is whole.
+    def forwardable(self, parts: list[bytes]) -> list[bytes]:
+        """What may be forwarded after these parts: nothing until the first event is complete.
 
-        Guards an answer: an attempt that breaks inside its first event has given its client nothing, so that
-        another one may still serve the request, or its client be told that it failed.
+        If an attempt breaks within its first event, its client has received nothing, so another attempt can
+        still serve the request, or the client gets an error.
         """
         if self.claimed:
             return parts
@@ -45,10 +45,10 @@
         searched = self._held_end + new
         self._held += parts
         self._held_bytes += len(new)
-        self._held_end = searched[1 - LONGEST_EVENT_END :]
+        self._held_end = searched[1 - MAX_EVENT_END_BYTES :]
         if (
             self.parser.complete
-            or self._held_bytes >= MOST_HELD
+            or self._held_bytes >= MAX_HELD_BYTES
             or any(end in searched for end in EVENT_ENDS)
         ):
             parts, self._held = self._held, []
@@ -56,49 +56,49 @@
         return []
 
     def must_finish(self) -> bool:
-        """Whether it must not be broken off: its endpoint has finished it, or another process may have it.
+        """Whether it must not be broken off: its endpoint has finished it, or another process may own it.
 
-        Guards streams whose clients read slowly: their ends stand unread in the kernel. One whose last event
-        has come ends at once; a silent endpoint is noticed as ever.
+        Protects streams whose clients read slowly, as their ends are unread in the kernel. One whose last
+        event has arrived ends at once; an unresponsive endpoint is noticed as usual.
         """
-        if self.handing_over or self.parser.complete or DONE in b"\n" + self.tail:
+        if self.handing_over or self.parser.complete or DONE_EVENT in b"\n" + self.tail:
             return True
         try:
-            unread = self.connection.sock.recv(MOST_UNREAD, MSG_PEEK) if self.connection.stale() else b""
+            unread = self.connection.sock.recv(MAX_PEEK_BYTES, MSG_PEEK) if self.connection.stale() else b""
         except OSError:
             return False
-        # The last chunk, perhaps with trailers; of one that is half read the rest.
-        last = LAST_CHUNK in b"\r\n" + unread[-TAIL:] and unread.endswith(b"\r\n\r\n")
-        return last or (bool(unread) and END.endswith(unread))
+        # The last chunk, possibly with trailers, or the rest of one that is partly read.
+        last = LAST_CHUNK in b"\r\n" + unread[-TAIL_BYTES:] and unread.endswith(b"\r\n\r\n")
+        return last or (bool(unread) and CHUNKED_END.endswith(unread))
 
 
-class AnswerReader:
-    """Reads an answer, each of its pieces in good time.
+class ResponseReader:
+    """Reads an answer with a time limit on each head and chunk.
 
-    Guards against spoilt answers whose connection stays open: nothing else would end them. An endpoint that
-    writes a head or a chunk has the whole of it, so what has begun ends soon; time is needed between them.
+    Ends malformed answers whose connection stays open, which nothing else would end. An endpoint has all of
+    a head or chunk when it starts to write it, so each must end soon; the time needed is between them.
     """
 
     def __init__(
         self, parser: http1.ResponseParser, sock: socket, buffer: bytearray, options: Options
     ) -> None:
         self._parser, self._sock, self._buffer, self._options = parser, sock, buffer, options
-        self._piece, self._left_s = -1, 0.0  # the piece that has begun, and how long it may still take
+        self._piece, self._left_s = -1, 0.0  # the current head or chunk and its time left
 
     def read(self) -> None:
-        """Parse what comes next; HttpError where a piece does not end, TimeoutError where a stream stops."""
+        """Parse the next bytes; HttpError if a head or chunk does not end, TimeoutError if a stream stops."""
         parser = self._parser
-        begun = parser.in_chunk or parser.in_size or (parser.begun and not parser.head_complete)
+        begun = parser.in_chunk or parser.in_chunk_header or (parser.begun and not parser.head_complete)
         if begun:
             if self._piece != parser.pieces:
                 self._piece, self._left_s = parser.pieces, self._options.piece_ms / 1000
-            # The time that its client needs to take it does not count: only that spent here.
+            # Only the time spent here counts, not the time that the client needs to read.
             before = time.monotonic()
             try:
                 self._sock.settimeout(max(self._left_s, 0.001))
                 parser.read(self._sock, self._buffer)
             except TimeoutError as error:
-                if error.errno == errno.ETIMEDOUT:  # the connection broke; a time that is over has no number
+                if error.errno == errno.ETIMEDOUT:  # the connection broke; socket timeouts have no errno
                     raise
                 raise http1.HttpError(502, "no end of a head or a chunk") from None
             self._left_s -= time.monotonic() - before
--- a/spoolbarrow/net/host.py
+++ b/spoolbarrow/net/host.py
@@ -1,9 +1,9 @@
-"""The decision module's interface on the sockets: clock, timers, open requests, each action carried out.
+"""Runs the decision module on real sockets: clock, timers, open requests, and the actions it orders.
 
-One greenlet alone calls `Router.handle`, on what has come in within a tick; where that is much, in several
-calls, between which other greenlets run. Nothing that it does for an action waits: attempts, probes and
-answers go on in greenlets of their own and come back as events. The host knows no protocol: whoever takes
-requests in hands over an `Answer` to give, and a message to send on.
+One greenlet alone calls `Router.handle`, with the events of a tick, in batches between which other
+greenlets run. Carrying out an action never blocks: attempts, probes and answers run in greenlets of their
+own and report back as events. The host is protocol-neutral: the inbound side passes it an `Answer` and a
+message to forward.
 """
 
 from __future__ import annotations
@@ -35,45 +35,43 @@
 if TYPE_CHECKING:
     from spoolbarrow.fleet.documents import SharedState
 
-AT_ONCE = 32  # events decided on, or timers run, before other greenlets have their turn: some ms of a core
-OVERDUE_TICKS = (
-    2.0  # past its deadline: a request that the decisions then leave open is answered by the host,
-)
-OVERDUE_MS = 4.0  # at the latest so long past it, however long a tick is: the answer's margin is 15
-TIMER_LOOK_MS = 2.0  # between looks at timers within a tick
-AGAIN_MS = 1000.0  # a timer of the decisions that a fault swallowed comes again so much later
+MAX_EVENTS_PER_TURN = 32  # events or timers handled before yielding to other greenlets: some ms of a core
+OVERDUE_TICKS = 2.0  # ticks past its deadline after which the host fails a request that is still open,
+MAX_OVERDUE_MS = 4.0  # but never later than this, however long a tick is: the answer's margin is 15 ms
+TIMER_CHECK_MS = 2.0  # between checks of the timers within a tick
+LOST_TIMER_RETRY_MS = 1000.0  # delay before a timer whose handler raised is fired again
 
 
 class Decider(Protocol):
-    """What the host asks: the decisions, or what stands before them."""
+    """The decision module, or a wrapper around it."""
 
-    actions: list[i.Action]  # of the last batch, as far as it went
+    actions: list[i.Action]  # of the last batch; partial if `handle` raised
 
     def handle(self, now: float, events: list[i.Event]) -> list[i.Action]:
-        """Decide on what happened."""
+        """Return the actions for a batch of events."""
 
 
 class Host:
-    """The decisions' surroundings on one machine."""
+    """The decision module's environment in one process."""
 
     def __init__(self, config: Config, clock: Clock | None = None) -> None:
         self.config = config
         self.now = clock or Clock()
         self.loop_iterations = LoopIterations(lambda: self.now())
         self.observers = Observers()
-        self.fleet: SharedState | None = None  # where the store is followed; versions are told of it
-        self.destinations = DestinationSet(config, self._post, self._endpoint_left, self.now)
+        self.fleet: SharedState | None = None  # set while the store is followed; its versions are reported
+        self.destinations = DestinationSet(config, self._post, self._forget_endpoint, self.now)
         self._endpoints = EndpointClient(config, self.destinations, self)
         self._router = Router(config.settings, config.seed)
         self._decider: Decider = self._router
         self._requests: dict[str, Request] = {}
-        self._ids: set[str] = set()  # the clients' names for them
+        self._client_ids: set[str] = set()  # request ids given by clients
         self._keys = count(1)
         self._inbox = Inbox()
         self._wake = Event()
         self._timers: list[tuple[float, int, Callable[[], None]]] = []
         self._timer_order = count()
-        self._do: dict[type, Callable[..., None]] = {
+        self._handlers: dict[type, Callable[..., None]] = {
             i.Send: self._send,
             i.Refuse: self._fail_fast,
             i.Fail: self._fail,
@@ -83,44 +81,44 @@
             i.Subscribe: self._subscribe,
         }
         self._loop: gevent.Greenlet[[], None] | None = None
-        self.hand_over: Callable[[InFlightAttempt], bool] | None = None  # where streams go to another process
+        self.hand_over: Callable[[InFlightAttempt], bool] | None = None  # passes a stream to another process
 
     def start(
         self,
         known: HostList | None = None,
         resumed: dict[str, float] | None = None,
-        warm: Callable[[Router], None] | None = None,
+        restore_state: Callable[[Router], None] | None = None,
     ) -> None:
-        """Begin deciding, on the list as last held; `warm` has the decisions know what was passed with it."""
+        """Start deciding on the last known list; `restore_state` loads the state passed along with it."""
         self.destinations.restore(known, resumed)
-        if warm is not None:
+        if restore_state is not None:
             self._decide(self.now(), self._inbox.take())
-            warm(self._router)
+            restore_state(self._router)
         if not self.config.settings.subscribe:
-            self.destinations.hear_first()  # the decisions expect news unasked
+            self.destinations.await_first_list()  # the decision module does not ask for a pushed list
         self._loop = gevent.spawn(self._run)
 
     def is_deciding(self) -> bool:
-        """Whether what is taken is decided on: not while a first list is waited for."""
+        """Whether events are being decided on: not while waiting for the first list."""
         return self._loop is not None
 
     def apply(self, config: Config) -> None:
-        """Go by a new configuration; requests under way keep the settings that they were taken under."""
+        """Apply a new configuration; open requests keep the settings that they were accepted under."""
         self.config = config
         self._router.configure(config.settings)
         self._endpoints.apply(config)
         self.destinations.apply(config)
 
     def endpoints(self) -> EndpointClient:
-        """Who carries attempts out."""
+        """The client that carries out attempts."""
         return self._endpoints
 
     def router(self) -> Router:
-        """The decisions, for whoever passes on what they learnt; only the host's greenlet has them decide."""
+        """The decision module, for exporting its state; only the host's greenlet may call `handle`."""
         return self._router
 
     def stop(self) -> None:
-        """End what still runs for no request."""
+        """Stop background work that belongs to no request."""
         self.loop_iterations.stop()
         self.destinations.close()
         if self._loop is not None:
@@ -128,39 +126,39 @@
         self._endpoints.close()
 
     def open_requests(self) -> int:
-        """Requests that are not answered yet, or whose attempts are still out."""
+        """Number of requests that are unanswered or have running attempts."""
         return len(self._requests)
 
     def in_progress(self) -> int:
-        """Requests that were taken and are not answered whole."""
+        """Number of accepted requests whose answers are not complete."""
         return sum(not request.finished for request in self._requests.values())
 
     def endpoint_counts(self) -> tuple[int, int]:
-        """How many endpoints are listed, and how many of them get nothing now, by hand or by choice."""
+        """How many endpoints are listed, and how many of them are skipped: suspended or suspect."""
         now, pool = self.now(), self._router.pool.replicas
         listed = self.destinations.names()
-        chosen = {name for name, replica in pool.items() if now < replica.suspect_until}
-        return len(listed), sum(name in chosen or self.destinations.suspended(name) for name in listed)
+        suspect = {name for name, replica in pool.items() if now < replica.suspect_until}
+        return len(listed), sum(name in suspect or self.destinations.suspended(name) for name in listed)
 
     def set_decider(self, make: Callable[[Router], Decider] | None) -> None:
-        """Put something before the decisions from the next batch on; None: nothing."""
+        """Wrap the decision module from the next batch on; None removes the wrapper."""
         self._decider = self._router if make is None else make(self._router)
 
     def resubmit(self, events: list[i.RequestArrived]) -> None:
-        """Requests that were taken and not decided on; not those whose clients have gone meanwhile."""
+        """Post accepted but undecided requests again, except those that are no longer open."""
         for event in events:
             if event.request in self._requests:
                 self._post(event)
 
     def find_request(self, key: str) -> Request | None:
-        """One that is open, by the host's name for it."""
+        """An open request by the host's key for it."""
         return self._requests.get(key)
 
     # The client's side
 
     def is_open(self, id: str) -> bool:
-        """Whether a request that its client named so is still open, or an attempt at it."""
-        return id in self._ids
+        """Whether a request with this client-given id, or an attempt at it, is still open."""
+        return id in self._client_ids
 
     def submit(
         self,
@@ -171,21 +169,21 @@
         facts: i.RequestArrived,
         connection: int = 0,
     ) -> Request:
-        """Take a request; from here on it gets exactly one answer, before `deadline` if it is no stream."""
+        """Accept a request; it then gets exactly one answer, by `deadline` unless that is a stream."""
         key = str(next(self._keys))
         settings = facts.settings or self.config.settings
         facts = replace(facts, request=key, settings=settings)
         request = Request(key, id, message, answer, facts, self.now(), deadline, connection)
         cls, request.max_attempts = settings.classes[facts.cls], settings.max_attempts
         if cls.effect is i.Effect.KEYED:
-            request.repeat_window_ms = cls.window_ms - settings.tick_ms  # as the decisions count it
-        self._enter(request, facts)
+            request.repeat_window_ms = cls.window_ms - settings.tick_ms  # as the decision module counts it
+        self._register(request, facts)
         self._post(facts)
-        self._at(deadline, lambda: self._deadline(key))
+        self._call_at(deadline, lambda: self._deadline(key))
         return request
 
     def client_left(self, request: Request) -> None:
-        """The client closed its connection before its answer was whole."""
+        """The client disconnected before its answer was complete."""
         if request.finished:
             return
         self._settle(request, "left")
@@ -195,23 +193,21 @@
         self._forget(request)
 
     def move_streams(self) -> None:
-        """Break off what streams, so that its client goes on with the rest by another router.
+        """Break off running streams, so that their clients resume them at another router.
 
-        Not one whose endpoint has finished it: it is passed on to its end.
+        A stream that its endpoint has finished is forwarded to its end instead.
         """
-        for request in [
-            r for r in self._requests.values() if r.serving_attempt is not None and not r.finished
-        ]:
-            stream = request.serving_attempt
+        for moved in [r for r in self._requests.values() if r.serving_attempt is not None and not r.finished]:
+            stream = moved.serving_attempt
             assert stream is not None
             if stream.answer_reader is not None and stream.answer_reader.must_finish():
                 continue
-            self._settle(request, "moved")
-            request.answer.abort()
+            self._settle(moved, "moved")
+            moved.answer.abort()
             self.end_attempt(stream, i.Outcome.CANCELLED)
 
     def answer_all(self, retry_after_ms: float) -> None:
-        """Give what waits for its first event its final answer: refused where no endpoint can have run it."""
+        """Answer every request that awaits its first event: refused if no endpoint can have run it."""
         for request in [r for r in self._requests.values() if r.serving_attempt is None and not r.finished]:
             if all(attempt.never_ran() for attempt in request.attempts):
                 self._answer(request, "fail_fast", lambda answer: answer.fail_fast(retry_after_ms))
@@ -221,26 +217,21 @@
 
     # The endpoints' side
 
-    def _endpoint_left(self, endpoint: str) -> None:
+    def _forget_endpoint(self, endpoint: str) -> None:
         self._endpoints.forget(endpoint)
 
     def may_send(self, attempt: Attempt) -> bool:
         """Whether an attempt may still be written to its endpoint.
 
-        Asked just before the first byte, and again after each wait for the endpoint to take in more.
-        Guards against work for nobody: a client's end stands in the kernel until its reader's turn comes,
-        perhaps long after a full batch of decisions. One that has gone is settled here, as its reader would.
-        And against a second effect: a connection may have come up after the time for repeats.
+        Asked before the first byte and after each wait for the endpoint to read. Avoids work for a client
+        whose disconnect is still unread in the kernel, as its reader may run only after a full batch of
+        decisions: such a client is handled here. Also prevents a second effect of a request if connecting
+        outlasted the repeat window.
         """
-        request, now = attempt.request, self.now()
-        if (
-            attempt.ended
-            or request.finished
-            or request.serving_attempt is not None
-            or now >= request.deadline
-        ):
+        request, at = attempt.request, self.now()
+        if attempt.ended or request.finished or request.serving_attempt is not None or at >= request.deadline:
             return False
-        if not request.may_repeat(attempt, now):
+        if not request.may_repeat(attempt, at):
             return False
         if request.answer.disconnected():
             self.client_left(request)
@@ -248,7 +239,7 @@
         return True
 
     def claim(self, attempt: Attempt) -> bool:
-        """An attempt's first event has come: whether it is the client's, or another one was first."""
+        """Called with an attempt's first event: whether this attempt serves the client."""
         request = attempt.request
         if request.finished or request.serving_attempt is not None or attempt.ended:
             return False
@@ -262,7 +253,7 @@
     def end_attempt(
         self, attempt: Attempt, outcome: i.Outcome, kept: int = 0, report: i.Report | None = None
     ) -> None:
-        """The one outcome of an attempt; a later one is ignored."""
+        """Record the outcome of an attempt; only the first call counts."""
         if attempt.ended:
             return
         attempt.ended, attempt.outcome, attempt.ended_at = True, outcome, self.now()
@@ -285,12 +276,12 @@
         self._forget(request)
         attempt.stop()
 
-    def passes(self, underway: InFlightAttempt) -> bool:
-        """Whether a stream has just gone to another process of this router."""
-        return self.hand_over is not None and self.hand_over(underway)
+    def try_hand_over(self, in_flight: InFlightAttempt) -> bool:
+        """Try to hand a stream over to another process of this router; whether it was taken."""
+        return self.hand_over is not None and self.hand_over(in_flight)
 
     def stream_handed_over(self, attempt: Attempt) -> None:
-        """Another process has taken this stream over: nothing more of it is told here."""
+        """End the local side of a stream that another process has taken over."""
         if not attempt.request.finished:
             self._settle(attempt.request, "given")
         self.end_attempt(attempt, i.Outcome.CANCELLED)
@@ -298,9 +289,9 @@
     def take_over(
         self, stream: TransferredStream, facts: i.RequestArrived, answer: Answer, connection: int
     ) -> tuple[Request, Attempt]:
-        """A stream that another process took and began; the decisions never hear of it.
+        """Register a stream that another process started, without notifying the decision module.
 
-        `facts` have its class and tenant, under this process's settings.
+        `facts` hold its class and tenant under this process's settings.
         """
         key = str(next(self._keys))
         facts = replace(facts, request=key)
@@ -310,18 +301,18 @@
         attempt = Attempt(request, 0, stream.endpoint, stream.sent_at)
         attempt.first_at, request.serving_attempt = stream.first_at, attempt
         request.attempts.append(attempt)
-        self._enter(request, facts)
+        self._register(request, facts)
         return request, attempt
 
-    def _enter(self, request: Request, facts: i.RequestArrived) -> None:
-        """It is open from here on, until `_forget`."""
+    def _register(self, request: Request, facts: i.RequestArrived) -> None:
+        """Mark a request as open, until `_forget`."""
         self._requests[request.key] = request
-        self._ids.add(request.id)
+        self._client_ids.add(request.id)
         if self.observers.active:
             self.observers.request_taken(request, facts)
 
     def probe_done(self, endpoint: str, outcome: i.Outcome, lag: float, report: i.Report | None) -> None:
-        """The result of a probe."""
+        """Report the result of a probe."""
         if self.observers.active:
             if report is not None:
                 self.observers.probe_answered(endpoint, report)
@@ -334,7 +325,7 @@
         self._inbox.add(event)
         self._wake.set()
 
-    def _at(self, when: float, call: Callable[[], None]) -> None:
+    def _call_at(self, when: float, call: Callable[[], None]) -> None:
         heappush(self._timers, (when, next(self._timer_order), call))
 
     def _run(self) -> None:
@@ -346,44 +337,47 @@
                 if due > 0:
                     self._wake.wait(due / 1000)
             early = last + self.config.settings.tick_ms - self.now()
-            if early > TIMER_LOOK_MS:  # a deadline waits for no tick
-                gevent.sleep(TIMER_LOOK_MS / 1000)
+            if early > TIMER_CHECK_MS:  # deadlines are not delayed until the next tick
+                gevent.sleep(TIMER_CHECK_MS / 1000)
                 self._run_timers(self.now())
                 continue
             if early > 0:
                 gevent.sleep(early / 1000)
             last = self.now()
             self._run_timers(last)
-            self._decide_in_turns(self._inbox.take())
+            self._decide_in_batches(self._inbox.take())
 
     def _run_timers(self, now: float) -> None:
-        """Run those that are due; hundreds of them must not hold the events of streams up."""
+        """Run the timers that are due, yielding in between so that hundreds of them do not delay streams."""
         run = 0
         while self._timers and self._timers[0][0] <= now:
-            if run == AT_ONCE:
+            if run == MAX_EVENTS_PER_TURN:
                 run = 0
                 yield_to_others()
             run += 1
             try:
                 heappop(self._timers)[2]()
-            except Exception as error:  # the loop must outlive whatever one request runs into
+            except Exception as error:  # a failure of one request must not end the loop
                 log_exception("timer", error)
 
-    def _decide_in_turns(self, events: list[i.Event]) -> None:
-        """Decide on what has come in, some events at a time.
+    def _decide_in_batches(self, events: list[i.Event]) -> None:
+        """Decide on the events in batches, running due timers and other greenlets in between.
 
-        Guards the events of streams: deciding on hundreds of requests and beginning their attempts takes a
-        good part of what an event may be late. Timers run in between, for deadlines do not wait either.
+        Deciding on hundreds of requests and starting their attempts would use up much of the delay that
+        a stream's event may have.
         """
-        for first in range(0, len(events), AT_ONCE):
+        for first in range(0, len(events), MAX_EVENTS_PER_TURN):
             if first:
                 yield_to_others()
                 self._run_timers(self.now())
-            now, batch = self.now(), self._inbox.take_news() + events[first : first + AT_ONCE]
-            self._decide(now, [self._dated(event, now) for event in batch])
+            now, batch = (
+                self.now(),
+                self._inbox.take_list_updates() + events[first : first + MAX_EVENTS_PER_TURN],
+            )
+            self._decide(now, [self._with_current_budget(event, now) for event in batch])
 
-    def _dated(self, event: i.Event, now: float) -> i.Event:
-        """A request's budget counts from the clock of its batch: else the decisions' deadline is too late."""
+    def _with_current_budget(self, event: i.Event, now: float) -> i.Event:
+        """Count a request's budget from the time of its batch: otherwise its deadline would be too late."""
         if isinstance(event, i.RequestArrived) and event.request in self._requests:
             return replace(event, budget_ms=self._requests[event.request].deadline - now)
         return event
@@ -392,27 +386,27 @@
         try:
             actions = self._decider.handle(now, events)
         except Exception as error:
-            # What was decided before it stands: a timer lost here would never be set again. A request of
-            # this batch that went nowhere is answered now, else it would wait till its deadline.
+            # Keep the actions decided before the error. Requests of this batch that were not sent fail now
+            # instead of waiting for their deadline, and its timers are set again, or they would be lost.
             log_exception("decisions", error)
             actions = list(self._decider.actions)
             sent = {action.request for action in actions if isinstance(action, i.Send)}
             for event in events:
                 if isinstance(event, i.RequestArrived) and event.request not in sent:
                     actions.append(i.Fail(event.request))
-            actions += self._swallowed_timers(events, actions)
+            actions += self._lost_timers(events, actions)
         for action in actions:
             try:
-                self._do[type(action)](action)
+                self._handlers[type(action)](action)
             except Exception as error:
                 log_exception(f"action {type(action).__name__}", error)
 
     @staticmethod
-    def _swallowed_timers(events: list[i.Event], actions: list[i.Action]) -> list[i.SetTimer]:
-        """The timers of a batch that the decisions failed on, but for those that they have set anew."""
+    def _lost_timers(events: list[i.Event], actions: list[i.Action]) -> list[i.SetTimer]:
+        """The fired timers of a failed batch that have not been set again."""
         fired = [event.token for event in events if isinstance(event, i.TimerFired)]
         kept = {action.token for action in actions if isinstance(action, i.SetTimer)}
-        return [i.SetTimer(token, AGAIN_MS) for token in fired if token not in kept]
+        return [i.SetTimer(token, LOST_TIMER_RETRY_MS) for token in fired if token not in kept]
 
     def _deadline(self, key: str) -> None:
         request = self._requests.get(key)
@@ -421,12 +415,12 @@
         for attempt in list(request.attempts):
             self.end_attempt(attempt, i.Outcome.TIMEOUT)
         if not request.finished:
-            # Not sooner: the decisions hear of the deadline in this tick and mostly answer in the next.
-            patience = min(OVERDUE_TICKS * self.config.settings.tick_ms, OVERDUE_MS)
-            self._at(self.now() + patience, lambda: self._overdue(key))
+            # Not sooner: the decision module is notified in this tick and mostly answers in the next.
+            patience = min(OVERDUE_TICKS * self.config.settings.tick_ms, MAX_OVERDUE_MS)
+            self._call_at(self.now() + patience, lambda: self._overdue(key))
 
     def _overdue(self, key: str) -> None:
-        """Guards a request that the decisions forgot: its client must not wait in vain."""
+        """Fail a request that the decision module left open past its deadline."""
         request = self._requests.get(key)
         if request is not None and not request.finished and request.serving_attempt is None:
             log("overdue", request=key)
@@ -444,12 +438,12 @@
         if len(request.attempts) > request.max_attempts or not self.may_send(attempt):
             return self.end_attempt(attempt, i.Outcome.MOOT)
         if action.max_wait_ms > 0:
-            self._at(attempt.sent_at + action.max_wait_ms, lambda: self._expire(attempt))
+            self._call_at(attempt.sent_at + action.max_wait_ms, lambda: self._expire(attempt))
         try:
             self._endpoints.send(attempt)
         except Exception as error:
             log_exception("send", error)
-            self.end_attempt(attempt, i.Outcome.MOOT)  # else its request would wait for its deadline
+            self.end_attempt(attempt, i.Outcome.MOOT)  # otherwise the request would wait for its deadline
 
     def _expire(self, attempt: Attempt) -> None:
         if attempt.request.serving_attempt is not attempt:
@@ -469,13 +463,13 @@
 
     def _answer(self, request: Request | None, how: str, give: Callable[[Answer], None]) -> None:
         if request is None or request.finished or request.serving_attempt is not None:
-            return  # over already: the client left, or a stream began in the same tick
+            return  # already settled: the client disconnected, or a stream began in the same tick
         self._settle(request, how)
         give(request.answer)
         self._forget(request)
 
     def _settle(self, request: Request, how: str) -> None:
-        """What it comes to stands; whoever watches hears so, once for each request."""
+        """Fix a request's result and notify the observers, once per request."""
         request.finish(how)
         if self.observers.active:
             self.observers.request_answered(request)
@@ -491,14 +485,14 @@
         self._endpoints.probe(action.replica)
 
     def _set_timer(self, action: i.SetTimer) -> None:
-        self._at(self.now() + action.in_ms, lambda: self._post(i.TimerFired(action.token)))
+        self._call_at(self.now() + action.in_ms, lambda: self._post(i.TimerFired(action.token)))
 
     def _subscribe(self, action: i.Subscribe) -> None:
-        self.destinations.ask()
+        self.destinations.ensure_watch()
 
     def _forget(self, request: Request) -> None:
         if request.settled() and self._requests.pop(request.key, None) is not None:
-            self._ids.discard(request.id)
+            self._client_ids.discard(request.id)
             now = self.now()
             log("request", **request.log_fields(now))
             if self.observers.active:
--- a/spoolbarrow/net/http1.py
+++ b/spoolbarrow/net/http1.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 messages: answers parsed in place by httptools, both kinds written out with gathered writes."""
+"""Parses HTTP/1.1 answers with httptools, and writes requests and answers with gathered writes."""
 
 from __future__ import annotations
 
@@ -25,15 +25,15 @@
 from spoolbarrow.net.request_parser import may_begin_request as may_begin_request
 from spoolbarrow.net.request_parser import strip_whitespace
 
-# Fields that speak of one connection only, or that are written anew for each one.
-NOT_PASSED_ON = frozenset(
+# Fields that apply to one connection only, or that are set again for each one.
+NOT_FORWARDED = frozenset(
     b"connection keep-alive proxy-connection te trailer transfer-encoding upgrade"
     b" content-length expect host x-time-left-ms".split()
 )
 IOV_MAX = 512  # pieces in one gathered write; POSIX promises 16, Linux takes 1,024
-READS_A_TURN = 8  # of one answer; then other greenlets have their turn,
-LONG_READ = 1 << 14  # and after one read of so many bytes: it may hold a thousand events
-REASONS = {
+READS_PER_TURN = 8  # of one answer, before yielding to other greenlets;
+LONG_READ_BYTES = 1 << 14  # one read of this size is enough to yield: it may hold a thousand events
+REASON_PHRASES = {
     200: b"OK",
     400: b"Bad Request",
     404: b"Not Found",
@@ -50,27 +50,27 @@
 
 
 class ResponseParser:
-    """Turns an answer's bytes into status, fields, and body parts to be taken with `take_body`."""
+    """Parses an answer into its status, fields, and body parts, which `take_body` returns."""
 
     def __init__(self, max_head: int, max_chunk: int = 1 << 18) -> None:
         self._max_head, self._max_chunk = max_head, max_chunk
         self.status = 0
         self.fields: dict[bytes, bytes] = {}
         self.head_complete = self.complete = self.reusable = False
-        self.begun = False  # its head has begun
-        self.in_chunk = False  # a chunk was announced whose end has not come
-        self.between = False  # what was fed ended where a chunk or the head did
-        self.in_size = False  # the line that announces a chunk has begun
-        self.pieces = 0  # heads, chunks and lines before them that have begun
+        self.begun = False  # the first byte of the head was parsed
+        self.in_chunk = False  # within a chunk
+        self.at_boundary = False  # the data so far ends at the end of a chunk or of the head
+        self.in_chunk_header = False  # within the line before a chunk
+        self.pieces = 0  # heads, chunks and chunk headers that have begun
         self._last = b""  # the last two bytes fed
-        self._reads = 0  # since other greenlets had their turn for certain
+        self._reads = 0  # since the last yield to other greenlets
         self._chunk = 0
         self._body: list[bytes] = []
         self._head = 0
         self._parser = httptools.HttpResponseParser(self)
 
     def feed(self, data: memoryview) -> None:
-        """Parse what came next; an HttpError says that this is no answer."""
+        """Parse the next bytes; HttpError if they are not a valid answer."""
         if not self.head_complete:
             self._head += len(data)
         try:
@@ -80,59 +80,62 @@
                 if isinstance(error.__context__, HttpError):
                     raise error.__context__ from error
                 raise HttpError(502, f"malformed answer: {error}") from error
-            self.reusable = False  # the answer came whole; what follows it is nobody's
+            self.reusable = False  # the answer is complete; what follows it is discarded
         if not self.head_complete and self._head > self._max_head:
             raise HttpError(502, "head too large")
         self._last = (self._last + bytes(data[-2:]))[-2:]
         outside = self.head_complete and not (self.in_chunk or self.complete)
-        self.between = outside and self._last == b"\r\n"
-        had, self.in_size = self.in_size, outside and not self.between and b"transfer-encoding" in self.fields
-        self.pieces += self.in_size and not had
+        self.at_boundary = outside and self._last == b"\r\n"
+        was_in_header, self.in_chunk_header = (
+            self.in_chunk_header,
+            outside and not self.at_boundary and b"transfer-encoding" in self.fields,
+        )
+        self.pieces += self.in_chunk_header and not was_in_header
 
     def read(self, sock: socket, buffer: bytearray) -> None:
-        """Parse what comes next on a connection; blocks, raises OSError or HttpError.
+        """Read and parse the next bytes of a connection; blocks, raises OSError or HttpError.
 
-        Guards the other streams: of a peer that sends faster than this side reads, no read ever waits.
+        Yields regularly, as reads from a peer that sends faster than this side reads never block.
         """
-        if self._reads >= READS_A_TURN:
+        if self._reads >= READS_PER_TURN:
             self._reads = 0
-            yield_to_others()  # before the read: what came of the last one has been passed on
+            yield_to_others()  # before the read: the previous data has been forwarded
         size = sock.recv_into(buffer)
-        self._reads += READS_A_TURN if size >= LONG_READ else 1
+        self._reads += READS_PER_TURN if size >= LONG_READ_BYTES else 1
         if size:
             self.feed(memoryview(buffer)[:size])
         else:
             self.end()
 
     def end(self) -> None:
-        """The connection ended: an answer without a length is whole now, any other is broken."""
-        if not self.head_complete or (self.framed() and not self.complete):
+        """The connection ended: this completes an answer without a length and breaks any other."""
+        if not self.head_complete or (self.has_framing() and not self.complete):
             raise ConnectionResetError("the connection ended inside an answer")
         self.complete, self.reusable = True, False
 
-    def framed(self) -> bool:
-        """Whether its head tells where it ends."""
+    def has_framing(self) -> bool:
+        """Whether its head says where the answer ends."""
         return b"content-length" in self.fields or b"transfer-encoding" in self.fields
 
     def take_body(self) -> list[bytes]:
-        """The body's bytes since the last call."""
+        """The parts of the body since the last call."""
         body, self._body = self._body, []
         return body
 
     def on_message_begin(self) -> None:
-        """httptools: an answer's first byte; a second one on one request is a fault."""
+        """httptools: the first byte of an answer; a second answer to one request is an error."""
         if self.complete:
             raise HttpError(502, "bytes after the answer")
         self.begun = True
         self.pieces += 1
 
     def on_header(self, name: bytes, value: bytes | None) -> None:
-        """httptools: one whole field."""
+        """httptools: a complete field."""
         if not self.head_complete:
             self.fields[name.lower()] = strip_whitespace(value)
 
     def on_headers_complete(self) -> None:
-        """httptools: the head is whole; an interim one (1xx) is skipped."""
+        """httptools: the head is complete; interim ones (1xx) are skipped."""
         status = self._parser.get_status_code()
         if status >= 200:
             self.status, self.head_complete = status, True
@@ -147,14 +150,14 @@
         self.in_chunk = False
 
     def on_body(self, part: bytes) -> None:
-        """httptools: some of the body."""
+        """httptools: a part of the body."""
         self._chunk += len(part)
         if self.in_chunk and self._chunk > self._max_chunk:
             raise HttpError(502, "chunk too large")
         self._body.append(part)
 
     def on_message_complete(self) -> None:
-        """httptools: the answer is whole, unless it was an interim one."""
+        """httptools: the answer is complete, unless it is an interim one."""
         if self.head_complete:
             self.complete, self.reusable = True, self._parser.should_keep_alive()
         else:
@@ -166,27 +169,27 @@
 
 
 def poll_now(sock: socket, events: int) -> int:
-    """Which of poll's `events`, or an end or error, a connection tells of now; 0 for none. Never waits."""
+    """Which of poll's `events`, or hang-up or error, a connection has now; 0 for none. Never blocks."""
     watched = select.poll()  # not select: that fails on descriptors of 1,024 and more
     watched.register(sock.fileno(), events)
     told = watched.poll(0)
     return told[0][1] if told else 0
 
 
-# Told by connect(2) of this machine alone: no port is free, no buffer, no room in its tables.
+# Errors of connect(2) that concern this machine alone: no free port, no buffer, no room in its tables.
 LOCAL_SHORTAGES = frozenset(
     {errno.EADDRNOTAVAIL, errno.EAGAIN, errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM}
 )
 
 
 class Shortage(OSError):
-    """This process can open no connection: that says nothing of the other side."""
+    """This process can open no connection; this says nothing about the other side."""
 
 
 def connect(address: Address, timeout_s: float) -> socket:
-    """A connection with no delay on writes; OSError where it does not come up in time.
+    """Connect, with TCP_NODELAY; OSError if that fails or takes too long.
 
-    Shortage where this process or its machine has no descriptor, port or memory for it: nothing was tried.
+    Raises Shortage if this process or machine has no descriptor, port or memory for it: nothing was sent.
     """
     try:
         sock = socket(AF_INET, SOCK_STREAM)
@@ -206,11 +209,11 @@
 
 
 def listen(address: Address, backlog: int) -> socket:
-    """A listener; OSError where the address can't be had."""
+    """A listening socket; OSError if the address is unavailable."""
     listener = socket(AF_INET, SOCK_STREAM)
     try:
         listener.setsockopt(SOL_SOCKET, SO_REUSEADDR, 1)
-        listener.setsockopt(IPPROTO_TCP, TCP_NODELAY, 1)  # what is accepted has it too (Linux)
+        listener.setsockopt(IPPROTO_TCP, TCP_NODELAY, 1)  # inherited by accepted sockets (Linux)
         listener.bind(address)
         listener.listen(backlog)
     except OSError:
@@ -220,10 +223,10 @@
 
 
 def request_pieces(message: Message, address: Address, time_left_ms: int) -> list[bytes]:
-    """A request written out again for another connection, as pieces for a gathered write."""
+    """A request for another connection, as pieces for a gathered write."""
     pieces = [message.method, b" ", message.target, b" HTTP/1.1\r\nHost: ", _host(address), b"\r\n"]
     for name, value in message.headers:
-        if name.lower() not in NOT_PASSED_ON:
+        if name.lower() not in NOT_FORWARDED:
             pieces += (name, b": ", value, b"\r\n")
     pieces.append(b"X-Time-Left-Ms: %d\r\nContent-Length: %d\r\n\r\n" % (time_left_ms, len(message.body)))
     pieces.append(message.body)
@@ -231,15 +234,15 @@
 
 
 def get_pieces(target: bytes, address: Address) -> list[bytes]:
-    """A GET of the router's own."""
+    """A GET request of the router itself."""
     return [b"GET ", target, b" HTTP/1.1\r\nHost: ", _host(address), b"\r\n\r\n"]
 
 
 def response_pieces(
     status: int, body: bytes, close: bool, *headers: bytes, kind: bytes = b"application/json"
 ) -> list[bytes]:
-    """A whole answer; its body is JSON unless `kind` says what else."""
-    pieces = [b"HTTP/1.1 %d %s\r\nContent-Type: %s\r\n" % (status, REASONS[status], kind)]
+    """A complete answer; `kind` is the content type of its body."""
+    pieces = [b"HTTP/1.1 %d %s\r\nContent-Type: %s\r\n" % (status, REASON_PHRASES[status], kind)]
     pieces += [header + b"\r\n" for header in headers]
     if close:
         pieces.append(b"Connection: close\r\n")
@@ -248,14 +251,14 @@
 
 
 def send_pieces(sock: socket, pieces: Sequence[bytes]) -> None:
-    """Write all pieces in as few calls as the kernel takes; blocks its greenlet, raises OSError."""
+    """Write all pieces in as few calls as possible; blocks the greenlet, raises OSError."""
     rest: list[bytes | memoryview] = [piece for piece in pieces if piece]
     while rest:
         drop_sent(rest, sock.sendmsg(rest[:IOV_MAX]))
 
 
 def drop_sent(rest: list[bytes | memoryview], sent: int) -> None:
-    """Take so many bytes off the front of what is still to be written."""
+    """Remove `sent` bytes from the front of the pieces still to be written."""
     done = 0
     while done < len(rest) and sent >= len(rest[done]):
         sent -= len(rest[done])
--- a/spoolbarrow/net/inbox.py
+++ b/spoolbarrow/net/inbox.py
@@ -1,7 +1,7 @@
-"""What has happened and is not decided on yet, in order; news of the list comes before all else.
+"""Queues events for the decision module in order, list updates first.
 
-Guards engines in slow start, and those that drain: a request must not be decided on by a list that is known
-not to be the last.
+Protects endpoints in slow start and draining ones: no request may be decided on an outdated list while
+a newer one is queued.
 """
 
 from __future__ import annotations
@@ -12,30 +12,30 @@
 
 
 class Inbox:
-    """Events on their way to the decisions."""
+    """Events that wait to be decided on."""
 
     def __init__(self) -> None:
-        self._news: list[i.Event] = []
+        self._list_updates: list[i.Event] = []
         self._others: list[i.Event] = []
 
     def add(self, event: i.Event) -> None:
-        """One more."""
-        (self._news if isinstance(event, i.ReplicaList) else self._others).append(event)
+        """Queue an event."""
+        (self._list_updates if isinstance(event, i.ReplicaList) else self._others).append(event)
 
     def take(self) -> list[i.Event]:
-        """All that wait."""
+        """Remove and return all events."""
         events, self._others = self._others, []
-        return self.take_news() + events
+        return self.take_list_updates() + events
 
-    def take_news(self) -> list[i.Event]:
-        """What waits of the list alone."""
-        news, self._news = self._news, []
+    def take_list_updates(self) -> list[i.Event]:
+        """Remove and return the list updates alone."""
+        news, self._list_updates = self._list_updates, []
         return news
 
     def __len__(self) -> int:
-        """How many wait."""
-        return len(self._news) + len(self._others)
+        """Number of queued events."""
+        return len(self._list_updates) + len(self._others)
 
     def __iter__(self) -> Iterator[i.Event]:
-        """All that wait, which go on waiting."""
-        return iter([*self._news, *self._others])
+        """All queued events, without removing them."""
+        return iter([*self._list_updates, *self._others])
--- a/spoolbarrow/net/load_report.py
+++ b/spoolbarrow/net/load_report.py
@@ -1,4 +1,4 @@
-"""What an endpoint's answer tells beside its text: its load, and how much of the prompt it found cached."""
+"""Parses the metadata in an endpoint's answer: its load, and how much of the prompt it had cached."""
 
 from __future__ import annotations
 
@@ -7,9 +7,9 @@
 from spoolbarrow import interface as i
 from spoolbarrow.wire import decode_load_report
 
-LOAD_HEADER = b"x-backend-load"  # the header of an answer that tells it
-MAX_LOAD = 1e6  # nothing that is reported is larger
-SHORT_NAMES = {"util": "load_share", "queue": "depth"}  # as sockets name them: the settings' names
+LOAD_HEADER = b"x-backend-load"  # answer header with the load report
+MAX_LOAD = 1e6  # larger values are invalid
+REPORT_FIELDS = {"util": "load_share", "queue": "depth"}  # name in a report: name in the settings
 
 
 class _Details(msgspec.Struct):
@@ -28,7 +28,7 @@
 
 
 def parse_load(text: bytes) -> i.Report | None:
-    """A load report, `x1=3.2,util=0.4`; what can't be read of it is left out."""
+    """Parse a load report, such as `x1=3.2,util=0.4`; invalid entries are skipped."""
     stats: dict[str, float] = {}
     for pair in text.decode("latin-1").split(","):
         name, _, value = pair.partition("=")
@@ -37,13 +37,13 @@
             number = float(value)
         except ValueError:
             continue
-        if 0.0 <= number < MAX_LOAD:  # nor is a number of no size: it would spoil the means it goes into
-            stats[SHORT_NAMES.get(name, name)] = number
+        if 0.0 <= number < MAX_LOAD:  # also excludes NaN, which would corrupt averages
+            stats[REPORT_FIELDS.get(name, name)] = number
     return decode_load_report(stats)
 
 
-def kept_tokens(tail: bytes) -> int:
-    """How much of the prompt the endpoint found kept, as the last events of a stream tell."""
+def parse_cached_tokens(tail: bytes) -> int:
+    """The number of cached prompt tokens, from the usage in the last events of a stream."""
     at = tail.rfind(b'"usage"')
     start = tail.rfind(b"data:", 0, at) if at >= 0 else -1
     if start < 0:
@@ -56,8 +56,8 @@
     return details.cached_tokens if details else 0
 
 
-def tail_report(tail: bytes) -> i.Report | None:
-    """The load report at the end of a stream, a comment line."""
+def parse_tail_report(tail: bytes) -> i.Report | None:
+    """The load report in a comment line at the end of a stream."""
     mark = b": X-Backend-Load:"
     at = tail.rfind(mark)
     return parse_load(tail[at + len(mark) :].partition(b"\n")[0]) if at >= 0 else None
--- a/spoolbarrow/net/shared_documents.py
+++ b/spoolbarrow/net/shared_documents.py
@@ -1,7 +1,7 @@
-"""The documents that operators share, applied to this router: suspended engines, and tenants' shares.
+"""Applies documents shared by operators to this router: suspended engines, and tenants' shares.
 
-Makes no calls: `learn` and `word` are told what the store's client read, and `apply` brings the router to
-what stands by now, which without word for too long is the safer of two versions (`fleet.shared_document`).
+Makes no calls: `learn` and `confirm` get what the store's client read, and `apply` applies the version that
+is valid now: after too long without confirmation, the safer of two versions (`fleet.shared_document`).
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 
 class SharedDocuments:
-    """Both documents as this router knows them; `changed` is called when shares were applied anew."""
+    """Both documents as known to this router; `changed` is called after shares were applied."""
 
     def __init__(self, host: Host, within_ms: float, changed: Callable[[], None]) -> None:
         self._host, self._changed = host, changed
@@ -32,41 +32,41 @@
         }
         self._logged: dict[str, tuple[int, shared_document.Mode]] = {}
         self._suspended: frozenset[str] = frozenset()
-        self._file_tenants: tuple[Tenant, ...] = ()  # as the router's own file has them
+        self._file_tenants: tuple[Tenant, ...] = ()  # from the router's own file
         self._applied_tenants: tuple[Tenant, ...] | None = None
 
     def set_within(self, within_ms: float) -> None:
-        """Go by the safer version after so long without word."""
+        """Set after how long without confirmation the safer version applies."""
         for shared in self._shared.values():
             shared.within_ms = within_ms
 
     def __contains__(self, key: str) -> bool:
-        """Whether a document is one of these."""
+        """Whether `key` names one of these documents."""
         return key in self._shared
 
     def learn(self, asked: float, key: str, revision: int, text: str) -> None:
-        """A version that is committed, asked for at `asked`; InvalidDocument where it can't be read."""
+        """Record a committed version, requested at `asked`; InvalidDocument if it can't be decoded."""
         self._shared[key].learn(asked, revision, text)
 
-    def word(self, asked: float) -> None:
-        """The store, asked at `asked`, has told all that is committed."""
+    def confirm(self, asked: float) -> None:
+        """Record that the store, called at `asked`, has sent everything committed."""
         for shared in self._shared.values():
             shared.confirm(asked)
 
     def apply(self, now: float) -> None:
-        """Bring the router to what stands by now. Waits for nobody."""
+        """Apply the versions that are valid now to the router. Never blocks."""
         self._apply_suspensions(now)
         self._apply_shares(now)
         self._log_modes(now)
 
     def stop(self) -> None:
-        """Withdraw both documents from the router: as without a store."""
-        self._host.destinations.share_suspensions(frozenset())
+        """Withdraw both documents: the router acts as without a store."""
+        self._host.destinations.set_shared_suspensions(frozenset())
         if self._applied_tenants is not None and self._host.config.settings.tenants is self._applied_tenants:
             self._set_tenants(self._file_tenants)
 
     def versions(self, now: float) -> dict[str, tuple[int, str]]:
-        """Revision and digest of each document that is acted on."""
+        """Revision and digest of each document in effect."""
         found = {}
         for key, shared in self._shared.items():
             if shared.newest is not None:
@@ -75,7 +75,7 @@
         return found
 
     def status(self, now: float) -> dict[str, object]:
-        """By document: its revision, the mode it is applied in, and how many versions were unreadable."""
+        """By document: its revision, the mode it is applied in, and the number of invalid versions."""
         return {
             key: {
                 "revision": self._revision(shared),
@@ -89,12 +89,12 @@
         suspended: frozenset[str] = self._shared[d.SUSPENSIONS_KEY].effective(now)
         if suspended != self._suspended:
             self._suspended = suspended
-            self._host.destinations.share_suspensions(suspended)
+            self._host.destinations.set_shared_suspensions(suspended)
 
     def _apply_shares(self, now: float) -> None:
         config, shares = self._host.config, self._shared[d.SHARES_KEY]
         if config.settings.tenants is not self._applied_tenants:
-            self._file_tenants = config.settings.tenants  # the file was read anew
+            self._file_tenants = config.settings.tenants  # the file was reloaded
         wanted = shared_document.overlay_shares(
             shares.effective(now), config.tenants, self._file_tenants, not shares.is_unsettled(now)
         )
--- a/spoolbarrow/net/store_follower.py
+++ b/spoolbarrow/net/store_follower.py
@@ -1,11 +1,11 @@
-"""The router's side of the store: the two greenlets that follow it.
+"""Follows the store at a router, in two greenlets.
 
-One talks to the members, one call at a time: it reads what has changed, has leases claimed or renewed, and
-summaries written. The other never waits for anybody: it applies what stands by now, or falls back where there
-was no word for too long. No request waits for either. What is decided, and by whom, is decided in
-`spoolbarrow.fleet`, which is pure.
+One calls the store's members, one call at a time: it reads changes, claims or renews leases, and writes
+summaries. The other never blocks: it applies the documents that are valid now, or falls back when they were
+not confirmed for too long. No request waits for either. What is decided, and by whom, is decided in
+`spoolbarrow.fleet`, which does no I/O.
 
-The calls are in `store_client`, what is written in `fleet_writer`, and what documents do to the router in
+The calls are in `store_client`, the writes in `fleet_writer`, and the effects of documents on the router in
 `shared_documents` and `fleet_part`.
 """
 
@@ -40,7 +40,7 @@
 
 
 class StoreFollower:
-    """Follows the store for one process; `changed` is called when shares were applied anew."""
+    """Follows the store for one process; `changed` is called after shares were applied."""
 
     def __init__(self, host: Host, table: FleetTable, changed: Callable[[], None]) -> None:
         self._host = host
@@ -53,20 +53,20 @@
         self._shared = SharedDocuments(host, table.within_s * 1000, changed)
         self._writer = FleetWriter(host, self._store, self._router, self._incarnation, table.evidence_ms)
         self._parts: dict[str, FleetPart] = {}
-        self._after = 0  # what was written up to this revision is known
-        self._floor = 0  # no member that has less than this is listened to
-        self._word_at = -1e18
-        self._dropped = 0  # documents that could not be read
+        self._revision = 0  # all writes up to this revision are known
+        self._min_applied = 0  # members that have applied less than this are skipped
+        self._confirmed_at = -1e18
+        self._invalid_count = 0  # documents that could not be decoded
         self._summaries_at = 0.0
         self.apply(table)
         self._loops = [
-            gevent.spawn(self._loop, self._round, math.inf),
+            gevent.spawn(self._loop, self._sync, math.inf),
             gevent.spawn(self._loop, self._apply, MAX_APPLY_PERIOD_MS),
         ]
         host.fleet = self
 
     def apply(self, table: FleetTable) -> None:
-        """Go by new settings; what is known stays."""
+        """Apply new settings; the known state is kept."""
         self._table = table
         self._store.apply(table)
         self._shared.set_within(table.within_s * 1000)
@@ -83,28 +83,28 @@
             held.watch(self._host, table)
 
     def add(self, part: d.Part) -> None:
-        """Decide this in common, too, from now on; who adds it has given it what it needs of the host."""
+        """Add a part; the caller has already given it what it needs of the host."""
         assert len(self._parts) < MAX_PARTS and part.kind not in self._parts
         self._parts[part.kind] = FleetPart(part, self._router, self._incarnation, self._table)
-        self._after = 0  # its document may have been read before
+        self._revision = 0  # its document may have been read before
         self._summaries_at = 0.0
 
     def remove(self, kind: str) -> None:
-        """Decide this no more: plain behaviour."""
+        """Remove a part: the router acts without its decisions."""
         self._parts.pop(kind).end(self._host.now())
 
     def stop(self) -> None:
-        """Follow no more: as without a store."""
+        """Stop following: the router acts as without a store."""
         gevent.killall(self._loops, block=False)
         for kind in list(self._parts):
             self.remove(kind)
         self._shared.stop()
         self._host.fleet = None
 
-    # What operators are told
+    # Reports to operators
 
     def versions(self) -> dict[str, tuple[int, str]]:
-        """Number and digest of what is acted on."""
+        """Number and digest of each shared document and decision in effect."""
         found = self._shared.versions(self._host.now())
         for kind, held in self._parts.items():
             version = held.version()
@@ -113,13 +113,13 @@
         return found
 
     def status(self) -> dict[str, object]:
-        """How it goes."""
+        """The status for operators."""
         now = self._host.now()
         return {
-            "word_ms": round(now - self._word_at) if self._word_at > 0 else None,
-            "upto": self._after,
+            "word_ms": round(now - self._confirmed_at) if self._confirmed_at > 0 else None,
+            "upto": self._revision,
             "members": self._store.status(),
-            "dropped": self._dropped,
+            "dropped": self._invalid_count,
             "documents": self._shared.status(now),
             "balancers": self._host.config.settings.nodes,
             "parts": {kind: held.status() for kind, held in self._parts.items()},
@@ -127,69 +127,69 @@
 
     # The loops
 
-    def _loop(self, turn: Callable[[], None], max_period_ms: float) -> None:
-        gevent.sleep(self._random.random() * self._table.period_ms / 1000)  # not all routers in one moment
+    def _loop(self, run_once: Callable[[], None], max_period_ms: float) -> None:
+        gevent.sleep(self._random.random() * self._table.period_ms / 1000)  # spread the routers
         while True:
             begun, period = self._host.now(), min(self._table.period_ms, max_period_ms)
             try:
-                turn()
-            except Exception as error:  # never into serving; the next turn is as good
+                run_once()
+            except Exception as error:  # must not disturb serving; the next run tries again
                 log_exception("fleet", error)
             pause = period * (0.9 + 0.2 * self._random.random()) - (self._host.now() - begun)
             gevent.sleep(max(pause, MIN_PAUSE_MS) / 1000)
 
     def _apply(self) -> None:
-        """Act on what stands by now. Waits for nobody."""
+        """Apply the documents and decisions that are valid now. Never blocks."""
         now = self._host.now()
         self._shared.apply(now)
         for held in list(self._parts.values()):
             held.adopt(now)
 
-    def _round(self) -> None:
-        """Everything that is to be said to the members now."""
-        heard = self._store.read_from_one(self._read)
+    def _sync(self) -> None:
+        """Read from a member, apply, and write leases and summaries that are due."""
+        read_ok = self._store.read_from_one(self._read)
         self._apply()
-        if not heard:
+        if not read_ok:
             return
         due = self._host.now() - self._summaries_at >= self._table.evidence_ms
         if due:
             self._summaries_at = self._host.now()
         for held in list(self._parts.values()):
             try:
-                if not held.silent_since:
+                if not held.passive_since:
                     self._writer.write_lease(held)
                 if due and self._writer.write_summary(held):
                     self._summaries_at = 0.0
-            except Exception as error:  # one part stops no other
+            except Exception as error:  # a failing part must not stop the others
                 log_exception(f"fleet {held.part.kind}", error)
 
     # Reading
 
     def _read(self, member: int) -> None:
-        """Learn what has changed; MemberUnavailable where the member is lost, without a leader or behind."""
+        """Read all changes; MemberUnavailable if the member is unreachable, without a leader or behind."""
         prefixes = [d.SHARED_PREFIX, *(held.standing_key for held in self._parts.values())]
         asked = self._host.now()
-        for changes in self._store.changes(self._after, prefixes, member):
-            if changes.applied < self._floor:
-                raise MemberUnavailable(f"behind: it has {changes.applied} of {self._floor}")
+        for changes in self._store.changes(self._revision, prefixes, member):
+            if changes.applied < self._min_applied:
+                raise MemberUnavailable(f"behind: it has {changes.applied} of {self._min_applied}")
             for document in changes.documents:
-                self._learn(asked, document)
-            if not changes.leader:  # cut off from the others: what it has is committed, and may not be all
-                raise MemberUnavailable("it knows of no leader")
-            self._after, self._floor = max(self._after, changes.upto), changes.applied
-        self._word_at = asked
-        self._shared.word(asked)
-
-    def _learn(self, asked: float, document: Document) -> None:
+                self._apply_document(asked, document)
+            if not changes.leader:  # it may be partitioned: its data is committed, but may be incomplete
+                raise MemberUnavailable("it knows no leader")
+            self._revision, self._min_applied = max(self._revision, changes.upto), changes.applied
+        self._confirmed_at = asked
+        self._shared.confirm(asked)
+
+    def _apply_document(self, asked: float, document: Document) -> None:
         key, revision = document.key, document.revision
         held = next((held for held in self._parts.values() if held.standing_key == key), None)
         try:
             if key in self._shared:
                 self._shared.learn(asked, key, revision, document.value)
             elif held is not None:
-                held.see(asked, lease.decode_record(key, revision, document.value))
+                held.record(asked, lease.decode_record(key, revision, document.value))
         except d.InvalidDocument as error:
-            self._dropped += 1
+            self._invalid_count += 1
             log("fleet_document", key=key, revision=revision, why=str(error)[:200], remedy=error.remedy)
             if held is not None:
-                held.see(asked, lease.ObservedRecord(revision))
+                held.record(asked, lease.ObservedRecord(revision))
--- a/spoolbarrow/net/version_monitor.py
+++ b/spoolbarrow/net/version_monitor.py
@@ -1,7 +1,7 @@
-"""The versions that this process acts on: read off the configuration and the destinations, told and logged.
+"""Tracks, reports and logs the versions in effect in this process, of its configuration and shared documents.
 
-Owns the ledger of versions (`spoolbarrow.agree`) and the look at it each `period_ms`. It reads what others
-own and changes nothing of it.
+Owns the version tracker (`spoolbarrow.agree`) and refreshes it every `period_ms`. It reads the state of other
+modules and does not change it.
 """
 
 from __future__ import annotations
@@ -20,15 +20,15 @@
     from spoolbarrow.fleet.documents import SharedState
     from spoolbarrow.operator import Operator
 
-IN_COMMON = tuple(item for item in VersionedItem if "/" in item.value)  # followed from the store
-OWN = ("node", "zone")  # of the settings: each router's own
+SHARED_ITEMS = tuple(item for item in VersionedItem if "/" in item.value)  # read from the store
+OWN_SETTINGS = ("node", "zone")  # settings that differ between routers
 
 
 def file_digests(config: Config, operator: Operator) -> dict[VersionedItem, str]:
-    """The digests of what both files say, as it was understood."""
+    """The digests of the parsed contents of both files."""
     settings: dict[str, Any] = to_builtins(config.settings)
     shares = settings.pop("tenants")
-    for key in OWN:
+    for key in OWN_SETTINGS:
         del settings[key]
     names = {key: getattr(config, key) for key in ("classes", "zones", "kinds")}
     rest = [settings, names, to_builtins(config.options), config.resumes_streams, config.probes_fetch_load]
@@ -40,46 +40,46 @@
 
 
 class ConfigFiles(Protocol):
-    """Who reads both files, as at SIGHUP."""
+    """Reads both files, as on SIGHUP."""
 
     def check(self) -> tuple[dict[VersionedItem, str], int]:
-        """The digests of what they say and their revision; ConfigError where they can't be acted on."""
+        """The digests of their contents and their revision; ConfigError if they can't be applied."""
         ...
 
     def reload(self, wanted: str = "") -> Problem | None:
-        """Act on them, where they have this digest or any will do; else why not."""
+        """Apply them if they have the `wanted` digest or that is empty; return the problem otherwise."""
         ...
 
 
 class Destinations(Protocol):
-    """What is known of the list and of operators' words on it."""
+    """The list of endpoints and operators' suspensions."""
 
     def listing(self) -> object:
-        """Another object than before once anything of it has changed."""
+        """The list; a different object after each change."""
         ...
 
     def seen(self) -> tuple[int, object]:
         """The list's index, and its lines."""
         ...
 
-    def all_suspended(self) -> object:
-        """The names that operators suspended."""
+    def suspended_names(self) -> object:
+        """The names of suspended endpoints."""
         ...
 
 
 class Surroundings(Protocol):
-    """What is acted on besides the files."""
+    """The state in effect besides the files."""
 
     config: Config
 
     @property
     def fleet(self) -> SharedState | None:
-        """Where the store is followed."""
+        """The state shared through the store, if that is followed."""
         ...
 
     @property
     def destinations(self) -> Destinations:
-        """The list."""
+        """The list of endpoints."""
         ...
 
     def now(self) -> float:
@@ -88,22 +88,22 @@
 
 
 class Gate(Protocol):
-    """Where clients come in."""
+    """The inbound side."""
 
     def operator_drained(self) -> bool:
-        """Whether an operator drained this router by hand."""
+        """Whether an operator drained this router."""
         ...
 
 
 class Outdated(ConfigError):
-    """Files would give a revision two meanings, or go back to an older one."""
+    """The files have an older revision, or the same one with other contents."""
 
     where = "agree.revision"
-    remedy = "Raise `agree.revision` with each change, also where old contents come back."
+    remedy = "Raise `agree.revision` with each change, also when restoring old contents."
 
 
 class VersionMonitor:
-    """The ledger of one process, looked at each period."""
+    """The versions of one process, refreshed each period."""
 
     def __init__(self, host: Surroundings, gate: Gate, operator: Operator, files: ConfigFiles) -> None:
         self._host, self._gate, self._files = host, gate, files
@@ -113,26 +113,26 @@
         self._loop = gevent.spawn(self._run)
 
     def check_revision(self, config: Config, operator: Operator) -> None:
-        """Outdated where these files must not be acted on after those that are."""
+        """Raise Outdated if these files must not replace those in effect."""
         assert operator.agree is not None
         if why := self.ledger.refusal_reason(operator.agree.revision, file_digests(config, operator)):
             raise Outdated(why)
 
     def apply(self, operator: Operator) -> None:
-        """These files are acted on from now on."""
+        """Record the versions of files that are in effect from now on."""
         assert operator.agree is not None
         self._table = operator.agree
         for item, contents in file_digests(self._host.config, operator).items():
-            self._note(item, self._table.revision, contents)
+            self._record(item, self._table.revision, contents)
 
     def stop(self) -> None:
-        """Look no more."""
+        """Stop refreshing."""
         self._loop.kill(block=False)
 
     def check(self) -> dict[str, Any]:
-        """What would be acted on with the files as they are now; ConfigError, and nothing is changed."""
+        """The versions that applying the current files would give; may raise ConfigError, changes nothing."""
         contents, revision = self._files.check()
-        versions = {item.value: told for item, told in contents.items()}
+        versions = {item.value: value for item, value in contents.items()}
         return {
             "router": self._host.config.name,
             "revision": revision,
@@ -141,29 +141,29 @@
         }
 
     def adopt(self, wanted: str) -> None:
-        """Act on the files as they are now, where their digest is this one; a Problem where that fails."""
+        """Apply the current files if they have the `wanted` digest; raises the Problem if that fails."""
         if problem := self._files.reload(wanted):
             raise problem
 
-    def look(self) -> None:
-        """Note what has changed of the list and of operators' words."""
+    def refresh(self) -> None:
+        """Record changes of the list, suspensions, the drain and shared documents."""
         destinations = self._host.destinations
         if self._listing is not destinations.listing():
             self._listing = destinations.listing()
             index, lines = destinations.seen()
-            self._note(VersionedItem.LIST, index, digest(lines))
-            self._note(VersionedItem.SUSPENSIONS, 0, digest(destinations.all_suspended()))
-        self._note(VersionedItem.DRAIN, 0, digest(self._gate.operator_drained()))
-        told = {} if self._host.fleet is None else self._host.fleet.versions()
-        for item in IN_COMMON:
-            if item.value in told:
-                self._note(item, *told[item.value])
+            self._record(VersionedItem.LIST, index, digest(lines))
+            self._record(VersionedItem.SUSPENSIONS, 0, digest(destinations.suspended_names()))
+        self._record(VersionedItem.DRAIN, 0, digest(self._gate.operator_drained()))
+        versions = {} if self._host.fleet is None else self._host.fleet.versions()
+        for item in SHARED_ITEMS:
+            if item.value in versions:
+                self._record(item, *versions[item.value])
             elif self.ledger.versions.pop(item, None) is not None:
                 log("version", item=item.value, number=0, digest="")
 
     def status(self) -> dict[str, Any]:
-        """Every version as it is now, for an operator."""
-        self.look()
+        """All current versions, for an operator."""
+        self.refresh()
         fleet = self._host.fleet
         return {
             **({} if fleet is None else {"fleet": fleet.status()}),
@@ -174,7 +174,7 @@
             "versions": {item.value: to_builtins(v) for item, v in self.ledger.versions.items()},
         }
 
-    def _note(self, item: VersionedItem, number: int, contents: str) -> None:
+    def _record(self, item: VersionedItem, number: int, contents: str) -> None:
         if self.ledger.record(self._host.now(), item, number, contents):
             log("version", item=item.value, number=number, digest=contents)
 
@@ -182,6 +182,6 @@
         while True:
             gevent.sleep(self._table.period_ms / 1000)
             try:
-                self.look()
-            except Exception as error:  # never into serving
+                self.refresh()
+            except Exception as error:  # must not disturb serving
                 log_exception("agreement", error)
--- a/tests/test_answer_races.py
+++ b/tests/test_answer_races.py
@@ -182,7 +182,7 @@
         news(scene, line("e0", new.port))
         sock = socket.create_connection(("127.0.0.1", old.port))
         pool = scene.host.endpoints()._pool
-        pool.give_back(pool.adopt("e0", sock))
+        pool.release(pool.adopt("e0", sock))
         wait_until(lambda: old.closed == 1)
         assert not pool._idle.get("e0")
 
--- a/tests/test_discovery_timing.py
+++ b/tests/test_discovery_timing.py
@@ -344,7 +344,7 @@
 
 BAD = {
     "torn": (answers(lines(9, "e0")[:-9], end=True), "torn"),
-    "ended without a word": (answers(b"", end=True), "without a word"),
+    "ended without a word": (answers(b"", end=True), "without an update"),
     "no object": (answers(b"sorry\n"), "neither an object"),
     "too long": (answers(b'{"x":"' + b"x" * 5000), "too long"),
     "of the wrong type": (answers(lines(9, "e0").replace(b'"index":9', b'"index":"9"')), "Expected `int`"),
@@ -369,7 +369,7 @@
     monkeypatch.setattr(
         "spoolbarrow.net.discovery_watch.log", lambda e, **more: told.append({"e": e, **more})
     )
-    monkeypatch.setattr(discovery_client, "MAX_LINE", 4000)
+    monkeypatch.setattr(discovery_client, "MAX_LIST_BYTES", 4000)
     bad, fault = BAD[name]
     one, begun = Scripted(bad, tells), time.monotonic()
     try:
@@ -393,7 +393,7 @@
     monkeypatch.setattr(
         "spoolbarrow.net.discovery_watch.log", lambda e, **more: told.append({"e": e, **more})
     )
-    monkeypatch.setattr(discovery_client, "MAX_LINE", 4000)
+    monkeypatch.setattr(discovery_client, "MAX_LIST_BYTES", 4000)
     bad, fault = BAD_WHOLE[name]
     one = Scripted(tells)
     other = Scripted(bad, answers(lines(9, "e0", whole=True)), tells, mode=mode)
@@ -422,7 +422,7 @@
         return number
 
     lost: list[Exception] = []
-    made = gevent.spawn(discovery_client.first_of, call, lambda: 20.0, now_unix_ms, lost.append)
+    made = gevent.spawn(discovery_client.first_answer, call, lambda: 20.0, now_unix_ms, lost.append)
     wait_until(lambda: len(begun) == 2)
     gevent.sleep(0.2)
     assert begun == [0, 1]
@@ -437,10 +437,10 @@
         begun.append(1)
         headed()
         gevent.sleep(0.2)
-        raise discovery_client.Silent
+        raise discovery_client.WatchIdle
 
-    with pytest.raises(discovery_client.Silent):
-        discovery_client.first_of(call, lambda: 20.0, now_unix_ms, print)
+    with pytest.raises(discovery_client.WatchIdle):
+        discovery_client.first_answer(call, lambda: 20.0, now_unix_ms, print)
     assert begun == [1]
 
 
--- a/tests/test_event_delay.py
+++ b/tests/test_event_delay.py
@@ -19,8 +19,8 @@
 
 from spoolbarrow import interface as i
 from spoolbarrow.net import http1
-from spoolbarrow.net.host import AT_ONCE
-from spoolbarrow.net.http1 import READS_A_TURN, Message, ResponseParser
+from spoolbarrow.net.host import MAX_EVENTS_PER_TURN
+from spoolbarrow.net.http1 import READS_PER_TURN, Message, ResponseParser
 from spoolbarrow.net.log import Log
 from spoolbarrow.net.observers import Observer, OpenConnection
 from spoolbarrow.net.request import Attempt, Request
@@ -98,7 +98,7 @@
         flood.kill()
 
 
-@pytest.mark.parametrize(("size", "rounds"), [(60, 300), (2 * http1.LONG_READ, 30)])
+@pytest.mark.parametrize(("size", "rounds"), [(60, 300), (2 * http1.LONG_READ_BYTES, 30)])
 def test_an_engine_that_floods_does_not_hold_up_the_events_of_others(size: int, rounds: int) -> None:
     """Of an engine whose next bytes are there before they are asked for, no read ever waits."""
     engines = Engines()
@@ -122,12 +122,12 @@
         engines.write("flood", chunk(event("x" * size)))
         assert readers["other"].read(len(event("a"))) == event("a")
         wait_until(lambda: order.noted.count("flood") > rounds)
-        assert order.noted.index("other") <= 2 * READS_A_TURN
+        assert order.noted.index("other") <= 2 * READS_PER_TURN
 
 
 def test_events_leave_between_hundreds_of_decisions() -> None:
     """All requests wait for the decisions when an event comes, which leaves before they are through."""
-    engines, many = Engines(), 8 * AT_ONCE
+    engines, many = Engines(), 8 * MAX_EVENTS_PER_TURN
     with running_router(engines) as (scene, _):
         order, held, through = Order(), Event(), Event()
         reader = Reader(scene.client().send(ask(X_Correlation_Id="stream")))
@@ -143,7 +143,7 @@
             if arrived > 1 and "decided" not in order.noted:
                 engines.write("stream", chunk(event("a")))
             order.noted += ["decided"] * (arrived > 1)
-            assert len(events) <= AT_ONCE
+            assert len(events) <= MAX_EVENTS_PER_TURN
             return handle(now, events)  # type: ignore[no-any-return]
 
         scene.host._router.handle = deciding
@@ -154,13 +154,13 @@
         wait_until(lambda: sum(isinstance(one, i.RequestArrived) for one in scene.host._inbox) == many)
         through.set()
         assert reader.read(len(event("a"))) == event("a")
-        wait_until(lambda: order.noted.count("decided") >= many // AT_ONCE)
+        wait_until(lambda: order.noted.count("decided") >= many // MAX_EVENTS_PER_TURN)
         assert order.noted.index("stream") <= 3
 
 
 def test_events_leave_between_hundreds_of_timers() -> None:
     """Hundreds of requests reach their time in one tick; an event that comes then leaves in between."""
-    engines, many = Engines(), 8 * AT_ONCE
+    engines, many = Engines(), 8 * MAX_EVENTS_PER_TURN
     with running_router(engines) as (scene, _):
         order = Order()
         reader = Reader(scene.client().send(ask(X_Correlation_Id="stream")))
@@ -173,11 +173,11 @@
             order.noted.append("timer")
 
         for _ in range(many):
-            scene.host._at(scene.host.now(), fire)
+            scene.host._call_at(scene.host.now(), fire)
         scene.host._wake.set()
         assert reader.read(len(event("a"))) == event("a")
         wait_until(lambda: order.noted.count("timer") == many)
-        assert order.noted.index("stream") <= 3 * AT_ONCE
+        assert order.noted.index("stream") <= 3 * MAX_EVENTS_PER_TURN
 
 
 LENGTH = b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nContent-Length: 5000\r\n\r\n"
--- a/tests/test_http1.py
+++ b/tests/test_http1.py
@@ -162,9 +162,9 @@
 def test_a_chunk_that_ends_in_two_reads_is_no_line_that_has_begun() -> None:
     parser = ResponseParser(500)
     parser.feed(memoryview(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\na\r"))
-    for piece, between, in_size in ((b"\n", True, False), (b"1", False, True), (b"\r\na\r\n", True, False)):
+    for piece, at_boundary, in_chunk_header in ((b"\n", True, False), (b"1", False, True), (b"\r\na\r\n", True, False)):
         parser.feed(memoryview(piece))
-        assert (parser.between, parser.in_size) == (between, in_size)
+        assert (parser.at_boundary, parser.in_chunk_header) == (at_boundary, in_chunk_header)
 
 
 def test_trailers_say_nothing() -> None:
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -73,7 +73,7 @@
         seen.set()
         assert first.answer().status == 200 and len(engine.requests) == 1
         wait_until(lambda: scene.host.open_requests() == 0)
-        assert not scene.host._ids
+        assert not scene.host._client_ids
 
 
 @pytest.mark.parametrize("sent", [b"", b"\r\n", ask()[:30], ask()[:-3]])
@@ -262,13 +262,13 @@
         assert scene.client().send(ask()).answer().status == 200
         wait_until(lambda: engine.closed == 1 and pool._idle.get("e0"))
         assert engine.connections == 2
-        assert 300.0 <= pool._settle["e0"] <= 1000.0
+        assert 300.0 <= pool._settle_ms["e0"] <= 1000.0
         (rested,) = pool._idle["e0"]
         rested.idle_since = scene.host.now()
         assert pool.acquire("e0") is not rested  # it has not rested long enough
         pool._open_count -= 1
         pool.forget("e0")
-        assert not pool._settle
+        assert not pool._settle_ms
 
 
 def test_what_crosses_a_request_and_is_no_stream_does_not_pass_for_its_answer() -> None:
@@ -316,7 +316,7 @@
         tables = (host.destinations._listed, host.destinations._serving)
         assert all(set(table) == {"new"} for table in (*tables, router.pool.replicas))
         wait_until(lambda: not router.requests)
-        assert not host._requests and not host._ids
+        assert not host._requests and not host._client_ids
         assert not [t for t in host._timers if t[0] > host.now() + 5000]
 
 
--- a/tests/test_watch_races.py
+++ b/tests/test_watch_races.py
@@ -225,7 +225,7 @@
         one.set.watch()
         wait_until(lambda: service.watches)
         one.set.close()
-        one.set.ask()
+        one.set.ensure_watch()
         one.set.apply(service.config("automatic"))
         asked = len(service.targets)
         barrier = socket.create_connection(("127.0.0.1", service.party.port))
@@ -243,7 +243,7 @@
     spawn_later = gevent.spawn_later
 
     def noted(seconds: float, call: Callable[..., Any]) -> object:
-        if call == one.set._discovery._follow:
+        if call == one.set._discovery._run_service_watch:
             pauses.append(seconds)
         return spawn_later(seconds, call)
 
@@ -307,8 +307,8 @@
     with following(service) as one:
 
         def hold(seconds: float, call: Callable[..., Any]) -> Any:
-            made = spawn_later(3600.0 if call == one.set._discovery._ask_whole else seconds, call)
-            if call == one.set._discovery._ask_whole:
+            made = spawn_later(3600.0 if call == one.set._discovery._on_refusal_timer else seconds, call)
+            if call == one.set._discovery._on_refusal_timer:
                 held.append(made)
             return made
 
@@ -427,7 +427,7 @@
     name: str, known: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Discovery has written it, so it is told; the fault ends the watch all the same."""
-    monkeypatch.setattr(discovery_client, "MAX_LINE", 4000)
+    monkeypatch.setattr(discovery_client, "MAX_LIST_BYTES", 4000)
     service = Service(9)
     service.watch_begins = STREAM_HEAD + ENDS[name] if known == "first" else STREAM_HEAD + chunk(b"\n")
     with following(service) as one:
@@ -463,7 +463,7 @@
     whole = listing(8, endpoint_entry("e0", 1), endpoint_entry("e1", 2), endpoint_entry("e2", 3), whole=True)
     service = Service(9)
     service.watch_begins = b""
-    monkeypatch.setattr(discovery_client, "RECV", 1)  # bytes a read takes
+    monkeypatch.setattr(discovery_client, "RECV_BYTES", 1)  # bytes a read takes
     with following(service) as one:
         one.set.watch()
         wait_until(lambda: service.watches)
