--- a/tests/test_answer_races.py
+++ b/tests/test_answer_races.py
@@ -1,6 +1,6 @@
-"""What comes between two lines of an attempt: its client's end, the deadline, a list, an engine's close.
+"""Tests events that happen between two steps of an attempt: a disconnect, the deadline, a list, a close.
 
-Each order is forced by a gate (a peer that stops at a byte, a hook at the yield), not by time.
+Each order is forced (by a peer that stops at a certain byte, or a hook where the greenlet yields), not timed.
 """
 
 from __future__ import annotations
@@ -34,11 +34,11 @@
 )
 from tests.test_client_disconnects import DISCONNECTS
 
-END = b"0\r\n\r\n"
-WHOLE = STREAM_HEAD + b"".join(map(chunk, EVENTS)) + END
-LONG_BODY = b"x" * 200_000  # a body that an engine which reads nothing does not take in whole
-SMALL = 4096  # bytes of a socket's buffer
-RESTARTED = 1000.0  # Unix ms: another start than the one listed before, and so long ago that it is not cold
+LAST_CHUNK = b"0\r\n\r\n"
+ANSWER = STREAM_HEAD + b"".join(map(chunk, EVENTS)) + LAST_CHUNK
+LONG_BODY = b"x" * 200_000  # longer than the socket buffers of an engine that does not read
+SMALL_BUFFER_BYTES = 4096  # size of a socket's buffer
+RESTARTED_MS = 1000.0  # Unix ms; differs from the listed start, and is too long ago for a slow start
 
 
 def outcomes(scene: Any) -> list[i.Outcome]:
@@ -46,21 +46,21 @@
 
 
 def silent(sock: socket.socket, message: Message) -> None:
-    """Say nothing."""
+    """Send nothing."""
 
 
 @contextmanager
 def unread_engine(monkeypatch: pytest.MonkeyPatch, cancelling: bool) -> Iterator[tuple[Any, socket.socket]]:
-    """A router before an engine whose window is full after some of a long request."""
+    """A router and an engine whose receive window fills up during a long request."""
     connect = http1.connect
 
     def with_small_buffer(address: Any, timeout_s: float) -> socket.socket:
         sock = connect(address, timeout_s)
-        sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SMALL)
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SMALL_BUFFER_BYTES)
         return sock
 
     with socket.socket() as machine:
-        machine.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, SMALL)
+        machine.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, SMALL_BUFFER_BYTES)
         machine.bind(("127.0.0.1", 0))
         machine.listen(1)
         settings = make_config([])["settings"]
@@ -77,12 +77,12 @@
 
 
 def window_full(sock: socket.socket) -> bool:
-    """Whether this connection has come to a stop with more to read than its window takes."""
+    """Whether data of a long request has arrived; unread, it fills the window and stops the sender."""
     return bool(sock.recv(1, socket.MSG_PEEK))
 
 
 def read_rest(sock: socket.socket) -> RequestParser:
-    """All that still comes, parsed; until the other side ends it."""
+    """Parse everything until the other side closes the connection."""
     parser = RequestParser(16384, 262144)
     while True:
         try:
@@ -96,10 +96,10 @@
 
 @DISCONNECTS
 @pytest.mark.parametrize("cancelling", [True, False])
-def test_a_request_half_written_is_not_written_whole_for_a_client_that_has_gone(
+def test_a_half_written_request_is_not_completed_for_a_disconnected_client(
     cancelling: bool, go: Any, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The engine reads on only after the client's end was heard; it must never have the whole of it."""
+    """The engine reads on only after the disconnect was noticed; it must never get the whole request."""
     with unread_engine(monkeypatch, cancelling) as (scene, machine):
         client = scene.client().send(ask(LONG_BODY))
         engine, _ = machine.accept()
@@ -111,10 +111,10 @@
 
 
 @pytest.mark.parametrize("cancelling", [True, False])
-def test_a_request_half_written_is_not_written_whole_after_it_was_refused(
+def test_a_half_written_request_is_not_completed_after_it_was_refused(
     cancelling: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A drain tells its client that no engine can have run it; the engine reads on only then."""
+    """A drain answers that no engine can have run it; the engine reads on only after that."""
     with unread_engine(monkeypatch, cancelling) as (scene, machine):
         client = scene.client().send(ask(LONG_BODY))
         engine, _ = machine.accept()
@@ -127,8 +127,8 @@
         assert outcomes(scene)[0] in i.NEVER_RAN | {i.Outcome.CANCELLED}
 
 
-def test_a_long_request_that_an_engine_reads_slowly_is_written_whole(monkeypatch: pytest.MonkeyPatch) -> None:
-    """As long as its head's time holds: the clock stands still, however busy the machine is."""
+def test_a_long_request_to_a_slowly_reading_engine_is_completed(monkeypatch: pytest.MonkeyPatch) -> None:
+    """As long as the time stated in the head is right: the clock is stopped, however busy the machine is."""
     with unread_engine(monkeypatch, True) as (scene, machine):
         now = scene.host.now()
         scene.host.now = lambda: now
@@ -139,26 +139,26 @@
         while not parser.complete:
             parser.feed(memoryview(engine.recv(65536)))
         assert parser.complete[0].body == LONG_BODY
-        engine.sendall(WHOLE)
+        engine.sendall(ANSWER)
         assert client.answer().status == 200
 
 
-def news(scene: Any, *lines: ListEntry) -> None:
-    """Discovery says this now."""
+def report(scene: Any, *lines: ListEntry) -> None:
+    """Report these lines through discovery."""
     scene.host.destinations._discovery._accept_list(HostList(100, False, list(lines)))
 
 
-def line(name: str, port: int, since_ms: float = 0.0) -> ListEntry:
+def list_line(name: str, port: int, since_ms: float = 0.0) -> ListEntry:
     return ListEntry(name, f"127.0.0.1:{port}", "a", "m", since_ms=since_ms)
 
 
 @pytest.mark.parametrize("probe", [False, True])
-def test_a_connection_is_not_kept_where_its_engine_was_restarted_in_place(probe: bool) -> None:
-    """The list tells of the restart while the connection is in use: it leads to the process before."""
-    go = Event()
+def test_a_connection_is_not_reused_after_its_engine_restarted_in_place(probe: bool) -> None:
+    """The list reports the restart while the connection is in use: it leads to the old process."""
+    proceed = Event()
 
     def wait(sock: socket.socket, message: Message) -> None:
-        go.wait()
+        proceed.wait()
         serve_all(sock, message)
 
     with running_router(wait) as (scene, engine):
@@ -167,8 +167,8 @@
         else:
             client = scene.client().send(ask())
         wait_until(lambda: engine.requests)
-        news(scene, line("e0", engine.port, since_ms=RESTARTED))
-        go.set()
+        report(scene, list_line("e0", engine.port, since_ms=RESTARTED_MS))
+        proceed.set()
         if not probe:
             assert client.answer().status == 200
         wait_until(lambda: engine.closed == 1)  # it was closed
@@ -176,10 +176,10 @@
         assert engine.connections == 2
 
 
-def test_a_stream_that_was_taken_over_does_not_keep_a_connection_to_where_its_engine_was() -> None:
-    """The endpoint moved before the stream came to this process: its connection leads to the old address."""
+def test_the_connection_of_a_stream_that_was_taken_over_is_not_reused_after_its_engine_moved() -> None:
+    """The endpoint moved before the stream was handed over: its connection leads to the old address."""
     with running_router(serve_all, serve_all) as (scene, old, new):
-        news(scene, line("e0", new.port))
+        report(scene, list_line("e0", new.port))
         sock = socket.create_connection(("127.0.0.1", old.port))
         pool = scene.host.endpoints()._pool
         pool.release(pool.adopt("e0", sock))
@@ -187,22 +187,22 @@
         assert not pool._idle.get("e0")
 
 
-def hold(seconds: float) -> None:
-    """Let no greenlet run for so long: the process is stopped, or short of processor time."""
+def block_loop(seconds: float) -> None:
+    """Let no greenlet run for this time, as if the process were paused or short of CPU time."""
     select.poll().poll(seconds * 1000)
 
 
 @pytest.mark.parametrize("at", [len(STREAM_HEAD) // 2, len(STREAM_HEAD + chunk(EVENTS[0]))])
-def test_what_came_while_this_process_stood_still_is_read_before_its_time_counts_as_over(at: int) -> None:
-    """The rest of the answer stands in the kernel, and the time for it is over, when it next has a turn.
+def test_data_that_arrived_while_the_process_was_paused_is_read_before_a_timeout(at: int) -> None:
+    """When the process runs again, the rest of the answer is in the kernel and its timeout has expired.
 
-    Holds without a change: the event loop runs time-outs after what can be read.
+    The event loop handles readable sockets before timeouts.
     """
     limit_ms = 1000.0
     parts: list[socket.socket] = []
 
     def begin(sock: socket.socket, message: Message) -> None:
-        sock.sendall(WHOLE[:at])
+        sock.sendall(ANSWER[:at])
         parts.append(sock)
 
     options = {"stream_silence_ms": limit_ms, "piece_ms": limit_ms}
@@ -212,39 +212,39 @@
         (request,) = scene.host._requests.values()
         attempt = request.attempts[0]
         wait_until(lambda: attempt.answer_reader is not None and not attempt.answer_reader.connection.stale())
-        gevent.sleep(0)  # its reader waits for the rest
-        parts[0].sendall(WHOLE[at:])
-        hold(1.2 * limit_ms / 1000)
+        gevent.sleep(0)  # lets its reader wait for the rest
+        parts[0].sendall(ANSWER[at:])
+        block_loop(1.2 * limit_ms / 1000)
         assert client.answer().status == 200
         wait_until(lambda: outcomes(scene) == [i.Outcome.SERVED])
 
 
 def reset(sock: socket.socket) -> None:
-    """End a connection so that its peer hears of a reset, behind what was written to it."""
+    """Close a connection so that its peer gets a reset after the data."""
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     sock.close()
 
 
 @pytest.mark.parametrize("end", [socket.socket.close, reset])
 @pytest.mark.parametrize("begun", [0, len(STREAM_HEAD + chunk(EVENTS[0]))])
-def test_an_answer_that_comes_whole_with_its_connections_end_is_whole(begun: int, end: Any) -> None:
-    """The kernel keeps what came before a reset, and tells of the end behind it. Holds without a change."""
-    go = Event()
+def test_an_answer_that_arrives_together_with_the_close_is_complete(begun: int, end: Any) -> None:
+    """The kernel keeps data that arrived before a reset, and reports the reset after it."""
+    proceed = Event()
 
-    def whole_and_end(sock: socket.socket, message: Message) -> bool:
-        sock.sendall(WHOLE[:begun])
+    def answer_and_close(sock: socket.socket, message: Message) -> bool:
+        sock.sendall(ANSWER[:begun])
         if begun:
-            go.wait()
-        sock.sendall(WHOLE[begun:])
+            proceed.wait()
+        sock.sendall(ANSWER[begun:])
         end(sock)
         return True
 
-    with running_router(whole_and_end) as (scene, engine):
+    with running_router(answer_and_close) as (scene, engine):
         for name in ("first", "next"):
             client = scene.client().send(ask(X_Correlation_Id=name))
             if begun:
                 wait_until(lambda: scene.events_of(i.StreamStarted))
-            go.set()
+            proceed.set()
             answer = client.answer()
             assert answer.status == 200 and b"".join(answer.take_body()) == b"".join(EVENTS)
         wait_until(lambda: len(outcomes(scene)) == 2)
@@ -252,32 +252,32 @@
 
 
 @pytest.mark.parametrize("end", [socket.socket.close, reset])
-@pytest.mark.parametrize("missing", [1, len(END), len(END) + 1])
+@pytest.mark.parametrize("missing", [1, len(LAST_CHUNK), len(LAST_CHUNK) + 1])
 def test_an_answer_without_its_last_byte_is_broken(missing: int, end: Any) -> None:
-    """What came is passed on, and never a last chunk. Holds without a change."""
+    """The data is forwarded, but never a last chunk."""
 
     def cut(sock: socket.socket, message: Message) -> bool:
-        sock.sendall(WHOLE[:-missing])
+        sock.sendall(ANSWER[:-missing])
         end(sock)
         return True
 
     with running_router(cut) as (scene, _):
-        client, got = scene.client().send(ask()), b""
+        client, received = scene.client().send(ask()), b""
         while data := client.sock.recv(65536):
-            got += data
-        assert EVENTS[0] in got and not got.endswith(END)
+            received += data
+        assert EVENTS[0] in received and not received.endswith(LAST_CHUNK)
         wait_until(lambda: outcomes(scene) == [i.Outcome.RESET])
 
 
 @pytest.mark.parametrize("cut", [0, 8, 25, 40, 60])
-def test_interim_answers_are_none(cut: int) -> None:
-    """Of an engine that says so before, in one read or two. Holds without a change."""
+def test_interim_answers_are_skipped(cut: int) -> None:
+    """Interim answers before the answer, in one read or two."""
     interim = b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n"
 
     def script(sock: socket.socket, message: Message) -> None:
-        sock.sendall((interim + WHOLE)[:cut])
+        sock.sendall((interim + ANSWER)[:cut])
         gevent.idle()
-        sock.sendall((interim + WHOLE)[cut:])
+        sock.sendall((interim + ANSWER)[cut:])
 
     with running_router(script) as (scene, _):
         client = scene.client().send(ask())
@@ -286,7 +286,7 @@
         assert client.send(ask(X_Correlation_Id="next")).answer().status == 200
 
 
-def test_an_interim_answer_and_the_end_are_a_reset() -> None:
+def test_a_close_after_an_interim_answer_is_a_reset() -> None:
     def script(sock: socket.socket, message: Message) -> bool:
         sock.sendall(b"HTTP/1.1 100 Continue\r\n\r\n")
         return True
@@ -297,10 +297,10 @@
         assert outcomes(scene)[0] is i.Outcome.RESET
 
 
-def test_an_early_answer_to_a_long_request_counts_though_its_connection_is_reset() -> None:
-    """The engine reads the head alone, says that the body is too long, and closes. Holds without a change.
+def test_an_early_answer_to_a_long_request_counts_despite_a_reset() -> None:
+    """The engine reads only the head, answers that the body is too long, and closes.
 
-    The kernel takes the whole request in; where it does not, the rest can't be written, and it never ran.
+    The kernel buffers the whole request; if it did not, the rest could not be written and it never ran.
     """
     with socket.socket() as machine:
         machine.bind(("127.0.0.1", 0))
@@ -311,7 +311,7 @@
             engine, _ = machine.accept()
             wait_until(lambda: window_full(engine))
             engine.sendall(b"HTTP/1.1 413 Content Too Large\r\nContent-Length: 0\r\n\r\n")
-            engine.close()  # over unread bytes: reset
+            engine.close()  # with unread bytes: sends a reset
             assert client.answer().status == 400
             assert outcomes(scene) == [i.Outcome.REJECTED]
         finally:
@@ -319,8 +319,8 @@
             scene.host.stop()
 
 
-def test_an_answer_that_says_close_is_not_followed_by_another_request() -> None:
-    closing = WHOLE.replace(b"\r\n", b"\r\nConnection: close\r\n", 1)
+def test_a_connection_is_not_reused_after_an_answer_with_connection_close() -> None:
+    closing = ANSWER.replace(b"\r\n", b"\r\nConnection: close\r\n", 1)
 
     def script(sock: socket.socket, message: Message) -> None:
         sock.sendall(closing)
@@ -333,11 +333,11 @@
 
 
 @pytest.mark.parametrize("how", ["closed", "reset", "spoke"])
-def test_what_an_engine_does_as_its_idle_connection_is_taken_is_no_answer(how: str) -> None:
-    """Between the look at the connection and the request's first byte. Holds without a change.
+def test_what_an_engine_does_while_its_idle_connection_is_acquired_is_not_an_answer(how: str) -> None:
+    """Between the check of the connection and the request's first byte.
 
-    Closed, the bytes are written whole, so that it may have run; reset, none is, so that it never did. What
-    it said unasked is no stream of events.
+    After a close, the request is written completely and may have run; after a reset, nothing is written and
+    it did not run. Unsolicited bytes are not an event stream.
     """
     with running_router(serve_all) as (scene, engine):
         socks: list[socket.socket] = []
@@ -350,21 +350,21 @@
         pool = scene.host.endpoints()._pool
         assert scene.client().send(ask()).answer().status == 200
         wait_until(lambda: scene.host.open_requests() == 0 and pool._idle)
-        take = pool.acquire
+        acquire = pool.acquire
 
-        def taken(endpoint: str) -> Any:
-            pool.acquire = take
-            pool._idle["e0"][0].idle_since -= 1000.0  # it has settled
-            connection = take(endpoint)
+        def acquire_after_event(endpoint: str) -> Any:
+            pool.acquire = acquire
+            pool._idle["e0"][0].idle_since -= 1000.0  # past the settle time
+            connection = acquire(endpoint)
             if how == "spoke":
                 socks[0].sendall(b"HTTP/1.1 408 Request Timeout\r\nContent-Length: 0\r\n\r\n")
             if how == "reset":
                 socks[0].setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
-            engine.greenlets[1].kill()  # it closes its connection
+            engine.greenlets[1].kill()  # closes its connection
             assert connection.stale()
             return connection
 
-        pool.acquire = taken
+        pool.acquire = acquire_after_event
         scene.client().send(ask(X_Correlation_Id="next")).answer()
         wait_until(lambda: len(outcomes(scene)) > 1)
         expected = {"closed": i.Outcome.RESET, "reset": i.Outcome.UNREACHABLE, "spoke": i.Outcome.ERROR}
@@ -373,14 +373,14 @@
 
 @pytest.mark.parametrize("order", ["deadline first", "overdue", "refused first", "event first"])
 def test_a_first_event_and_a_final_answer_in_one_tick_give_one_answer(order: str) -> None:
-    """Whichever comes first stands, and the other finds it so. Holds without a change."""
-    go = Event()
+    """The first one counts, and the other one notices that."""
+    proceed = Event()
 
-    def late(sock: socket.socket, message: Message) -> None:
-        go.wait()
-        sock.sendall(WHOLE)
+    def answer_late(sock: socket.socket, message: Message) -> None:
+        proceed.wait()
+        sock.sendall(ANSWER)
 
-    with running_router(late) as (scene, engine):
+    with running_router(answer_late) as (scene, engine):
         client = scene.client().send(ask())
         wait_until(lambda: engine.requests)
         host = scene.host
@@ -388,7 +388,7 @@
         claim = host.claim
         claims: list[bool] = []
 
-        def claimed(attempt: Any) -> bool:
+        def claim_after_order(attempt: Any) -> bool:
             if order in ("deadline first", "overdue"):
                 host._deadline(key)
             if order == "overdue":
@@ -404,14 +404,14 @@
             host.answer_all(100.0)
             return claims[-1]
 
-        host.claim = claimed
-        go.set()
+        host.claim = claim_after_order
+        proceed.set()
         status = {"deadline first": 504, "overdue": 504, "refused first": 503, "event first": 200}[order]
         assert client.answer().status == status
         assert claims == [status == 200]
         wait_until(lambda: host.open_requests() == 0 and outcomes(scene))
         assert len(outcomes(scene)) == 1
-        # Nothing more came behind it, and the connection goes on.
+        # Nothing follows the answer, and the connection is still usable.
         assert client.send(b"GET /up HTTP/1.1\r\n\r\n").answer().status == 200
 
 
@@ -423,21 +423,23 @@
 @pytest.mark.parametrize(
     "framing", [chunk, lambda event: b"".join(chunk(event[n : n + 1]) for n in range(len(event)))]
 )
-def test_a_stream_that_breaks_inside_its_first_event_is_nobodys_yet(framing: Any, cut: int, end: Any) -> None:
-    """Half an event is none: another attempt may serve the request, and its client hears of that alone."""
-    go = Event()
+def test_a_stream_that_breaks_within_its_first_event_does_not_reach_the_client(
+    framing: Any, cut: int, end: Any
+) -> None:
+    """Another attempt may serve the request, and the client gets only that one's answer."""
+    proceed = Event()
 
-    def breaks(sock: socket.socket, message: Message) -> bool:
-        scripts.remove(breaks)
+    def break_first_event(sock: socket.socket, message: Message) -> bool:
+        scripts.remove(break_first_event)
         for engine in engines:
             engine.script = serve_all
         sock.sendall((STREAM_HEAD + framing(EVENTS[0]))[:cut])
-        go.wait()
+        proceed.wait()
         end(sock)
         return True
 
-    scripts = [breaks]
-    with running_router(breaks, breaks) as (scene, *engines):
+    scripts = [break_first_event]
+    with running_router(break_first_event, break_first_event) as (scene, *engines):
         client = scene.client().send(ask())
         wait_until(lambda: not scripts)
         (request,) = scene.host._requests.values()
@@ -447,7 +449,7 @@
             )
         )
         assert not scene.events_of(i.StreamStarted)
-        go.set()
+        proceed.set()
         answer = client.answer()
         assert answer.status == 200 and b"".join(answer.take_body()) == b"".join(EVENTS)
         wait_until(lambda: len(outcomes(scene)) == 2)
@@ -456,15 +458,12 @@
 
 @pytest.mark.parametrize("event_first", [True, False])
 def test_a_first_event_in_the_tick_in_which_another_attempt_ends_is_the_answer(event_first: bool) -> None:
-    """The decisions hear of both at once, and a stream stands over what they make of the end.
-
-    Holds without a change.
-    """
-    go = Event()
+    """Both are decided on together, and a running stream overrides the action on the other's end."""
+    proceed = Event()
 
-    def late(sock: socket.socket, message: Message) -> None:
-        go.wait()
-        sock.sendall(WHOLE)
+    def answer_late(sock: socket.socket, message: Message) -> None:
+        proceed.wait()
+        sock.sendall(ANSWER)
 
     with running_router(silent, silent) as (scene, *engines):
         client = scene.client().send(ask())
@@ -472,12 +471,12 @@
         host = scene.host
         (request,) = host._requests.values()
         other = {"e0": 1, "e1": 0}[request.attempts[0].endpoint]
-        engines[other].script = late
+        engines[other].script = answer_late
         host._send(i.Send(request.key, f"e{other}"))
         wait_until(lambda: engines[other].requests)
         claim = host.claim
 
-        def claimed(attempt: Any) -> bool:
+        def claim_after_order(attempt: Any) -> bool:
             claims: bool = claim(attempt) if event_first else False
             host.end_attempt(request.attempts[0], i.Outcome.RESET)
             if event_first:
@@ -486,8 +485,8 @@
                 claims = claim(attempt)
             return claims
 
-        host.claim = claimed
-        go.set()
+        host.claim = claim_after_order
+        proceed.set()
         assert client.answer().status == 200
         wait_until(lambda: len(outcomes(scene)) == 2)
         assert outcomes(scene) == [i.Outcome.RESET, i.Outcome.SERVED]
