--- a/tests/test_http1.py
+++ b/tests/test_http1.py
@@ -1,4 +1,4 @@
-"""Messages cut anywhere, garbage, and the limits of heads and bodies."""
+"""Tests HTTP/1.1 messages split anywhere, garbage, and the limits of heads and bodies."""
 
 from __future__ import annotations
 
@@ -10,18 +10,22 @@
 
 from spoolbarrow.net.http1 import HttpError, Message, RequestParser, ResponseParser, request_pieces
 
-fixed = settings(derandomize=True, deadline=None, max_examples=150)
-TEXT = st.binary(max_size=200)
-TOKEN = st.from_regex(rb"[A-Za-z][A-Za-z-]{0,20}", fullmatch=True)
-VALUE = st.from_regex(rb"[!-~]([ -~]{0,30}[!-~])?", fullmatch=True)
-OWN = b"content-length transfer-encoding connection upgrade expect proxy-connection te".split()
+deterministic = settings(derandomize=True, deadline=None, max_examples=150)
+BODY = st.binary(max_size=200)
+FIELD_NAME = st.from_regex(rb"[A-Za-z][A-Za-z-]{0,20}", fullmatch=True)
+FIELD_VALUE = st.from_regex(rb"[!-~]([ -~]{0,30}[!-~])?", fullmatch=True)
+HOP_FIELDS = b"content-length transfer-encoding connection upgrade expect proxy-connection te".split()
 
 
 @st.composite
-def requests(draw: st.DrawFn) -> tuple[bytes, bytes, list[tuple[bytes, bytes]]]:
-    """A valid request's bytes, its body and its free fields."""
-    free = draw(st.lists(st.tuples(TOKEN, VALUE).filter(lambda f: f[0].lower() not in OWN), max_size=6))
-    body = draw(TEXT)
+def valid_requests(draw: st.DrawFn) -> tuple[bytes, bytes, list[tuple[bytes, bytes]]]:
+    """The bytes of a valid request, its body and its other fields."""
+    free = draw(
+        st.lists(
+            st.tuples(FIELD_NAME, FIELD_VALUE).filter(lambda f: f[0].lower() not in HOP_FIELDS), max_size=6
+        )
+    )
+    body = draw(BODY)
     head = b"POST /v1/x?y=1 HTTP/1.1\r\n" + b"".join(b"%s: %s\r\n" % field for field in free)
     if draw(st.booleans()):
         return head + b"Content-Length: %d\r\n\r\n" % len(body) + body, body, free
@@ -30,9 +34,9 @@
     return head + b"Transfer-Encoding: chunked\r\n\r\n" + pieces + b"0\r\n\r\n", body, free
 
 
-def cut(data: bytes, cuts: list[int]) -> list[memoryview]:
-    places = [0, *sorted(place % (len(data) + 1) for place in cuts), len(data)]
-    return [memoryview(data)[a:b] for a, b in pairwise(places)]
+def split_at(data: bytes, cuts: list[int]) -> list[memoryview]:
+    bounds = [0, *sorted(place % (len(data) + 1) for place in cuts), len(data)]
+    return [memoryview(data)[a:b] for a, b in pairwise(bounds)]
 
 
 def parse(parts: list[memoryview], max_head: int = 16384, max_body: int = 262144) -> RequestParser:
@@ -42,48 +46,48 @@
     return parser
 
 
-@fixed
-@given(st.lists(requests(), min_size=1, max_size=3), st.lists(st.integers(0, 10_000), max_size=12))
-def test_requests_are_read_alike_however_they_are_cut(
+@deterministic
+@given(st.lists(valid_requests(), min_size=1, max_size=3), st.lists(st.integers(0, 10_000), max_size=12))
+def test_requests_parse_alike_however_they_are_split(
     sent: list[tuple[bytes, bytes, list[tuple[bytes, bytes]]]], cuts: list[int]
 ) -> None:
-    parser = parse(cut(b"".join(raw for raw, _, _ in sent), cuts))
+    parser = parse(split_at(b"".join(raw for raw, _, _ in sent), cuts))
     assert parser.error is None and not parser.reading
     assert [m.body for m in parser.complete] == [body for _, body, _ in sent]
     for message, (_, _, free) in zip(parser.complete, sent, strict=True):
-        assert [f for f in message.headers if f[0].lower() not in OWN] == free
+        assert [f for f in message.headers if f[0].lower() not in HOP_FIELDS] == free
 
 
-@fixed
-@given(requests(), st.lists(st.integers(0, 10_000), max_size=5))
-def test_a_request_written_out_again_is_the_same_request(
+@deterministic
+@given(valid_requests(), st.lists(st.integers(0, 10_000), max_size=5))
+def test_a_forwarded_request_parses_as_the_same_request(
     sent: tuple[bytes, bytes, list[tuple[bytes, bytes]]], cuts: list[int]
 ) -> None:
     first = parse([memoryview(sent[0])]).complete[0]
-    again = parse(cut(b"".join(request_pieces(first, ("127.0.0.1", 9), 77)), cuts)).complete[0]
+    again = parse(split_at(b"".join(request_pieces(first, ("127.0.0.1", 9), 77)), cuts)).complete[0]
     assert (again.method, again.target, again.body) == (first.method, first.target, first.body)
     kept = [f for f in sent[2] if f[0].lower() not in (b"host", b"keep-alive", b"trailer", b"x-time-left-ms")]
     assert [f for f in again.headers if f in kept] == kept
     assert again.fields[b"x-time-left-ms"] == b"77" and again.fields[b"host"] == b"127.0.0.1:9"
 
 
-@fixed
+@deterministic
 @given(st.lists(st.binary(min_size=1, max_size=60), max_size=5), st.lists(st.integers(0, 10_000), max_size=8))
-def test_answers_are_read_alike_however_they_are_cut(parts: list[bytes], cuts: list[int]) -> None:
+def test_answers_parse_alike_however_they_are_split(parts: list[bytes], cuts: list[int]) -> None:
     early = b"HTTP/1.1 103 Early Hints\r\nTransfer-Encoding: odd\r\nA: b\r\n\r\n"
     head = b"HTTP/1.1 200 OK\r\nB: c\r\nTransfer-Encoding: chunked\r\n\r\n"
     body = b"".join(b"%x\r\n%s\r\n" % (len(part), part) for part in parts)
     parser = ResponseParser(16384)
-    for piece in cut(early + head + body + b"0\r\n\r\n", cuts):
+    for piece in split_at(early + head + body + b"0\r\n\r\n", cuts):
         parser.feed(piece)
     assert (parser.status, parser.complete, parser.reusable) == (200, True, True)
     assert b"".join(parser.take_body()) == b"".join(parts)
     assert parser.fields == {b"b": b"c", b"transfer-encoding": b"chunked"}
 
 
-@fixed
-@given(st.lists(TEXT | st.sampled_from([b"GET / HTTP/1.1\r\n", b"\r\n\r\n", b"HTTP/1.1 200 OK\r\n"])))
-def test_garbage_is_a_fault_or_unfinished_and_nothing_else(parts: list[bytes]) -> None:
+@deterministic
+@given(st.lists(BODY | st.sampled_from([b"GET / HTTP/1.1\r\n", b"\r\n\r\n", b"HTTP/1.1 200 OK\r\n"])))
+def test_garbage_is_an_error_or_incomplete(parts: list[bytes]) -> None:
     parser = parse([memoryview(part) for part in parts])
     assert parser.error is None or parser.error.status in (400, 405, 413, 431)
     answer = ResponseParser(16384)
@@ -126,20 +130,22 @@
         (b"GET / HTTP/1.1\r\n" + b"A: b\r\n" * 200, 431),
     ],
 )
-def test_what_is_not_taken_has_its_status(raw: bytes, status: int) -> None:
+def test_a_rejected_request_has_its_status(raw: bytes, status: int) -> None:
     for size in (1, 50, len(raw)):
         parser = parse([memoryview(raw)[n : n + size] for n in range(0, len(raw), size)], 500, 100)
-        if size < 100 or status != 431 or raw.count(b"\r\n") > 2:  # an unfinished field counts by whole reads
+        if (
+            size < 100 or status != 431 or raw.count(b"\r\n") > 2
+        ):  # an incomplete field counts in units of reads
             assert parser.error is not None and parser.error.status == status
         assert not parser.complete
 
 
-def test_a_body_of_the_largest_size_is_taken() -> None:
+def test_a_body_of_the_maximum_size_is_accepted() -> None:
     raw = b"POST / HTTP/1.1\r\nContent-Length: 100\r\n\r\n" + b"x" * 100
     assert parse([memoryview(raw)], 500, 100).complete[0].body == b"x" * 100
 
 
-def test_an_answer_followed_by_more_is_whole_but_its_connection_is_not_used_again() -> None:
+def test_an_answer_with_trailing_bytes_is_complete_but_not_reusable() -> None:
     parser = ResponseParser(500)
     parser.feed(memoryview(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nokHTTP/1.1 500 No\r\n"))
     assert (parser.status, parser.take_body(), parser.complete, parser.reusable) == (
@@ -150,7 +156,7 @@
     )
 
 
-def test_an_answer_cut_off_is_a_reset_whatever_it_promised() -> None:
+def test_a_truncated_answer_is_a_reset_whatever_its_framing() -> None:
     ok = b"HTTP/1.1 200 OK\r\n"
     for rest in (b"", b"Content-Length: 2\r\n\r\no", b"Transfer-Encoding: chunked\r\n\r\n1\r\na\r\n"):
         parser = ResponseParser(500)
@@ -159,31 +165,37 @@
             parser.end()
 
 
-def test_a_chunk_that_ends_in_two_reads_is_no_line_that_has_begun() -> None:
+def test_a_chunk_end_split_between_reads_is_not_a_chunk_header() -> None:
     parser = ResponseParser(500)
     parser.feed(memoryview(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\na\r"))
-    for piece, at_boundary, in_chunk_header in ((b"\n", True, False), (b"1", False, True), (b"\r\na\r\n", True, False)):
+    for piece, at_boundary, in_chunk_header in (
+        (b"\n", True, False),
+        (b"1", False, True),
+        (b"\r\na\r\n", True, False),
+    ):
         parser.feed(memoryview(piece))
         assert (parser.at_boundary, parser.in_chunk_header) == (at_boundary, in_chunk_header)
 
 
-def test_trailers_say_nothing() -> None:
+def test_trailers_are_ignored() -> None:
     raw = b"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n1\r\na\r\n0\r\nX-Account: b\r\n\r\n"
     assert parse([memoryview(raw)]).complete[0] == Message(
         b"POST", b"/", [(b"Transfer-Encoding", b"chunked")], {b"transfer-encoding": b"chunked"}, b"a"
     )
 
 
-PADDED = b"Content-Length:\t2 \r\nX-Account:  acme two \t\r\nX-Empty: \t \r\nConnection: close\t\r\n\r\nhi"
+PADDED_HEAD = (
+    b"Content-Length:\t2 \r\nX-Account:  acme two \t\r\nX-Empty: \t \r\nConnection: close\t\r\n\r\nhi"
+)
 
 
-@fixed
+@deterministic
 @given(st.lists(st.integers(0, 200), max_size=6))
-def test_blanks_round_a_value_are_no_part_of_it(cuts: list[int]) -> None:
-    """In requests and in answers, wherever the bytes were cut."""
-    request = parse(cut(b"POST /v1/x HTTP/1.1\r\n" + PADDED, cuts)).complete[0]
+def test_whitespace_around_a_field_value_is_stripped(cuts: list[int]) -> None:
+    """In requests and in answers, wherever the bytes are split."""
+    request = parse(split_at(b"POST /v1/x HTTP/1.1\r\n" + PADDED_HEAD, cuts)).complete[0]
     answer = ResponseParser(16384)
-    for part in cut(b"HTTP/1.1 200 OK\r\n" + PADDED, cuts):
+    for part in split_at(b"HTTP/1.1 200 OK\r\n" + PADDED_HEAD, cuts):
         answer.feed(part)
     for fields in (request.fields, answer.fields):
         assert fields[b"x-account"] == b"acme two" and fields[b"x-empty"] == b""
@@ -194,8 +206,8 @@
 
 
 @pytest.mark.parametrize("pad", [b" ", b"   "])
-def test_a_chunked_coding_with_blanks_behind_it_is_chunked(pad: bytes) -> None:
-    """With a tab there, llhttp refuses the request itself: a clear 400."""
+def test_a_transfer_coding_with_trailing_spaces_is_chunked(pad: bytes) -> None:
+    """With a tab instead, llhttp itself rejects the request, with a 400."""
     raw = b"POST /v1/x HTTP/1.1\r\nTransfer-Encoding: chunked" + pad + b"\r\n\r\n2\r\nhi\r\n0\r\n\r\n"
     for parts in ([raw], [raw[n : n + 1] for n in range(len(raw))]):
         parser = parse([memoryview(part) for part in parts])
