--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -1,4 +1,4 @@
-"""Days in service: bad clients, replaced endpoints, new configurations; what each side is told."""
+"""Tests the running router with faulty clients and endpoints, replaced endpoints and new configurations."""
 
 from __future__ import annotations
 
@@ -37,14 +37,14 @@
 )
 
 ROOT = Path(__file__).resolve().parent.parent
-QUICK = {"head_timeout_ms": 400.0, "keep_alive_ms": 400.0}
+SHORT_TIMEOUTS = {"head_timeout_ms": 400.0, "keep_alive_ms": 400.0}
 
 
 def refuse_400(sock: socket.socket, message: Message) -> None:
     sock.sendall(b"HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n")
 
 
-def wait_for(seen: Event) -> Any:
+def serve_after(seen: Event) -> Any:
     def script(sock: socket.socket, message: Message) -> None:
         seen.wait()
         serve_all(sock, message)
@@ -52,11 +52,11 @@
     return script
 
 
-# Bad clients
+# Faulty clients
 
 
-def test_what_an_endpoint_cannot_use_is_its_clients_fault_and_tried_once() -> None:
-    """Guards against endpoints that look failing because of clients: usual requests were refused then."""
+def test_a_request_that_an_endpoint_rejects_is_tried_once_and_blamed_on_the_client() -> None:
+    """Endpoints must not count as failing because of such clients, or other requests would be refused."""
     with running_router(refuse_400, refuse_400) as (scene, *engines):
         assert scene.client().send(ask()).answer().status == 400
         assert sum(len(engine.requests) for engine in engines) == 1
@@ -64,9 +64,9 @@
         assert all(replica.failing_level == 0.0 for replica in scene.host._router.pool.replicas.values())
 
 
-def test_the_name_of_an_open_request_is_not_taken_again() -> None:
+def test_the_id_of_an_open_request_is_rejected() -> None:
     seen = Event()
-    with running_router(wait_for(seen)) as (scene, engine):
+    with running_router(serve_after(seen)) as (scene, engine):
         first = scene.client().send(ask())
         wait_until(lambda: engine.requests)
         assert scene.client().send(ask()).answer().status == 409
@@ -77,14 +77,14 @@
 
 
 @pytest.mark.parametrize("sent", [b"", b"\r\n", ask()[:30], ask()[:-3]])
-def test_a_connection_without_a_whole_request_is_told_so_in_time(sent: bytes) -> None:
-    with running_router(serve_all, options=QUICK) as (scene, engine):
+def test_a_connection_without_a_complete_request_times_out_with_408(sent: bytes) -> None:
+    with running_router(serve_all, options=SHORT_TIMEOUTS) as (scene, engine):
         client = scene.client().send(sent)
         assert client.answer().status == 408 and client.ended() and not engine.requests
 
 
-def test_a_head_that_trickles_gets_no_more_time() -> None:
-    with running_router(serve_all, options=QUICK) as (scene, _):
+def test_a_trickling_head_gets_no_extra_time() -> None:
+    with running_router(serve_all, options=SHORT_TIMEOUTS) as (scene, _):
         client = scene.client()
 
         def trickle() -> None:
@@ -97,15 +97,15 @@
         trickling.kill()
 
 
-def test_a_used_connection_that_idles_is_closed_without_a_word() -> None:
-    """Guards against a 408 that crosses the next request and passes for its answer."""
-    with running_router(serve_all, options=QUICK) as (scene, _):
+def test_a_used_idle_connection_is_closed_without_an_answer() -> None:
+    """A 408 could cross the next request and pass for its answer."""
+    with running_router(serve_all, options=SHORT_TIMEOUTS) as (scene, _):
         client = scene.client().send(ask())
         assert client.answer().status == 200 and client.ended()
         wait_until(lambda: not scene.inbound._clients)
 
 
-def test_an_idle_connection_whose_next_request_is_unread_is_not_closed() -> None:
+def test_an_idle_connection_with_an_unread_request_is_not_closed() -> None:
     with running_router(serve_all) as (scene, _):
         client = scene.client().send(ask())
         client.answer()
@@ -114,7 +114,7 @@
         served.since -= 60_000
         client.send(ask())
         while not served.has_unread():
-            pass  # no greenlet runs meanwhile: its reader can't take it
+            pass  # busy-wait: no greenlet may run, so that its reader does not read it
         assert not scene.inbound._make_room() and client.answer().status == 200
 
 
@@ -124,20 +124,20 @@
         sending = gevent.spawn(client.sock.sendall, b"x" * 8_000_000)
         assert client.answer().status == 413 and not engine.requests
         assert scene.inbound.held_bytes == 0
-        sending.join()  # the rest is read and dropped: a reset would take the answer with it
+        sending.join()  # the rest is read and discarded: a reset would discard the answer
 
 
 @pytest.mark.parametrize("pause", [0.0, 0.05])
-def test_a_request_followed_by_what_is_none_is_not_served(pause: float) -> None:
-    """Guards against passing on half of a body whose declared length was too small."""
+def test_a_request_followed_by_garbage_is_not_served(pause: float) -> None:
+    """Half of a body whose declared length is too small must not be forwarded."""
     seen = Event()
-    with running_router(wait_for(seen)) as (scene, engine):
+    with running_router(serve_after(seen)) as (scene, engine):
         client = scene.client()
         if pause:
             client.send(ask())
             wait_until(lambda: engine.requests)
             client.send(b'"more":1}')
-            seen.set()  # what is out goes on, and has its own answer
+            seen.set()  # the running request continues and gets its answer
             assert client.answer().status == 200
         else:
             client.send(ask() + b'"more":1}')
@@ -148,56 +148,56 @@
 
 
 @pytest.mark.parametrize("left", ["nan", "inf", "1e3", "-5", "", "99999999", "4 800"])
-def test_a_deadline_that_is_none_never_reaches_the_decisions(left: str) -> None:
+def test_a_request_with_an_invalid_deadline_is_not_decided_on(left: str) -> None:
     with running_router(serve_all) as (scene, _):
         assert scene.client().send(ask(X_Time_Left_Ms=left)).answer().status == 400
         assert not scene.events_of(i.RequestArrived)
 
 
-def test_bodies_that_never_become_whole_count_against_the_memory() -> None:
+def test_incomplete_bodies_count_against_the_memory_limit() -> None:
     with running_router(serve_all, limits={"memory_mb": 0.01}) as (scene, _):
         answer = scene.client().send(ask(b"x" * 4000)[:-9]).answer()
         assert answer.status == 503 and answer.fields[b"retry-after"]
 
 
-def test_silent_connections_make_room_for_those_that_ask() -> None:
+def test_idle_connections_are_closed_for_new_requests() -> None:
     with running_router(serve_all, limits={"sockets": 64}) as (scene, _):
         silent = [scene.client() for _ in range(3 * scene.config.max_inbound)]
         assert scene.client().send(ask()).answer().status == 200
         assert len(scene.inbound._clients) <= scene.config.max_inbound < len(silent)
 
 
-def test_an_exception_over_what_a_client_sent_is_told_to_it(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_exception_while_parsing_is_answered_with_500(monkeypatch: pytest.MonkeyPatch) -> None:
     with running_router(serve_all) as (scene, _):
         monkeypatch.setattr(InboundClient, "_fed", lambda *given: 1 / 0)
         client = scene.client().send(ask())
         assert client.answer().status == 500 and client.ended()
 
 
-# Bad endpoints
+# Faulty endpoints
 
 
 def outcomes(scene: Any) -> list[i.Outcome]:
     return [event.outcome for event in scene.events_of(i.AttemptEnded)]
 
 
-OK = b"HTTP/1.1 200 OK\r\nA: "
+OK_HEAD_START = b"HTTP/1.1 200 OK\r\nA: "
 
 
 @pytest.mark.parametrize(
-    "spoilt",
+    "malformed",
     [
-        OK,
-        OK + b"b\r\n\r\n3\r\nabc\r\n",
-        OK + b"x" * 20000,
+        OK_HEAD_START,
+        OK_HEAD_START + b"b\r\n\r\n3\r\nabc\r\n",
+        OK_HEAD_START + b"x" * 20000,
         STREAM_HEAD[:-2] + b"3\r\n",
         b"HTTP/1.1 2x0",
         b"\x16",
     ],
 )
-def test_an_answer_spoilt_before_its_first_event_is_left_to_the_decisions(spoilt: bytes) -> None:
+def test_an_answer_malformed_before_its_first_event_is_retried(malformed: bytes) -> None:
     def script(sock: socket.socket, message: Message) -> None:
-        sock.sendall(spoilt)
+        sock.sendall(malformed)
 
     with running_router(script, serve_all, options={"piece_ms": 50.0}) as (scene, bad, _):
         while not bad.requests:
@@ -208,14 +208,14 @@
 
 
 @pytest.mark.parametrize(
-    "spoilt", [b"zz\r\nabc", b"2\r\nabc\r\n", b"ff\r\nabc\r\n", b"c0000000\r\ndata: 1\n\n", b"", b"4"]
+    "malformed", [b"zz\r\nabc", b"2\r\nabc\r\n", b"ff\r\nabc\r\n", b"c0000000\r\ndata: 1\n\n", b"", b"4"]
 )
-def test_a_stream_spoilt_later_ends_its_client_without_the_last_chunk(spoilt: bytes) -> None:
+def test_a_stream_malformed_later_ends_without_the_last_chunk(malformed: bytes) -> None:
     def script(sock: socket.socket, message: Message) -> None:
         sock.sendall(STREAM_HEAD + chunk(b"data: 1\n\n"))
         gevent.sleep(0.02)
-        sock.sendall(spoilt)
-        while spoilt[:2] == b"c0":  # 3 GB that keep coming
+        sock.sendall(malformed)
+        while malformed[:2] == b"c0":  # a chunk of 3 GB that keeps arriving
             sock.sendall(b"data: 1\n\n")
             gevent.sleep(0.005)
 
@@ -225,17 +225,17 @@
         wait_until(lambda: len(outcomes(scene)) == 1 and engine.closed == 1)
 
 
-SECOND = b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nodd"
+SECOND_ANSWER = b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nodd"
 
 
-def all_at_once(sock: socket.socket, message: Message) -> None:
+def send_all_at_once(sock: socket.socket, message: Message) -> None:
     early = b"HTTP/1.1 103 Early Hints\r\nContent-Length: 9\r\n\r\n"
     answer = STREAM_HEAD + b"".join(map(chunk, EVENTS)) + b"0\r\n\r\n"
-    sock.sendall(b"HTTP/1.1 100 Continue\r\n\r\n" + early + answer + SECOND)
+    sock.sendall(b"HTTP/1.1 100 Continue\r\n\r\n" + early + answer + SECOND_ANSWER)
 
 
-def test_more_than_an_answer_is_skipped_and_its_connection_not_used_again() -> None:
-    with running_router(all_at_once) as (scene, engine):
+def test_bytes_after_an_answer_are_discarded_and_its_connection_is_not_reused() -> None:
+    with running_router(send_all_at_once) as (scene, engine):
         for number in range(1, 4):
             answer = scene.client().send(ask()).answer()
             assert (answer.status, b"".join(answer.take_body())) == (200, b"".join(EVENTS))
@@ -243,42 +243,42 @@
             assert engine.connections == number
 
 
-def test_bytes_that_come_to_an_idle_connection_end_it_and_later_ones_rest_longer() -> None:
-    """Guards against an endpoint's second answer, sent late, passing for the next request's."""
+def test_bytes_on_an_idle_connection_close_it_and_lengthen_the_settle_time() -> None:
+    """An endpoint's second answer, sent late, must not pass for the answer to the next request."""
     socks: list[socket.socket] = []
 
-    def keep(sock: socket.socket, message: Message) -> None:
+    def keep_socket(sock: socket.socket, message: Message) -> None:
         socks.append(sock)
         serve_all(sock, message)
 
-    with running_router(keep) as (scene, engine):
+    with running_router(keep_socket) as (scene, engine):
         pool = scene.host._endpoints._pool
         assert scene.client().send(ask()).answer().status == 200
         wait_until(lambda: pool._idle)
         (connection,) = pool._idle["e0"]
-        connection.idle_since -= 100.0  # so late do the bytes come
-        socks[0].sendall(SECOND)
+        connection.idle_since -= 100.0  # the bytes come this late
+        socks[0].sendall(SECOND_ANSWER)
         wait_until(connection.stale)
         assert scene.client().send(ask()).answer().status == 200
         wait_until(lambda: engine.closed == 1 and pool._idle.get("e0"))
         assert engine.connections == 2
         assert 300.0 <= pool._settle_ms["e0"] <= 1000.0
-        (rested,) = pool._idle["e0"]
-        rested.idle_since = scene.host.now()
-        assert pool.acquire("e0") is not rested  # it has not rested long enough
+        (released,) = pool._idle["e0"]
+        released.idle_since = scene.host.now()
+        assert pool.acquire("e0") is not released  # its settle time is not over
         pool._open_count -= 1
         pool.forget("e0")
         assert not pool._settle_ms
 
 
-def test_what_crosses_a_request_and_is_no_stream_does_not_pass_for_its_answer() -> None:
-    """Guards the next request where an endpoint's second answer comes after it was written."""
+def test_a_late_second_answer_that_crosses_a_request_is_not_its_answer() -> None:
+    """The endpoint's second answer arrives after the next request was written."""
 
     def late(sock: socket.socket, message: Message) -> None:
         if message.body == b"first":
             serve_all(sock, message)
         else:
-            sock.sendall(SECOND)  # and nothing else: what it says comes before it reads
+            sock.sendall(SECOND_ANSWER)  # and nothing else: sent before it reads the request
 
     with running_router(late) as (scene, engine):
         assert scene.client().send(ask(b"first")).answer().status == 200
@@ -288,7 +288,7 @@
         assert outcomes(scene)[1] is i.Outcome.UNREADABLE and len(engine.requests) >= 2
 
 
-def test_a_load_report_that_cannot_be_read_is_no_news() -> None:
+def test_an_invalid_load_report_changes_nothing() -> None:
     for text in (b"x1=nan,x0=inf", b"x1=-5", b"x1=1e99", b"\x00\xff", b"x1"):
         assert parse_load(text) is None
     router = Router(i.Settings(nodes=1, classes=(i.RequestClass(1000.0, 4000.0, 1.0),)), 1)
@@ -320,7 +320,7 @@
         assert not [t for t in host._timers if t[0] > host.now() + 5000]
 
 
-def test_streams_that_outlast_a_drain_go_on_elsewhere_and_nothing_is_left_unanswered() -> None:
+def test_streams_that_outlast_a_drain_are_moved_and_every_request_is_answered() -> None:
     def begin(sock: socket.socket, message: Message) -> None:
         sock.sendall(STREAM_HEAD + chunk(b"data: 1\n\n") if message.body == b"stream" else b"")
 
@@ -343,7 +343,7 @@
 # New configurations
 
 
-def test_new_settings_hold_for_new_requests_and_leave_open_ones_alone() -> None:
+def test_new_settings_apply_to_new_requests_only() -> None:
     chat = i.RequestClass(1000.0, 4000.0, 1.0)
     tenants = (i.Tenant(1.0),)
     settings = i.Settings(nodes=1, classes=(chat, chat, chat), zones=2, probing=False, tenants=tenants)
@@ -359,13 +359,13 @@
     assert isinstance(sent[0], i.Send)
 
 
-def test_sighup_asks_the_new_discovery_and_a_faulty_file_changes_nothing(tmp_path: Path) -> None:
+def test_sighup_switches_to_the_new_discovery_and_an_invalid_file_changes_nothing(tmp_path: Path) -> None:
     seen, file = Event(), tmp_path / "config.json"
-    asked: list[bytes] = []
+    targets: list[bytes] = []
 
     def discovery(*names: str) -> Any:
         def script(sock: socket.socket, message: Message) -> None:
-            asked.append(message.target)
+            targets.append(message.target)
             listed = [endpoint_entry(name, engine.port) for name in names]
             body = msgspec.json.encode({"index": 3, "snapshot": True, "endpoints": listed})
             if message.path() == message.target:
@@ -375,7 +375,7 @@
 
         return script
 
-    engine = ScriptedServer(wait_for(seen))
+    engine = ScriptedServer(serve_after(seen))
     old, new = ScriptedServer(discovery("e0")), ScriptedServer(discovery("e1"))
     raw = make_config([endpoint_entry("e0", engine.port)], old.port)
     file.write_bytes(msgspec.json.encode(raw))
@@ -387,17 +387,17 @@
             assert router.stderr is not None
             wait_until(lambda: not socket.socket().connect_ex((LISTEN, port)))
             waiting = Client(port).send(ask())
-            wait_until(lambda: engine.requests and asked)
+            wait_until(lambda: engine.requests and targets)
             file.write_bytes(b"{")
             router.send_signal(signal.SIGHUP)
             while b"reload_failed" not in router.stderr.readline():
                 pass
             file.write_bytes(msgspec.json.encode({**raw, "discovery": f"127.0.0.1:{new.port}"}))
-            asked.clear()
+            targets.clear()
             router.send_signal(signal.SIGHUP)
-            router.send_signal(signal.SIGHUP)  # twice is as good as once
-            wait_until(lambda: old.closed == 1 and asked[-1:] == [b"/discovery/hosts?stream=1&index=3"])
-            assert asked[0] == b"/discovery/hosts"
+            router.send_signal(signal.SIGHUP)  # a second signal changes nothing
+            wait_until(lambda: old.closed == 1 and targets[-1:] == [b"/discovery/hosts?stream=1&index=3"])
+            assert targets[0] == b"/discovery/hosts"
             seen.set()
             assert waiting.answer().status == 200
             router.send_signal(signal.SIGTERM)
@@ -410,17 +410,17 @@
                 party.close()
 
 
-def test_where_nobody_asks_for_the_rest_a_drain_takes_only_what_can_be_whole() -> None:
-    """Guards against streams that SIGKILL cuts off: their clients lose them."""
+def test_without_resumption_a_drain_accepts_only_requests_that_can_finish() -> None:
+    """SIGKILL would cut off other streams, and their clients could not resume them."""
     options = {"drain_accept_ms": 100.0, "drain_keep_ms": 60_000.0}
     seen = Event()
 
-    def in_two(sock: socket.socket, message: Message) -> None:
+    def stream_in_two_steps(sock: socket.socket, message: Message) -> None:
         sock.sendall(STREAM_HEAD + chunk(EVENTS[0]))
         seen.wait()
         sock.sendall(chunk(EVENTS[1]) + b"0\r\n\r\n")
 
-    with running_router(in_two, options=options) as (scene, engine):
+    with running_router(stream_in_two_steps, options=options) as (scene, engine):
         idle, busy = scene.client().send(b"GET /up HTTP/1.1\r\n\r\n"), scene.client().send(ask())
         idle.answer()
         wait_until(lambda: scene.events_of(i.StreamStarted))
