--- a/benchmarks/door.py
+++ b/benchmarks/door.py
@@ -30,8 +30,8 @@
 from spoolbarrow import interface as i  # noqa: E402
 from spoolbarrow.admission import controller as d  # noqa: E402
 from spoolbarrow.lab import policies  # noqa: E402
-from spoolbarrow.lab.run_report import percentile  # noqa: E402
 from spoolbarrow.lab.doored import Doored  # noqa: E402
+from spoolbarrow.lab.run_report import percentile  # noqa: E402
 from spoolbarrow.lab.scenario import convert, load_raw  # noqa: E402
 from spoolbarrow.lab.simulate import Simulation  # noqa: E402
 
--- a/benchmarks/failover.py
+++ b/benchmarks/failover.py
@@ -27,9 +27,9 @@
 from spoolbarrow.failover import ZoneState  # noqa: E402
 from spoolbarrow.lab import cluster  # noqa: E402
 from spoolbarrow.lab.cluster import Cluster, Load  # noqa: E402
+from spoolbarrow.lab.failover_policy import FailoverRouter  # noqa: E402
 from spoolbarrow.lab.scenario import convert  # noqa: E402
 from spoolbarrow.lab.simulate import Simulation  # noqa: E402
-from spoolbarrow.lab.failover_policy import FailoverRouter  # noqa: E402
 from spoolbarrow.operator import FailoverTable  # noqa: E402
 
 ZONES = {"a": 4, "b": 4, "c": 4}
--- a/benchmarks/placement.py
+++ b/benchmarks/placement.py
@@ -24,9 +24,9 @@
 sys.path.insert(0, str(ROOT))
 
 from spoolbarrow.lab import policies  # noqa: E402
+from spoolbarrow.lab.random_scenarios import random_scenario  # noqa: E402
 from spoolbarrow.lab.scenario import Scenario  # noqa: E402
 from spoolbarrow.lab.simulate import simulate  # noqa: E402
-from spoolbarrow.lab.random_scenarios import random_scenario  # noqa: E402
 
 MODULE = ROOT / "spoolbarrow" / "router.py"
 LOADS = (0.25, 0.32, 0.4)
@@ -90,7 +90,11 @@
     if args.short:
         args.routers, args.engines, args.length = 100, 40, 8.0
     days = [
-        (many, seed, random_scenario(seed, many, args.routers, args.engines, LOADS[seed % len(LOADS)], args.length))
+        (
+            many,
+            seed,
+            random_scenario(seed, many, args.routers, args.engines, LOADS[seed % len(LOADS)], args.length),
+        )
         for many in (False, True)
         for seed in range(1, 1 + args.seeds)
     ]
--- a/benchmarks/pools.py
+++ b/benchmarks/pools.py
@@ -30,9 +30,9 @@
 from spoolbarrow import interface as i  # noqa: E402
 from spoolbarrow.hash_ring import HashRing  # noqa: E402
 from spoolbarrow.lab import policies  # noqa: E402
-from spoolbarrow.lab.run_report import Record, percentile  # noqa: E402
 from spoolbarrow.lab.arrivals import draw_requests  # noqa: E402
-from spoolbarrow.lab.policies import RoutingPolicy, EngineOracle  # noqa: E402
+from spoolbarrow.lab.policies import EngineOracle, RoutingPolicy  # noqa: E402
+from spoolbarrow.lab.run_report import Record, percentile  # noqa: E402
 from spoolbarrow.lab.scenario import Scenario, convert  # noqa: E402
 from spoolbarrow.lab.simulate import Simulation  # noqa: E402
 from spoolbarrow.pools import Engine, Pools, sketch, split  # noqa: E402
@@ -283,7 +283,9 @@
     decide_ms: float = 0.0
 
 
-def play(scenario: Scenario, seed: int, make: Callable[[i.Settings, int, EngineOracle], RoutingPolicy]) -> Played:
+def play(
+    scenario: Scenario, seed: int, make: Callable[[i.Settings, int, EngineOracle], RoutingPolicy]
+) -> Played:
     """One day with these routers."""
     policies.POLICIES["pools"] = make
     simulation = Simulation(scenario, "pools", seed)
--- a/benchmarks/served.py
+++ b/benchmarks/served.py
@@ -29,10 +29,10 @@
 from placement import MODULE, decisions  # noqa: E402
 
 from spoolbarrow.lab import policies  # noqa: E402
+from spoolbarrow.lab.random_scenarios import random_scenario  # noqa: E402
 from spoolbarrow.lab.run_report import Record  # noqa: E402
 from spoolbarrow.lab.scenario import Scenario, Trouble  # noqa: E402
 from spoolbarrow.lab.simulate import Simulation  # noqa: E402
-from spoolbarrow.lab.random_scenarios import random_scenario  # noqa: E402
 
 LOADS = {"quiet": 0.25, "usual": 0.45, "busy": 0.7, "full": 1.1, "cold": 0.25}
 LEAST = {"quiet": 2.0 / 3.0, "usual": 0.5, "busy": 0.5, "full": 0.5, "cold": 0.5}
--- a/benchmarks/sessions.py
+++ b/benchmarks/sessions.py
@@ -35,8 +35,8 @@
 
 from spoolbarrow import interface as i  # noqa: E402
 from spoolbarrow import router as r  # noqa: E402
+from spoolbarrow.lab.policies import POLICIES, EngineOracle, RoutingPolicy  # noqa: E402
 from spoolbarrow.lab.run_report import percentile  # noqa: E402
-from spoolbarrow.lab.policies import POLICIES, RoutingPolicy, EngineOracle  # noqa: E402
 from spoolbarrow.lab.scenario import Scenario, convert  # noqa: E402
 from spoolbarrow.lab.simulate import Simulation  # noqa: E402
 from spoolbarrow.sessions import cells  # noqa: E402
--- a/spoolbarrow/admission/controller.py
+++ b/spoolbarrow/admission/controller.py
@@ -16,9 +16,9 @@
 
 from msgspec import Struct
 
-from spoolbarrow.admission.reservations import ReservationCalendar
 from spoolbarrow.admission.capacity import CapacityEstimator
 from spoolbarrow.admission.clients import ClientAccounts
+from spoolbarrow.admission.reservations import ReservationCalendar
 from spoolbarrow.admission.retries import RetryBudget, RetryDetector
 from spoolbarrow.admission.shares import TenantShares
 
--- a/spoolbarrow/admission/service.py
+++ b/spoolbarrow/admission/service.py
@@ -14,9 +14,9 @@
 import xxhash
 
 from spoolbarrow import interface as i
-from spoolbarrow.config import Config
 from spoolbarrow.admission import controller as d
-from spoolbarrow.admission.gate import Caller, AdmissionGate, Rejection, no_header, tenant_weights
+from spoolbarrow.admission.gate import AdmissionGate, Caller, Rejection, no_header, tenant_weights
+from spoolbarrow.config import Config
 from spoolbarrow.net.host import Host
 from spoolbarrow.net.log import log, log_exception
 from spoolbarrow.operator import DoorTable, index_of
--- a/spoolbarrow/cli/lab.py
+++ b/spoolbarrow/cli/lab.py
@@ -11,7 +11,7 @@
 
 from spoolbarrow.cli.errors import BadArgument, LabRunFailed, NoResults
 from spoolbarrow.errors import MissingPackage
-from spoolbarrow.lab.scenario import Scenario, set_key, convert, load_raw
+from spoolbarrow.lab.scenario import Scenario, convert, load_raw, set_key
 
 SCENARIO_ARGUMENT = click.argument("scenario", type=click.Path(path_type=Path, exists=True, dir_okay=False))
 SET_OPTION = click.option(
--- a/spoolbarrow/flows/analysis.py
+++ b/spoolbarrow/flows/analysis.py
@@ -7,7 +7,14 @@
 from typing import Any, NamedTuple
 
 from spoolbarrow.flows.decode import Message
-from spoolbarrow.flows.elements import CONNECTION_TEMPLATE, END_REASONS, NAMED, NONE_MS, OUTCOMES, REQUEST_TEMPLATE
+from spoolbarrow.flows.elements import (
+    CONNECTION_TEMPLATE,
+    END_REASONS,
+    NAMED,
+    NONE_MS,
+    OUTCOMES,
+    REQUEST_TEMPLATE,
+)
 
 Row = dict[str, Any]
 ROW_KINDS = (CONNECTION_TEMPLATE.name, REQUEST_TEMPLATE.name)
@@ -108,7 +115,9 @@
     first_ms: float | None  # mean time to the first event
 
 
-def rank_flows(found: Iterable[Row], by: str, start_ms: float = 0.0, end_ms: float = float("inf")) -> list[Rank]:
+def rank_flows(
+    found: Iterable[Row], by: str, start_ms: float = 0.0, end_ms: float = float("inf")
+) -> list[Rank]:
     """Who had most, over a span of ends of flows: by tenant, class, engine or client's address."""
     tables: dict[str, list[Row]] = defaultdict(list)
     for row in found:
--- a/spoolbarrow/flows/encode.py
+++ b/spoolbarrow/flows/encode.py
@@ -187,4 +187,8 @@
     return _SET.pack(number, _SET.size + len(body) + len(padding)) + body + padding
 
 
-name_writer, statistics_writer, sampling_writer = RecordWriter(NAMES), RecordWriter(STATISTICS), RecordWriter(SAMPLING)
+name_writer, statistics_writer, sampling_writer = (
+    RecordWriter(NAMES),
+    RecordWriter(STATISTICS),
+    RecordWriter(SAMPLING),
+)
--- a/spoolbarrow/flows/exporter.py
+++ b/spoolbarrow/flows/exporter.py
@@ -26,7 +26,7 @@
     REQUEST_TEMPLATE,
     V9_CONNECTION,
 )
-from spoolbarrow.flows.encode import Record, ExportStream, RecordWriter, ipv4, uptime_ms
+from spoolbarrow.flows.encode import ExportStream, Record, RecordWriter, ipv4, uptime_ms
 from spoolbarrow.flows.queue import RecordQueue
 from spoolbarrow.flows.sender import Sender, Sink, now_ms
 from spoolbarrow.net import tcpinfo
--- a/spoolbarrow/flows/files.py
+++ b/spoolbarrow/flows/files.py
@@ -13,7 +13,7 @@
 import gevent
 from gevent.event import Event
 
-from spoolbarrow.flows.encode import IPFIX, Record, ExportStream
+from spoolbarrow.flows.encode import IPFIX, ExportStream, Record
 from spoolbarrow.flows.queue import RecordQueue
 from spoolbarrow.flows.sender import RECORDS_AT_ONCE, STATISTICS_MS, now_ms
 from spoolbarrow.net.log import log, log_exception
--- a/spoolbarrow/flows/sender.py
+++ b/spoolbarrow/flows/sender.py
@@ -19,7 +19,7 @@
 from gevent import socket
 from gevent.event import Event
 
-from spoolbarrow.flows.encode import IPFIX, V9, Record, ExportStream
+from spoolbarrow.flows.encode import IPFIX, V9, ExportStream, Record
 from spoolbarrow.flows.queue import RecordQueue
 from spoolbarrow.net import tcpinfo
 from spoolbarrow.net.log import log, log_exception
--- a/spoolbarrow/lab/arrivals.py
+++ b/spoolbarrow/lab/arrivals.py
@@ -143,7 +143,9 @@
             answer = _tokens(c.answer_tokens, rng, c.answer_sigma, c.max_answer)
             if 0.0 <= when < scenario.total_s():
                 found.append(
-                    PlannedRequest(when * 1000.0, cls, tenant, session, prefix, context, shared, answer, False)
+                    PlannedRequest(
+                        when * 1000.0, cls, tenant, session, prefix, context, shared, answer, False
+                    )
                 )
             context += answer
             when += draw(c.think_s, rng)
--- a/spoolbarrow/lab/cluster.py
+++ b/spoolbarrow/lab/cluster.py
@@ -27,9 +27,9 @@
 from spoolbarrow.lab.asked import Load as Load
 from spoolbarrow.lab.asked import call as call
 from spoolbarrow.lab.cold import Figures
+from spoolbarrow.lab.line_commands import CommandFailed
 from spoolbarrow.lab.loopback import address
 from spoolbarrow.lab.members import Members
-from spoolbarrow.lab.line_commands import CommandFailed
 from spoolbarrow.lab.process import LISTEN as LISTEN
 from spoolbarrow.lab.process import Process as Process
 from spoolbarrow.lab.process import free_ports as free_ports
--- a/spoolbarrow/lab/doored.py
+++ b/spoolbarrow/lab/doored.py
@@ -7,7 +7,7 @@
 
 from spoolbarrow import interface as i
 from spoolbarrow.admission import controller as d
-from spoolbarrow.admission.gate import Caller, AdmissionGate, tenant_weights
+from spoolbarrow.admission.gate import AdmissionGate, Caller, tenant_weights
 from spoolbarrow.router import Router
 
 CLIENTS = 40  # of a tenant
--- a/spoolbarrow/lab/engine.py
+++ b/spoolbarrow/lab/engine.py
@@ -19,8 +19,8 @@
 from typing import NamedTuple
 
 from spoolbarrow.lab.kinds import EngineParameters
-from spoolbarrow.lab.memory import Key, Memory
 from spoolbarrow.lab.load_reports import Load, Reports
+from spoolbarrow.lab.memory import Key, Memory
 from spoolbarrow.lab.warmup import Warmth
 
 LEAP = 32  # steps taken at once at most: memory is taken ahead for so many
--- a/spoolbarrow/lab/experiment.py
+++ b/spoolbarrow/lab/experiment.py
@@ -22,7 +22,7 @@
 import orjson
 from msgspec import Struct
 
-from spoolbarrow.lab.scenario import ScenarioError, set_key, convert, load_raw
+from spoolbarrow.lab.scenario import ScenarioError, convert, load_raw, set_key
 
 PACKAGE = Path(__file__).resolve().parent.parent
 TABLE, JOURNAL = "results.parquet", "results.jsonl"
--- a/spoolbarrow/lab/load.py
+++ b/spoolbarrow/lab/load.py
@@ -21,10 +21,10 @@
 from gevent.fileobject import FileObjectPosix
 from hdrh.histogram import HdrHistogram
 
-from spoolbarrow.lab.run_report import Record
 from spoolbarrow.lab.arrivals import PlannedRequest, draw_requests
 from spoolbarrow.lab.fleet import plan, stream
 from spoolbarrow.lab.kinds import draw
+from spoolbarrow.lab.run_report import Record
 from spoolbarrow.lab.scenario import Scenario
 from spoolbarrow.net import http1
 
--- a/spoolbarrow/lab/quorum.py
+++ b/spoolbarrow/lab/quorum.py
@@ -381,7 +381,11 @@
 
     def _ready(self) -> Ready:
         ready = super()._ready()
-        return ready if ready.hard_state is None else structs.replace(ready, hard_state=HardState(ready.hard_state.term, ""))
+        return (
+            ready
+            if ready.hard_state is None
+            else structs.replace(ready, hard_state=HardState(ready.hard_state.term, ""))
+        )
 
 
 class VotesTwice(Raft):
@@ -462,7 +466,9 @@
     """Takes part whatever others know of its later lives."""
 
     def _receive_known(self, known: Known) -> None:
-        super()._receive_known(structs.replace(known, life=min(known.life, self.incarnations.get(self.me, 0))))
+        super()._receive_known(
+            structs.replace(known, life=min(known.life, self.incarnations.get(self.me, 0)))
+        )
 
 
 class SureTooSoon(Raft):
--- a/spoolbarrow/lab/random_scenarios.py
+++ b/spoolbarrow/lab/random_scenarios.py
@@ -91,7 +91,9 @@
     }
 
 
-def random_scenario(seed: int, many: bool, routers: int, engines: int, load: float, length_s: float) -> Scenario:
+def random_scenario(
+    seed: int, many: bool, routers: int, engines: int, load: float, length_s: float
+) -> Scenario:
     """A deployment and its day: `load` is the share of what the engines bear."""
     rng = stream(seed, "site")
     shares = [rng.uniform(0.2, 0.5) for _ in range(KINDS)]
--- a/spoolbarrow/lab/simulate.py
+++ b/spoolbarrow/lab/simulate.py
@@ -13,10 +13,10 @@
 from time import perf_counter
 from typing import Any
 
-from spoolbarrow.lab.run_report import build_report
 from spoolbarrow.lab.directory import Directory
 from spoolbarrow.lab.fleet import Planned, plan, stream
 from spoolbarrow.lab.kinds import draw
+from spoolbarrow.lab.run_report import build_report
 from spoolbarrow.lab.scenario import Scenario
 from spoolbarrow.lab.simulated_clients import Callers
 from spoolbarrow.lab.simulated_engines import SAMPLE_MS, Machines
--- a/spoolbarrow/lab/simulated_clients.py
+++ b/spoolbarrow/lab/simulated_clients.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
-from spoolbarrow.lab.run_report import Record
 from spoolbarrow.lab.arrivals import PlannedRequest, draw_requests
 from spoolbarrow.lab.kinds import draw
+from spoolbarrow.lab.run_report import Record
 from spoolbarrow.lab.simulation_state import ROUTER_UP_DELAY_MS, Call, Node, SimulationContext
 
 
--- a/spoolbarrow/lab/simulated_engines.py
+++ b/spoolbarrow/lab/simulated_engines.py
@@ -11,10 +11,10 @@
 from typing import Any
 
 from spoolbarrow import interface as i
-from spoolbarrow.lab.run_report import Record, work_report
 from spoolbarrow.lab.arrivals import PlannedRequest
-from spoolbarrow.lab.engine import Engine, EventKind, SubmitResult, EngineRequest
+from spoolbarrow.lab.engine import Engine, EngineRequest, EventKind, SubmitResult
 from spoolbarrow.lab.fleet import Planned, Spec, fleet, moves
+from spoolbarrow.lab.run_report import Record, work_report
 from spoolbarrow.lab.simulation_state import Flight, Machine, Node, SimulationContext
 
 STALL_MS = 20_000.0  # a stream silent for so long is given up by its router
@@ -120,7 +120,9 @@
             self.sim.breaks("4: a cold engine fell over")
             self.crash(machine, machine.spec.figures.restart_ms)
         else:
-            self._after(flight, nodes.ended, i.Outcome.FULL if taken is SubmitResult.FULL else i.Outcome.ERROR)
+            self._after(
+                flight, nodes.ended, i.Outcome.FULL if taken is SubmitResult.FULL else i.Outcome.ERROR
+            )
 
     def _arm(self, machine: Machine) -> None:
         at = machine.engine.next_event_at()
--- a/spoolbarrow/lab/simulation_state.py
+++ b/spoolbarrow/lab/simulation_state.py
@@ -12,12 +12,12 @@
 from typing import Any, Protocol
 
 from spoolbarrow import interface as i
-from spoolbarrow.lab.run_report import Record
 from spoolbarrow.lab.arrivals import PlannedRequest
 from spoolbarrow.lab.directory import Directory, Told
 from spoolbarrow.lab.engine import Engine
 from spoolbarrow.lab.fleet import Planned, Spec
-from spoolbarrow.lab.policies import RoutingPolicy, EngineOracle
+from spoolbarrow.lab.policies import EngineOracle, RoutingPolicy
+from spoolbarrow.lab.run_report import Record
 from spoolbarrow.lab.scenario import Scenario
 from spoolbarrow.lab.virtual_time import Clock
 
--- a/spoolbarrow/lab/slow_start_exposure.py
+++ b/spoolbarrow/lab/slow_start_exposure.py
@@ -41,13 +41,17 @@
     busiest_factor: float = 1.0  # the first router's traffic, as a further multiple
     openings: int = 60  # beginnings that sessions share
     zipf: float = 0.9  # exponent of their popularity
-    hot_share: float = 0.0  # share of the requests that one more opening has, whose first home is a cold engine
+    hot_share: float = (
+        0.0  # share of the requests that one more opening has, whose first home is a cold engine
+    )
     work_sigma: float = 0.6  # of the logarithm of a request's work
     lead_ms: float = 2000.0  # for which routers have seen traffic before the start
     restarted_share: float = 0.0  # share of the routers that are killed, begun anew, or join in the ramp
     resumed_ms: float = 0.0  # traffic of so long that comes again at one moment: streams that were moved
     attempts: int = 1  # cold engines that a request is sent to, of those it may go to
-    notified_within_ms: float = 0.0  # within which routers are told of the start; till then they send as to warm ones
+    notified_within_ms: float = (
+        0.0  # within which routers are told of the start; till then they send as to warm ones
+    )
 
 
 USUAL = Traffic()
@@ -105,7 +109,11 @@
         return pool
 
     pools = [begun(after if traffic.notified_within_ms <= 0.0 else before) for _ in range(nodes)]
-    told_at = {n: START + traffic.notified_within_ms * rng.random() for n in range(nodes) if traffic.notified_within_ms > 0.0}
+    told_at = {
+        n: START + traffic.notified_within_ms * rng.random()
+        for n in range(nodes)
+        if traffic.notified_within_ms > 0.0
+    }
     again = {n: START + rule.cold_ms * rng.random() for n in range(ceil(traffic.restarted_share * nodes))}
     weights = [exp(rng.gauss(0.0, traffic.traffic_sigma)) for _ in pools]
     weights[0] *= traffic.busiest_factor
--- a/spoolbarrow/lab/sockets.py
+++ b/spoolbarrow/lab/sockets.py
@@ -15,11 +15,11 @@
 import msgspec
 from gevent import socket, subprocess
 
-from spoolbarrow.lab.run_report import build_report, work_report
 from spoolbarrow.lab.emulator import Emulator, planned_troubles
 from spoolbarrow.lab.fleet import ROUTERS, plan, stream
 from spoolbarrow.lab.kinds import draw
 from spoolbarrow.lab.load import LoadGenerator
+from spoolbarrow.lab.run_report import build_report, work_report
 from spoolbarrow.lab.scenario import Scenario
 from spoolbarrow.lab.simulation_state import ROUTER_UP_DELAY_MS
 from spoolbarrow.lab.wire import HOST
--- a/spoolbarrow/lab/theory.py
+++ b/spoolbarrow/lab/theory.py
@@ -10,9 +10,9 @@
 from random import Random
 from typing import NamedTuple
 
-from spoolbarrow.lab.engine import Engine, EventKind, SubmitResult, EngineRequest
-from spoolbarrow.lab.kinds import EngineParameters
+from spoolbarrow.lab.engine import Engine, EngineRequest, EventKind, SubmitResult
 from spoolbarrow.lab.kinds import EngineKind as EngineKind
+from spoolbarrow.lab.kinds import EngineParameters
 from spoolbarrow.lab.kinds import draw_engine as draw_figures
 
 BATCHES = 20
--- a/spoolbarrow/lab/wire.py
+++ b/spoolbarrow/lab/wire.py
@@ -20,7 +20,7 @@
 from gevent.event import Event
 from gevent.queue import Queue
 
-from spoolbarrow.lab.engine import Engine, EventKind, SubmitResult, EngineRequest
+from spoolbarrow.lab.engine import Engine, EngineRequest, EventKind, SubmitResult
 from spoolbarrow.lab.fleet import Planned, Spec, moves
 from spoolbarrow.net.http1 import Message, RequestParser
 
--- a/spoolbarrow/shadow/copier.py
+++ b/spoolbarrow/shadow/copier.py
@@ -410,7 +410,9 @@
         refused = sum(refused for _, refused in self._recent) / len(self._recent) if self._recent else 0.0
         unread = [tokens for _, tokens in self._unread.values()]
         mean = sum(unread) / len(unread) if unread else 0.0
-        return copy_controller.Pressure(lag_ms=lag_ms, refused_share=refused, unread_tokens=mean, **self._slow)
+        return copy_controller.Pressure(
+            lag_ms=lag_ms, refused_share=refused, unread_tokens=mean, **self._slow
+        )
 
     def _look(self, cpu_share: float) -> dict[str, float]:
         limits = self._host.config.limits
--- a/spoolbarrow/shadow/copy_controller.py
+++ b/spoolbarrow/shadow/copy_controller.py
@@ -13,7 +13,7 @@
 import xxhash
 from msgspec import Struct
 
-from spoolbarrow.shadow.limits import Allowance, CircuitBreaker, Circuit, Gcra, headroom
+from spoolbarrow.shadow.limits import Allowance, Circuit, CircuitBreaker, Gcra, headroom
 
 TICK_MS = 50.0
 TOKEN_BURST, REQUEST_BURST = 0.5, 0.25  # of the limits a second, see Gcra
--- a/spoolbarrow/store/raft.py
+++ b/spoolbarrow/store/raft.py
@@ -205,7 +205,9 @@
         self._out: list[Message] = []
         self._wait_anew()
         self.incarnations, self._saved_lives = dict(saved.incarnations), dict(saved.incarnations)
-        self.participating = self.stale = False  # whether it takes part; whether its file is known to be an older one
+        self.participating = self.stale = (
+            False  # whether it takes part; whether its file is known to be an older one
+        )
         self._mark = rng.getrandbits(32)
         self._begun_at, self._said_at = now, -1e18
         self._known: dict[str, Known] = {}
@@ -282,7 +284,9 @@
     def _tick(self) -> None:
         self._say_hello()
         if self.role is Role.LEADER:
-            heard = sum(self.now - peer.heard_at < self.settings.election_timeout_ms for peer in self.peers.values())
+            heard = sum(
+                self.now - peer.heard_at < self.settings.election_timeout_ms for peer in self.peers.values()
+            )
             if heard + 1 < self.quorum:
                 self._follow(self.term)  # it may be the one that is cut off: clients are to be told no
                 return
@@ -338,7 +342,9 @@
 
     def _asked(self, ask: Ask) -> None:
         if ask.pre:
-            granted = self.participating and ask.term > self.term and self._log_up_to_date(ask) and not self._led()
+            granted = (
+                self.participating and ask.term > self.term and self._log_up_to_date(ask) and not self._led()
+            )
             term = ask.term if granted else self.term
         else:
             if ask.term > self.term:
--- a/tests/test_admission_control.py
+++ b/tests/test_admission_control.py
@@ -9,23 +9,23 @@
 from hypothesis import strategies as st
 
 from spoolbarrow import interface as i
-from spoolbarrow.admission.reservations import ReservationCalendar
 from spoolbarrow.admission.capacity import CapacityEstimator
 from spoolbarrow.admission.clients import ClientAccounts, HeavyHitters, shared_wholly
 from spoolbarrow.admission.controller import (
-    Arrived,
-    RefusedByRouter,
     AdmissionController,
-    RequestEnded,
-    Event,
     Admit,
+    Arrived,
+    Event,
     FleetLoad,
-    Settings,
+    RefusedByRouter,
     Reject,
+    RequestEnded,
     SetTimer,
+    Settings,
     TimerFired,
 )  # fmt: skip
-from spoolbarrow.admission.gate import TIMER, Caller, AdmissionGate, Rejection, tenant_weights
+from spoolbarrow.admission.gate import TIMER, AdmissionGate, Caller, Rejection, tenant_weights
+from spoolbarrow.admission.reservations import ReservationCalendar
 from spoolbarrow.admission.retries import LEAST_DEPTH, RetryBudget, RetryDetector
 from spoolbarrow.admission.shares import FairShares, TenantShares
 from spoolbarrow.router import Router
@@ -440,7 +440,9 @@
 def test_what_is_over_leaves_nothing_behind() -> None:
     made = filled(door())
     names = list(made.inside)
-    made.handle(100.0, [*(RequestEnded(name, True, 40.0) for name in names), RequestEnded("unknown", True, 1.0)])
+    made.handle(
+        100.0, [*(RequestEnded(name, True, 40.0) for name in names), RequestEnded("unknown", True, 1.0)]
+    )
     assert not made.inside and made.under_way == 0.0 and made.cost < 1.0
     made.handle(2000.0, [FleetLoad(0.0)])
     assert made.capacity.rate > 0.0 and not made.shares.tenants.flows
--- a/tests/test_admission_service.py
+++ b/tests/test_admission_service.py
@@ -13,10 +13,10 @@
 from click.testing import CliRunner
 
 from spoolbarrow import config, operator
+from spoolbarrow.admission.gate import AdmissionGate, Caller
+from spoolbarrow.admission.service import TICKET, AdmissionService, Prepared
 from spoolbarrow.cli.door import command
 from spoolbarrow.config import ConfigError
-from spoolbarrow.admission.gate import Caller, AdmissionGate
-from spoolbarrow.admission.service import TICKET, AdmissionService, Prepared
 from spoolbarrow.interface import RequestArrived
 from spoolbarrow.operator import DoorTable
 from tests.router_harness import ask, make_config, running_router, serve_all, wait_until
--- a/tests/test_failover.py
+++ b/tests/test_failover.py
@@ -20,9 +20,9 @@
     zones_to_mask,
 )
 from spoolbarrow.lab import failover_policy
+from spoolbarrow.lab.failover_policy import FailoverRouter
 from spoolbarrow.lab.scenario import ScenarioError, convert
 from spoolbarrow.lab.simulate import Simulation
-from spoolbarrow.lab.failover_policy import FailoverRouter
 
 SETTINGS = Settings(regions={"west": ("a", "b"), "east": ("c",)})
 ZONES = {"a": 8, "b": 8, "c": 8}
@@ -351,7 +351,10 @@
         assert {zone for _, zone, state in changes if state is ZoneState.FAILED} == {"1"}
         detected_ms = next(now for now, _, state in changes if state is ZoneState.FAILED) - 4000.0
         check_ms = 1000.0 + SETTINGS.check_ms
-        assert detected_ms <= SETTINGS.window_ms + check_ms + SETTINGS.confirm_ms + 2 * failover_policy.UPDATE_PERIOD_MS
+        assert (
+            detected_ms
+            <= SETTINGS.window_ms + check_ms + SETTINGS.confirm_ms + 2 * failover_policy.UPDATE_PERIOD_MS
+        )
         assert [state for _, zone, state in changes if zone == "1"][-1] in (
             ZoneState.RETURNING,
             ZoneState.HEALTHY,
--- a/tests/test_fleet_harness.py
+++ b/tests/test_fleet_harness.py
@@ -20,9 +20,9 @@
 from spoolbarrow.lab import script
 from spoolbarrow.lab.cluster import Cluster, cluster
 from spoolbarrow.lab.cold import Cold, Figures
+from spoolbarrow.lab.line_commands import CommandFailed
 from spoolbarrow.lab.listing import HISTORY, Call, Queue, Versions
 from spoolbarrow.lab.loopback import address, router_at
-from spoolbarrow.lab.line_commands import CommandFailed
 from spoolbarrow.lab.process import Process
 
 LIFE_S, WAIT_S = 60.0, 20.0
--- a/tests/test_flows.py
+++ b/tests/test_flows.py
@@ -33,8 +33,15 @@
 from spoolbarrow.flows import collector as fc
 from spoolbarrow.flows import encode, meter
 from spoolbarrow.flows.decode import Decoded, FlowError, Message, Session
-from spoolbarrow.flows.elements import CONNECTION_TEMPLATE, NONE_MS, OUTCOMES, REQUEST_TEMPLATE, TEMPLATES, V9_CONNECTION
-from spoolbarrow.flows.encode import IPFIX, V9, Record, ExportStream, RecordWriter
+from spoolbarrow.flows.elements import (
+    CONNECTION_TEMPLATE,
+    NONE_MS,
+    OUTCOMES,
+    REQUEST_TEMPLATE,
+    TEMPLATES,
+    V9_CONNECTION,
+)
+from spoolbarrow.flows.encode import IPFIX, V9, ExportStream, Record, RecordWriter
 from spoolbarrow.flows.exporter import Exporter, Prepared
 from spoolbarrow.flows.queue import RecordQueue
 from spoolbarrow.flows.sender import Backoff, Unacknowledged
@@ -700,7 +707,9 @@
             router.kill()
             collector.kill()
             engine.close()
-    records = [r for path in kept.glob("*.ipfix.zst") for m in fc.read_ipfix_file(path, OWN) for r in m.records]
+    records = [
+        r for path in kept.glob("*.ipfix.zst") for m in fc.read_ipfix_file(path, OWN) for r in m.records
+    ]
     assert sum("routerRequestNumber" in record.values for record in records) == 1
 
 
--- a/tests/test_lab_engine.py
+++ b/tests/test_lab_engine.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
-from spoolbarrow.lab.engine import Engine, EngineEvent, EventKind, SubmitResult, EngineRequest
+from spoolbarrow.lab.engine import Engine, EngineEvent, EngineRequest, EventKind, SubmitResult
 from spoolbarrow.lab.kinds import EngineKind as EngineKind
 from spoolbarrow.lab.kinds import draw_engine
 from spoolbarrow.lab.theory import Queue, compare_with_theory, erlang_c
@@ -111,7 +111,9 @@
     model = engine()
     model.submit(0.0, EngineRequest("a", 100, 30))  # first token at 20 ms, then each 10 ms
     model.advance(21.0)
-    model.submit(47.0, EngineRequest("b", 100, 1))  # joins the step that begins at 50: 10 ms and 99 tokens' reading
+    model.submit(
+        47.0, EngineRequest("b", 100, 1)
+    )  # joins the step that begins at 50: 10 ms and 99 tokens' reading
     news = [h for h in drain(model) if h.id == "b"]
     assert news[0].at == pytest.approx(50.0 + 19.9 + 10.1)
 
--- a/tests/test_lab_experiment.py
+++ b/tests/test_lab_experiment.py
@@ -11,7 +11,7 @@
 from spoolbarrow.cli import run
 from spoolbarrow.lab import charts
 from spoolbarrow.lab.compare import compare
-from spoolbarrow.lab.experiment import ResultTable, jobs, run_job, run_experiment, read_experiment
+from spoolbarrow.lab.experiment import ResultTable, jobs, read_experiment, run_experiment, run_job
 from spoolbarrow.lab.scenario import ScenarioError
 
 SCENARIO = """
--- a/tests/test_lab_simulate.py
+++ b/tests/test_lab_simulate.py
@@ -8,9 +8,9 @@
 import orjson
 import pytest
 
-from spoolbarrow.lab.run_report import Record, worth
 from spoolbarrow.lab.arrivals import PlannedRequest
 from spoolbarrow.lab.policies import POLICIES
+from spoolbarrow.lab.run_report import Record, worth
 from spoolbarrow.lab.scenario import TROUBLES, ScenarioError, convert, load
 from spoolbarrow.lab.simulate import Simulation, simulate
 
--- a/tests/test_lab_sites.py
+++ b/tests/test_lab_sites.py
@@ -8,8 +8,8 @@
 
 from spoolbarrow.lab.arrivals import draw_requests
 from spoolbarrow.lab.fleet import fleet, stream
-from spoolbarrow.lab.simulate import simulate
 from spoolbarrow.lab.random_scenarios import capacity, random_scenario
+from spoolbarrow.lab.simulate import simulate
 
 
 @pytest.mark.parametrize("many", [False, True])
@@ -37,7 +37,9 @@
 
 def test_what_is_drawn_can_be_borne() -> None:
     """At a third of the load nearly all is served in time; at twice it, much is not."""
-    light, heavy = (simulate(random_scenario(5, True, 2, 6, load, 12.0), "spoolbarrow", 5) for load in (0.25, 2.0))
+    light, heavy = (
+        simulate(random_scenario(5, True, 2, 6, load, 12.0), "spoolbarrow", 5) for load in (0.25, 2.0)
+    )
     assert light["worth"] > 0.85 > 0.6 > heavy["worth"]
     assert 0.0 < light["read_anew_share"] < 1.0
     assert capacity(random_scenario(5, True, 2, 6, 0.25, 12.0), 5) > 0.0
--- a/tests/test_shadow.py
+++ b/tests/test_shadow.py
@@ -23,8 +23,8 @@
 from spoolbarrow.net.http1 import Message
 from spoolbarrow.operator import ShadowTable, ShareTable
 from spoolbarrow.shadow import copier as copier_module
-from spoolbarrow.shadow.copier import ENDING, Copier, Prepared, Writer
 from spoolbarrow.shadow.answer_recorder import AnswerRecorder, digest_chain
+from spoolbarrow.shadow.copier import ENDING, Copier, Prepared, Writer
 from spoolbarrow.spool import read_spool_file
 from tests.router_harness import (
     EVENTS,
--- a/tests/test_shadow_copy_controller.py
+++ b/tests/test_shadow_copy_controller.py
@@ -11,7 +11,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
 from spoolbarrow.shadow import copy_controller as d
-from spoolbarrow.shadow.limits import Allowance, CircuitBreaker, Circuit, Gcra, headroom
+from spoolbarrow.shadow.limits import Allowance, Circuit, CircuitBreaker, Gcra, headroom
 
 ALL = d.Limits(
     share=1.0,
--- a/tests/test_shadow_report.py
+++ b/tests/test_shadow_report.py
@@ -12,8 +12,8 @@
 
 from spoolbarrow.cli import main
 from spoolbarrow.shadow import compare as c
-from spoolbarrow.shadow.render import to_csv, to_html
 from spoolbarrow.shadow.answer_recorder import digest_chain
+from spoolbarrow.shadow.render import to_csv, to_html
 from spoolbarrow.spool import Spool
 
 KEY = b"k" * 16
