--- a/spoolbarrow/store/__init__.py
+++ b/spoolbarrow/store/__init__.py
@@ -1,1 +1,3 @@
-"""The replicated store: consensus first (`raft`), free of I/O and clock. Serving loads nothing of it."""
+"""Replicated store: Raft consensus (`raft`), free of I/O and clock, and its server. Serving imports none of
+it.
+"""
--- a/spoolbarrow/store/faults.py
+++ b/spoolbarrow/store/faults.py
@@ -1,4 +1,4 @@
-"""What a store member answers to a call that it does not carry out; free of I/O."""
+"""Errors that a store member returns for calls that it refuses or can't complete; no I/O."""
 
 from __future__ import annotations
 
@@ -8,21 +8,21 @@
 
 
 class StoreFault(Problem):
-    """A call to a store member is not carried out; `answer` is the status of HTTP."""
+    """A call to a store member was not carried out; `answer` is the HTTP status."""
 
     answer: ClassVar[int] = 400
     where = "the document's key, or the part of the call"
 
-    def __init__(self, place: str, what: str = "", **told: Any) -> None:
-        """`told` goes into the answer beside the error."""
+    def __init__(self, place: str, what: str = "", **details: Any) -> None:
+        """`details` are further fields of the response, beside the error."""
         super().__init__(place, what)
-        self.told = told
+        self.details = details
 
 
 class BadCall(StoreFault):
-    """A call to a store member can't be read."""
+    """A call to a store member is malformed."""
 
-    remedy = "Say it again as docs/operators/store.md has it, or by `spoolbarrow store`."
+    remedy = "Send the call as docs/operators/store.md describes it, or use `spoolbarrow store`."
 
 
 class BadDocument(StoreFault):
@@ -32,49 +32,49 @@
 
 
 class NoSuchPath(StoreFault):
-    """A store member has no call of this path."""
+    """A store member has no endpoint at this path."""
 
     answer = 404
-    remedy = "Look the path up in docs/operators/store.md."
+    remedy = "See docs/operators/store.md for the paths."
 
 
 class NoSuchKey(StoreFault):
-    """This store member has no document of this key."""
+    """This store member has no document with this key."""
 
     answer = 404
-    remedy = "See that the key is spelt as it was written; a member that was cut off may not have it yet."
+    remedy = "Check the spelling of the key; a member that was partitioned may not have the document yet."
 
 
 class WrongMethod(StoreFault):
-    """A document is asked for by another method than GET or PUT."""
+    """A document was requested by a method other than GET and PUT."""
 
     answer = 405
-    remedy = "Use GET to read and PUT to write: documents are not removed."
+    remedy = "Use GET to read and PUT to write: documents can't be removed."
 
 
 class Stopped(StoreFault):
-    """This store member's disk failed, and it takes no more part; nothing was done."""
+    """This store member's disk failed and it no longer participates; nothing was changed."""
 
     answer = 409
-    remedy = "Ask another member; make room for this one's file and start it again."
+    remedy = "Use another member; make room for this member's file and restart it."
 
 
 class NotLeading(StoreFault):
-    """Another store member leads, or none does yet; nothing was done."""
+    """Another store member is the leader, or there is none yet; nothing was changed."""
 
     answer = 409
-    remedy = "Ask the member that `leader` names, or all of them in turn (several `--at`)."
+    remedy = "Send the call to the member that `leader` names, or to all members in turn (several `--at`)."
 
 
 class Conflict(StoreFault):
-    """A document is at another revision than the change expects, or there are as many as are kept."""
+    """A document is not at the revision that the change expects, or the limit of keys is reached."""
 
     answer = 409
-    remedy = "Read the document again, make the change to that, and write it with the revision it has now."
+    remedy = "Read the document again, apply the change to it, and write it with its current revision."
 
 
 class Unknown(StoreFault):
-    """It is not known whether a change was written: it was not committed in time, or the disk failed."""
+    """It is unknown whether a change was written: it was not committed in time, or the disk failed."""
 
     answer = 503
-    remedy = "Read the document, or say the change again with the same `expect`: it is written once."
+    remedy = "Read the document, or repeat the change with the same `expect`: it is written only once."
--- a/spoolbarrow/store/state.py
+++ b/spoolbarrow/store/state.py
@@ -1,7 +1,7 @@
-"""What the log's entries make: documents by key, each with the revision that wrote it. Free of I/O and clock.
+"""The state machine behind the replicated log: documents by key, each with its revision. No I/O, no clock.
 
-A command names the revision that it expects the key to have, so that of two changes at once one is refused,
-and one said again changes nothing twice. Bounded in keys, and in the length of a key and a value.
+A command names the revision that it expects the key to have: of two concurrent changes one is refused, and a
+repeated change is applied once. The number of keys and the lengths of keys and values are bounded.
 """
 
 from __future__ import annotations
@@ -12,12 +12,12 @@
 from spoolbarrow.store.faults import BadDocument
 from spoolbarrow.store.raft import LogError
 
-MOST_KEYS = 10_000
-MOST_KEY, MOST_VALUE = 256, 262_144  # bytes
+MAX_KEYS = 10_000
+MAX_KEY_BYTES, MAX_VALUE_BYTES = 256, 262_144
 
 
 class Put(Struct, frozen=True):
-    """Write a document: `expect` is the revision it has now, 0 for none; negative for any."""
+    """Writes a document: `expect` is its current revision, 0 if there is none; negative accepts any."""
 
     id: str
     key: str
@@ -26,39 +26,39 @@
 
 
 class Document(Struct, frozen=True):
-    """A document and the revision that wrote it: its place in the log."""
+    """A document and its revision: the log index of the entry that wrote it."""
 
     value: bytes
     revision: int
 
 
 class Outcome(Struct, frozen=True):
-    """What came of a command: the document's revision; `why` where it was refused."""
+    """A command's result: the document's revision; `why` is the reason if it was refused."""
 
     revision: int
     why: str = ""
 
 
-def check(put: Put) -> None:
-    """BadDocument where a command must not be put into the log."""
-    if not put.key or len(put.key.encode()) > MOST_KEY:
-        raise BadDocument("key", f"wants 1 to {MOST_KEY} bytes")
-    if len(put.value) > MOST_VALUE:
-        raise BadDocument("value", f"more than {MOST_VALUE} bytes")
+def check_put(put: Put) -> None:
+    """Raise BadDocument if a command must not be put into the log."""
+    if not put.key or len(put.key.encode()) > MAX_KEY_BYTES:
+        raise BadDocument("key", f"wants 1 to {MAX_KEY_BYTES} bytes")
+    if len(put.value) > MAX_VALUE_BYTES:
+        raise BadDocument("value", f"more than {MAX_VALUE_BYTES} bytes")
 
 
-class State:
-    """The documents after some place of the log."""
+class StateMachine:
+    """The documents as of one index of the log."""
 
     def __init__(self, data: bytes = b"") -> None:
-        """As `write` wrote it; nothing: empty. LogError where it is neither."""
+        """Load the output of `encode`; no data gives an empty state. LogError if the data is malformed."""
         try:
             self.documents = msgspec.msgpack.decode(data, type=dict[str, Document]) if data else {}
         except msgspec.DecodeError as error:
-            raise LogError("", f"the snapshot is none: {error}") from error
+            raise LogError("", f"the snapshot is malformed: {error}") from error
 
     def apply(self, index: int, data: bytes) -> tuple[str, Outcome] | None:
-        """Carry out an entry: its command's id and what came of it; None for one that carries none."""
+        """Apply an entry; returns its command's id and outcome, or None for an entry without a command."""
         if not data:
             return None
         put = msgspec.msgpack.decode(data, type=Put)
@@ -66,11 +66,11 @@
         revision = 0 if old is None else old.revision
         if put.expect >= 0 and put.expect != revision:
             return put.id, Outcome(revision, f"{put.key}: at revision {revision}, not {put.expect}")
-        if old is None and len(self.documents) >= MOST_KEYS:
-            return put.id, Outcome(0, f"{put.key}: {MOST_KEYS} keys are kept")
+        if old is None and len(self.documents) >= MAX_KEYS:
+            return put.id, Outcome(0, f"{put.key}: {MAX_KEYS} keys are kept")
         self.documents[put.key] = Document(put.value, index)
         return put.id, Outcome(index)
 
-    def write(self) -> bytes:
-        """All of it, for a snapshot."""
+    def encode(self) -> bytes:
+        """All documents, encoded for a snapshot."""
         return msgspec.msgpack.encode(self.documents)
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -1,5 +1,8 @@
-"""Consensus: scripted dialogues that read like the paper's rules, histories under faults, and bugs put in on
-purpose, each of which one or the other must find."""
+"""Raft consensus and the state behind it: single rules, histories under injected faults, and mutants.
+
+Each rule check scripts the messages of one rule of the paper. Each mutant has one deliberate bug, which the
+rule checks must find; some must also be found by a history.
+"""
 
 from __future__ import annotations
 
@@ -32,13 +35,13 @@
     Snapshot,
     Vote,
 )
-from spoolbarrow.store.state import Document, Outcome, Put, State
+from spoolbarrow.store.state import Document, Outcome, Put, StateMachine
 
 MEMBERS = ["m0", "m1", "m2"]
 
 
 def member(make: type[Raft] = Raft, saved: Saved = Saved(), members: list[str] = MEMBERS) -> Raft:  # noqa: B008
-    """One that others know nothing against."""
+    """A participating member: no other member knows a later incarnation of it."""
     made = make("m0", members, 0.0, Random(1), saved, r.Settings())
     hellos: list[Any] = made.handle(0.0).messages
     for hello in hellos:
@@ -48,7 +51,7 @@
 
 
 def known(hello: Any, life: int, **told: Any) -> Known:
-    """What a member answers to one that begins."""
+    """A member's response to a Hello."""
     return Known(
         src=hello.dst,
         dst="m0",
@@ -73,7 +76,7 @@
 
 
 def lead(make: type[Raft], saved: Saved, members: list[str] = MEMBERS) -> tuple[Raft, float]:
-    """A member that others vote for: the leader of the next term."""
+    """A member that won the election of the next term."""
     made = member(make, saved, members)
     now = 700.0
     made.handle(now)
@@ -84,7 +87,7 @@
     return made, now
 
 
-def a_vote_outlives_its_process(make: type[Raft]) -> None:
+def vote_survives_restart(make: type[Raft]) -> None:
     ready = member(make).handle(1.0, ask("m1", 1))
     assert ready.messages == [Vote(src="m0", dst="m1", term=1, granted=True, life=1)]
     again = member(make, Saved(ready.hard_state or HardState()))
@@ -92,22 +95,22 @@
     assert isinstance(answer, Vote) and not answer.granted
 
 
-def one_vote_a_term(make: type[Raft]) -> None:
+def votes_once_per_term(make: type[Raft]) -> None:
     made = member(make)
     made.handle(1.0, ask("m1", 1))
     (answer,) = made.handle(2.0, ask("m2", 1)).messages
     assert isinstance(answer, Vote) and not answer.granted
 
 
-def no_vote_for_a_log_that_lacks_entries(make: type[Raft]) -> None:
+def denies_vote_to_incomplete_log(make: type[Raft]) -> None:
     saved = Saved(HardState(3, ""), Snapshot(), log(1, 3))
     for last in ((1, 9), (3, 1)):
         (answer,) = member(make, saved).handle(1.0, ask("m1", 4, last)).messages
         assert isinstance(answer, Vote) and not answer.granted
 
 
-def an_older_terms_entry_is_committed_only_behind_one_of_its_own(make: type[Raft]) -> None:
-    """Figure 8: an entry of term 2 lies on a majority in term 4, and may yet be replaced by one of term 3."""
+def commits_older_term_only_with_own_entry(make: type[Raft]) -> None:
+    """Figure 8: an entry of term 2 is on a majority in term 4, but one of term 3 may still replace it."""
     five = [*MEMBERS, "m3", "m4"]
     leader, now = lead(make, Saved(HardState(3, ""), Snapshot(), log(1, 2)), five)
     for name in ("m1", "m2"):
@@ -118,34 +121,34 @@
     assert leader.commit == 3
 
 
-def what_is_not_compared_is_not_committed(make: type[Raft]) -> None:
+def commits_only_matched_entries(make: type[Raft]) -> None:
     made = member(make, Saved(HardState(1, ""), Snapshot(), log(1, 1, 1)))
-    ready = made.handle(1.0, append(2, (1, 1), 3))  # what lies behind the first may be another leader's
+    ready = made.handle(1.0, append(2, (1, 1), 3))  # entries after the first may be another leader's
     assert [entry.index for entry in ready.committed] == [1]
 
 
-def entries_follow_what_the_leader_has(make: type[Raft]) -> None:
+def rejects_append_without_matching_entry(make: type[Raft]) -> None:
     made = member(make, Saved(HardState(1, ""), Snapshot(), log(1, 1)))
     (answer,) = made.handle(1.0, append(3, (2, 2), 0, Entry(3, 3))).messages
     assert answer == Appended(src="m0", dst="m1", term=3, index=1, ok=False, life=1) and made.last_index == 2
 
 
-def what_another_leader_wrote_gives_way(make: type[Raft]) -> None:
+def replaces_conflicting_entries(make: type[Raft]) -> None:
     made = member(make, Saved(HardState(1, ""), Snapshot(), log(1, 1, 1)))
     ready = made.handle(1.0, append(2, (1, 1), 0, Entry(2, 2, b"new")))
     assert (ready.truncate_from, ready.entries, made.last_index) == (2, (Entry(2, 2, b"new"),), 2)
-    late = made.handle(2.0, append(2, (0, 0), 0, Entry(1, 1, b"1")))  # overtaken: it takes nothing back
+    late = made.handle(2.0, append(2, (0, 0), 0, Entry(1, 1, b"1")))  # a late message removes no entries
     assert late.truncate_from is None and made.last_index == 2
 
 
-def a_majority_is_more_than_half(make: type[Raft]) -> None:
+def half_is_no_majority(make: type[Raft]) -> None:
     made = member(make, members=[*MEMBERS, "m3"])
     made.handle(700.0)
     made.handle(700.0, Vote(src="m1", dst="m0", term=1, granted=True, pre=True))
     assert made.role is Role.PRE_CANDIDATE
 
 
-def what_is_answered_for_is_saved(make: type[Raft]) -> None:
+def saves_acknowledged_entries(make: type[Raft]) -> None:
     made = member(make)
     saved: list[Entry] = []
     for index in range(1, 60):
@@ -155,27 +158,27 @@
         assert [entry.index for entry in saved] == list(range(1, index + 1))
 
 
-def what_a_member_had_before_it_began_with_an_older_file_is_not_counted(make: type[Raft]) -> None:
+def ignores_matches_of_stale_incarnation(make: type[Raft]) -> None:
     leader, now = lead(make, Saved(HardState(3, ""), Snapshot(), log(1, 2)), [*MEMBERS, "m3", "m4"])
 
-    def hear(src: str, index: int, ok: bool, life: int) -> int:
+    def receive(src: str, index: int, ok: bool, life: int) -> int:
         leader.handle(now, Appended(src=src, dst="m0", term=4, index=index, ok=ok, life=life))
         return leader.commit
 
-    assert hear("m1", 3, True, 7) == 0
-    assert hear("m1", 1, False, 0) == 0  # its log ends before what it had answered for
-    assert hear("m2", 3, True, 1) == 0  # the third of five, were m1 counted
-    assert hear("m1", 3, True, 0) == 0  # it has all again, and may not know yet what it voted
-    assert hear("m1", 3, True, 8) == 3
+    assert receive("m1", 3, True, 7) == 0
+    assert receive("m1", 1, False, 0) == 0  # its log ends before the entries it had acknowledged
+    assert receive("m2", 3, True, 1) == 0  # would be the third of five if m1 counted
+    assert receive("m1", 3, True, 0) == 0  # it has all entries again, but may lack its votes
+    assert receive("m1", 3, True, 8) == 3
 
 
-def who_began_with_an_older_file_takes_no_part_until_it_has_all(make: type[Raft]) -> None:
+def stale_member_waits_until_caught_up(make: type[Raft]) -> None:
     saved = Saved(HardState(1, ""), Snapshot(), log(1), {"m0": 1})
     made = make("m0", MEMBERS, 0.0, Random(1), saved, r.Settings())
     hello, other = made.handle(0.0).messages
     leads: Any = {"term": 2, "last_index": 3, "leads": True}
     assert made.handle(1.0, known(hello, 2, **leads)).stale_members == ("m0",)
-    made.handle(700.0, known(other, 1))  # whoever knows nothing of its later life
+    made.handle(700.0, known(other, 1))  # this member does not know its later incarnation
     (answer,) = (told for told in made.handle(701.0, ask("m2", 3, (9, 9))).messages if isinstance(told, Vote))
     assert not answer.granted and made.role is Role.FOLLOWER and made.stale
     made.handle(702.0, known(hello, 2, **{**leads, "term": 3}))
@@ -185,48 +188,48 @@
     assert made.participating and made.incarnations["m0"] == 3
 
 
-DIALOGUES = [
-    a_vote_outlives_its_process,
-    one_vote_a_term,
-    no_vote_for_a_log_that_lacks_entries,
-    an_older_terms_entry_is_committed_only_behind_one_of_its_own,
-    what_is_not_compared_is_not_committed,
-    entries_follow_what_the_leader_has,
-    what_another_leader_wrote_gives_way,
-    a_majority_is_more_than_half,
-    what_is_answered_for_is_saved,
-    what_a_member_had_before_it_began_with_an_older_file_is_not_counted,
-    who_began_with_an_older_file_takes_no_part_until_it_has_all,
+RULE_CHECKS = [
+    vote_survives_restart,
+    votes_once_per_term,
+    denies_vote_to_incomplete_log,
+    commits_older_term_only_with_own_entry,
+    commits_only_matched_entries,
+    rejects_append_without_matching_entry,
+    replaces_conflicting_entries,
+    half_is_no_majority,
+    saves_acknowledged_entries,
+    ignores_matches_of_stale_incarnation,
+    stale_member_waits_until_caught_up,
 ]
 
 
-@pytest.mark.parametrize("dialogue", DIALOGUES)
-def test_the_rules(dialogue: Any) -> None:
-    dialogue(Raft)
+@pytest.mark.parametrize("rule_check", RULE_CHECKS)
+def test_consensus_rule(rule_check: Any) -> None:
+    rule_check(Raft)
 
 
 @pytest.mark.parametrize("mutant", quorum.MUTANTS)
-def test_each_bug_put_in_on_purpose_is_found_by_a_dialogue(mutant: type[Raft]) -> None:
+def test_each_mutant_fails_a_rule_check(mutant: type[Raft]) -> None:
     found = []
-    for dialogue in DIALOGUES:
+    for rule_check in RULE_CHECKS:
         try:
-            dialogue(mutant)
+            rule_check(mutant)
         except AssertionError:
-            found.append(dialogue.__name__)
+            found.append(rule_check.__name__)
     assert found
 
 
-def test_who_hears_a_leader_votes_for_nobody_else_and_is_not_disturbed() -> None:
+def test_a_follower_of_a_live_leader_denies_votes_and_keeps_its_term() -> None:
     made = member()
     made.handle(1.0, append(1, (0, 0), 0))
     (answer,) = made.handle(100.0, ask("m2", 2, pre=True)).messages
     assert isinstance(answer, Vote) and not answer.granted
     assert made.handle(100.0, ask("m2", 9)).messages == [] and made.term == 1
-    (answer,) = made.handle(302.0, ask("m2", 2, pre=True)).messages  # the leader has been silent
+    (answer,) = made.handle(302.0, ask("m2", 2, pre=True)).messages  # the leader has been unresponsive
     assert isinstance(answer, Vote) and answer.granted and made.term == 1
 
 
-def test_a_leader_that_reaches_no_majority_stops_leading() -> None:
+def test_a_leader_without_a_majority_steps_down() -> None:
     leader, now = lead(Raft, Saved())
     assert leader.propose(now, b"x") is not None
     leader.handle(now + 299.0)
@@ -234,7 +237,7 @@
     assert leader.role is Role.FOLLOWER and leader.propose(now + 301.0, b"y") is None
 
 
-def test_a_member_that_lacks_what_is_no_longer_kept_gets_the_snapshot() -> None:
+def test_a_member_that_lacks_compacted_entries_gets_the_snapshot() -> None:
     leader, now = lead(Raft, Saved(HardState(1, ""), Snapshot(5, 1, b"state"), ()))
     (sent,) = leader.handle(now, Appended(src="m1", dst="m0", term=2, index=0, ok=False)).messages
     assert sent == Install(src="m0", dst="m1", term=2, snapshot=Snapshot(5, 1, b"state"))
@@ -247,7 +250,7 @@
         other.compact(6, b"more")
 
 
-def test_a_member_alone_commits_what_it_saves() -> None:
+def test_a_single_member_commits_what_it_saves() -> None:
     alone = member(members=["m0"])
     alone.handle(700.0)
     done = alone.propose(701.0, b"x")
@@ -256,7 +259,7 @@
     assert [e.data for e in ready.committed] == [b"x"] == [e.data for e in ready.entries]
 
 
-def test_messages_travel_as_json_or_msgpack() -> None:
+def test_messages_encode_as_json_and_msgpack() -> None:
     union = Ask | Vote | Append | Appended | Install | Hello | Known
     sent = append(2, (1, 1), 0, Entry(2, 2, b"\x00\xff"))
     assert msgspec.msgpack.decode(msgspec.msgpack.encode(sent), type=union) == sent
@@ -265,13 +268,13 @@
 
 @pytest.mark.parametrize("size", [3, 5])
 @pytest.mark.parametrize("seed", range(25))
-def test_histories_under_faults_keep_what_must_hold(seed: int, size: int) -> None:
+def test_histories_under_faults_keep_the_invariants(seed: int, size: int) -> None:
     assert survives(seed, size) == ""
 
 
 @pytest.mark.parametrize("aim", [quorum.LEADERS, quorum.OLDER])
 @pytest.mark.parametrize("seed", range(10))
-def test_histories_that_aim_at_leaders_and_older_files_keep_it_too(seed: int, aim: quorum.Aim) -> None:
+def test_histories_with_leader_faults_and_older_files_keep_the_invariants(seed: int, aim: quorum.Aim) -> None:
     assert [survives(seed, size, aim=aim) for size in (3, 5)] == ["", ""]
 
 
@@ -284,7 +287,7 @@
         (quorum.SureTooSoon, 57, 3, quorum.ANY),
     ],
 )
-def test_a_history_loses_what_was_committed_by_a_bug(
+def test_a_history_finds_a_mutant_that_loses_committed_entries(
     mutant: type[Raft], seed: int, size: int, aim: quorum.Aim
 ) -> None:
     found = survives(seed, size, mutant, aim)
@@ -296,7 +299,7 @@
     "saved",
     [Saved(entries=log(1, 1)[1:]), Saved(HardState(), Snapshot(3, 1), log(1))],
 )
-def test_what_is_no_log_is_not_begun_from(saved: Saved) -> None:
+def test_an_invalid_saved_log_is_rejected(saved: Saved) -> None:
     with pytest.raises(ValueError, match="follow the snapshot"):
         member(saved=saved)
     with pytest.raises(ValueError, match="one of the members"):
@@ -306,14 +309,14 @@
 # The disk
 
 
-def begun(path: Path) -> Disk:
+def new_disk(path: Path) -> Disk:
     disk = Disk(path, "m0")
     disk.save(r.Ready(hard_state=HardState(3, "m1"), entries=log(1, 2, 3)))
     return disk
 
 
-def test_what_is_saved_is_there_again(tmp_path: Path) -> None:
-    disk = begun(tmp_path / "m0")
+def test_saved_state_is_loaded_again(tmp_path: Path) -> None:
+    disk = new_disk(tmp_path / "m0")
     disk.save(r.Ready(truncate_from=3, entries=(Entry(3, 4, b"new"),)))
     disk.save(r.Ready(snapshot=Snapshot(2, 2, b"state")))
     disk.close()
@@ -322,20 +325,20 @@
     again.close()
 
 
-def test_a_full_disk_is_told_and_keeps_what_was_saved(tmp_path: Path) -> None:
-    disk = begun(tmp_path / "m0")
-    disk.allow(6)
+def test_a_full_disk_raises_and_keeps_saved_state(tmp_path: Path) -> None:
+    disk = new_disk(tmp_path / "m0")
+    disk.limit_pages(6)
     with pytest.raises(DiskError, match="full"):
         for index in range(4, 4000):
             disk.save(r.Ready(hard_state=HardState(index, ""), entries=(Entry(index, 3, b"x" * 900),)))
     saved = disk.load()
     last = saved.entries[-1].index
-    assert saved.hard_state.term == (last if last > 3 else 3)  # each save is there whole or not at all
+    assert saved.hard_state.term == (last if last > 3 else 3)  # each save is complete or absent
     disk.close()
 
 
-def test_a_file_that_is_foreign_or_damaged_is_refused(tmp_path: Path) -> None:
-    disk = begun(tmp_path / "m0")
+def test_foreign_and_damaged_files_are_refused(tmp_path: Path) -> None:
+    disk = new_disk(tmp_path / "m0")
     for index in range(4, 200):
         disk.save(r.Ready(entries=(Entry(index, 3, b"x" * 900),)))
     disk.close()
@@ -361,20 +364,23 @@
             Disk(tmp_path / name, "m0").load()
 
 
-# What entries make
+# The state machine
 
 
-def test_of_commands_that_expect_the_same_revision_one_is_carried_out() -> None:
-    made = State()
+def test_only_one_of_two_commands_expecting_the_same_revision_is_applied() -> None:
+    made = StateMachine()
     encode = msgspec.msgpack.encode
     assert made.apply(1, b"") is None
     assert made.apply(2, encode(Put("a", "key", b"one", 0))) == ("a", Outcome(2))
     told = made.apply(3, encode(Put("b", "key", b"two", 0)))
     assert told is not None and told[1].revision == 2 and "not 0" in told[1].why
     assert made.apply(4, encode(Put("c", "key", b"three"))) == ("c", Outcome(4))
-    assert State(made.write()).documents == made.documents == {"key": Document(b"three", 4)}
-    state.check(Put("d", "k", b"v"))
-    for put, place in ((Put("d", "", b""), "key"), (Put("d", "k", b"v" * (state.MOST_VALUE + 1)), "value")):
+    assert StateMachine(made.encode()).documents == made.documents == {"key": Document(b"three", 4)}
+    state.check_put(Put("d", "k", b"v"))
+    for put, place in (
+        (Put("d", "", b""), "key"),
+        (Put("d", "k", b"v" * (state.MAX_VALUE_BYTES + 1)), "value"),
+    ):
         with pytest.raises(BadDocument) as fault:
-            state.check(put)
+            state.check_put(put)
         assert fault.value.place == place
