--- a/spoolbarrow/flows/analysis.py
+++ b/spoolbarrow/flows/analysis.py
@@ -1,4 +1,4 @@
-"""What is read out of flow records: rows with names, ranks over a span, differences from the log. Pure."""
+"""Analyses flow records: rows with names, rankings over a time span, differences from the log. Pure."""
 
 from __future__ import annotations
 
@@ -7,38 +7,47 @@
 from typing import Any, NamedTuple
 
 from spoolbarrow.flows.decode import Message
-from spoolbarrow.flows.elements import CONNECTION_TEMPLATE, END_REASONS, NAMED, NONE_MS, OUTCOMES, REQUEST_TEMPLATE
+from spoolbarrow.flows.elements import (
+    CONNECTION_TEMPLATE,
+    END_REASONS,
+    NAMED_KINDS,
+    NO_EVENT_MS,
+    OUTCOMES,
+    REQUEST_TEMPLATE,
+)
 
 Row = dict[str, Any]
 ROW_KINDS = (CONNECTION_TEMPLATE.name, REQUEST_TEMPLATE.name)
 RANK_KEYS = ("tenant", "class", "engine", "address")
-SKEW_MS = 5000.0  # a log's line and a record of the same request are not further apart
-TOLERANCE_MS = 1  # each side rounds for itself
+MAX_SKEW_MS = 5000.0  # at most, between a log line and the record of the same request
+TOLERANCE_MS = 1  # both sides round
 
 
 class NameTable:
-    """What exporters call the numbers in their records, by exporter and domain."""
+    """Names of the numbers in flow records, by exporter and observation domain."""
 
     def __init__(self) -> None:
         self._names: dict[tuple[str, int, int, int], str] = {}
 
     def learn(self, exporter: str, domain: int, values: Row) -> None:
-        """One record of the names template."""
+        """Store the name in a record of the name template."""
         kind, index = values["routerNamedKind"], values["routerNamedIndex"]
         self._names[exporter, domain, kind, index] = values["routerName"]
 
     def find(self, exporter: str, domain: int, kind: str, index: int) -> str:
-        """A name, or the number where none was told."""
-        return self._names.get((exporter, domain, NAMED.index(kind), index), f"#{index}" if index else "")
+        """A name, or the number if its name is unknown."""
+        return self._names.get(
+            (exporter, domain, NAMED_KINDS.index(kind), index), f"#{index}" if index else ""
+        )
 
 
-def flow_rows(told: Iterable[tuple[str, Message]], names: NameTable | None = None) -> Iterator[Row]:
-    """A row for each connection and request record, in their order."""
+def flow_rows(messages: Iterable[tuple[str, Message]], names: NameTable | None = None) -> Iterator[Row]:
+    """One row for each connection and request record, in their order."""
     names = names or NameTable()
-    for exporter, message in told:
+    for exporter, message in messages:
         for record in message.records:
             values, domain = record.values, message.domain
-            # By what it holds, not by number: another exporter may number its templates otherwise.
+            # By fields, not by template number: other exporters may number templates differently.
             if "routerName" in values:
                 names.learn(exporter, domain, values)
             elif "routerRequestNumber" in values:
@@ -70,7 +79,7 @@
 
 def _request(exporter: str, domain: int, v: Row, names: NameTable) -> Row:
     def named(kind: str, element: str) -> str:
-        # A class's or a tenant's number may be 0; an engine's is none then.
+        # 0 is a valid number of a class or a tenant; for an engine, it means none.
         index = v[element]
         return names.find(exporter, domain, kind, index) or ("#0" if kind != "engine" else "")
 
@@ -90,14 +99,14 @@
         "engine_flow": v["routerEngineFlowId"],
         "attempts": v["routerAttemptCount"],
         "outcome": OUTCOMES[outcome] if outcome < len(OUTCOMES) else f"#{outcome}",
-        "first_ms": None if first == NONE_MS else first,
+        "first_ms": None if first == NO_EVENT_MS else first,
         "whole_ms": v["routerWholeMilliseconds"],
         "answer_octets": v["routerAnswerOctetCount"],
     }
 
 
 class Rank(NamedTuple):
-    """One line of `top`."""
+    """One line of the command `flows top`."""
 
     name: str
     requests: int
@@ -108,29 +117,31 @@
     first_ms: float | None  # mean time to the first event
 
 
-def rank_flows(found: Iterable[Row], by: str, start_ms: float = 0.0, end_ms: float = float("inf")) -> list[Rank]:
-    """Who had most, over a span of ends of flows: by tenant, class, engine or client's address."""
+def rank_flows(
+    rows: Iterable[Row], by: str, start_ms: float = 0.0, end_ms: float = float("inf")
+) -> list[Rank]:
+    """Ranks of the flows that ended in a time span, by tenant, class, engine or client address."""
     tables: dict[str, list[Row]] = defaultdict(list)
-    for row in found:
+    for row in rows:
         if not start_ms <= row["end_ms"] <= end_ms:
             continue
-        name = _key(row, by)
+        name = _rank_name(row, by)
         if name:
             tables[name].append(row)
-    ranks = [_rank(name, some) for name, some in tables.items()]
+    ranks = [_rank(name, group) for name, group in tables.items()]
     return sorted(ranks, key=lambda rank: (-rank.octets, -rank.requests, rank.name))
 
 
-def _key(row: Row, by: str) -> str:
+def _rank_name(row: Row, by: str) -> str:
     if by == "address":
         return row["source"].rpartition(":")[0] if row.get("side") == "client" else ""
     return str(row.get(by, ""))
 
 
-def _rank(name: str, some: list[Row]) -> Rank:
-    requests = [row for row in some if row["kind"] == "request"]
-    connections = [row for row in some if row["kind"] == "connection"]
-    firsts = [row["first_ms"] for row in requests if row["first_ms"] is not None]
+def _rank(name: str, rows: list[Row]) -> Rank:
+    requests = [row for row in rows if row["kind"] == "request"]
+    connections = [row for row in rows if row["kind"] == "connection"]
+    first_event_ms = [row["first_ms"] for row in requests if row["first_ms"] is not None]
     octets = sum(row["octets"] + row["octets_back"] for row in connections)
     return Rank(
         name,
@@ -139,31 +150,31 @@
         len({row["flow"] for row in connections}),
         octets or sum(row["answer_octets"] for row in requests),
         sum(row["packets"] + row["packets_back"] for row in connections),
-        sum(firsts) / len(firsts) if firsts else None,
+        sum(first_event_ms) / len(first_event_ms) if first_event_ms else None,
     )
 
 
-def differences_from_log(found: Iterable[Row], log: Iterable[Row]) -> Iterator[str]:
-    """Each difference between request records and the router's own log, by the request's number.
+def differences_from_log(rows: Iterable[Row], log_lines: Iterable[Row]) -> Iterator[str]:
+    """The differences between request records and the router's own log, by request number.
 
-    A log of a restarted router uses numbers again: of several, the nearest in time is meant.
+    A restarted router reuses numbers: among several records, the nearest in time is compared.
     """
     records: dict[int, list[Row]] = defaultdict(list)
-    for row in found:
+    for row in rows:
         if row["kind"] == "request":
             records[row["request"]].append(row)
-    for line in log:
+    for line in log_lines:
         if line.get("event") != "request":
             continue
         number, at = int(line["request"]), line["time"] * 1000.0
-        near = min(records[number], key=lambda row: abs(row["end_ms"] - at), default=None)
-        if near is None or abs(near["end_ms"] - at) > SKEW_MS:
+        nearest = min(records[number], key=lambda row: abs(row["end_ms"] - at), default=None)
+        if nearest is None or abs(nearest["end_ms"] - at) > MAX_SKEW_MS:
             yield f"request {number}: in the log, not among the flows"
             continue
-        records[number].remove(near)
-        yield from (f"request {number}: {text}" for text in _differences(near, line))
-    for number, rest in sorted(records.items()):
-        for _ in rest:
+        records[number].remove(nearest)
+        yield from (f"request {number}: {text}" for text in _differences(nearest, line))
+    for number, unmatched in sorted(records.items()):
+        for _ in unmatched:
             yield f"request {number}: among the flows, not in the log"
 
 
@@ -177,12 +188,14 @@
         ("attempts", row["attempts"], min(len(attempts), 255)),
         ("engine", row["engine"], stream.get("endpoint", "")),
     )
-    for name, ours, theirs in exact:
-        if ours != theirs:
-            yield f"{name} is {ours!r} in the flows, {theirs!r} in the log"
-    for name, ours, theirs in (
+    for name, exported, logged in exact:
+        if exported != logged:
+            yield f"{name} is {exported!r} in the flows, {logged!r} in the log"
+    for name, exported, logged in (
         ("whole_ms", row["whole_ms"], line["ms"]),
         ("first_ms", row["first_ms"], stream.get("first")),
     ):
-        if (ours is None) != (theirs is None) or (ours is not None and abs(ours - theirs) > TOLERANCE_MS):
-            yield f"{name} is {ours} in the flows, {theirs} in the log"
+        if (exported is None) != (logged is None) or (
+            exported is not None and abs(exported - logged) > TOLERANCE_MS
+        ):
+            yield f"{name} is {exported} in the flows, {logged} in the log"
--- a/spoolbarrow/flows/elements.py
+++ b/spoolbarrow/flows/elements.py
@@ -1,7 +1,7 @@
-"""Information elements and templates: what each field of a record is called, means and looks like.
+"""Information elements and templates: the name, number and data type of each field of a flow record.
 
-Owns the numbers. Those without an enterprise are IANA's (RFC 7012 and its registry); reverse ones carry the
-number of RFC 5103; the program's own live under the enterprise number that the operator configures.
+Elements without an enterprise number are IANA's (RFC 7012 and its registry); reverse elements have the number
+of RFC 5103; the program's own elements use the enterprise number that the operator configures.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 from typing import NamedTuple
 
 REVERSE = 29_305  # RFC 5103, section 6.1: the enterprise number of reverse elements
-OWN = 0xFFFFFFFF  # stands for the configured enterprise number until a template is written
+OWN_ENTERPRISE = 0xFFFFFFFF  # placeholder for the configured enterprise number
 VARIABLE = 0xFFFF  # length of a variable-length field in a template (RFC 7011, section 3.2)
 
 
@@ -38,7 +38,7 @@
 
 
 class Units(IntEnum):
-    """What values count (RFC 5610, section 3.3)."""
+    """The units of values (RFC 5610, section 3.3)."""
 
     NONE = 0
     OCTETS = 2
@@ -71,17 +71,17 @@
 
     @property
     def size(self) -> int:
-        """Octets of a value; VARIABLE where its length goes with it."""
+        """Octets of a value; VARIABLE if its length is encoded with it."""
         return SIZES[self.kind]
 
     def reverse(self) -> Element:
-        """The same of the other direction (RFC 5103)."""
+        """The element for the other direction (RFC 5103)."""
         name = f"reverse{self.name[0].upper()}{self.name[1:]}"
         return self._replace(name=name, enterprise=REVERSE)
 
 
 class Template(NamedTuple):
-    """A form of records; the first `scope` fields say what an options record is about (0: data)."""
+    """A record format; the first `scope` fields are the scope of an options record (0: a data record)."""
 
     number: int
     name: str
@@ -127,23 +127,25 @@
 PAYLOAD = Element("transportOctetDeltaCount", 401, U64, 0, _DELTA, Units.OCTETS)
 PAYLOAD_PACKETS = Element("transportPacketDeltaCount", 402, U64, 0, _DELTA, Units.PACKETS)
 
-# The program's own, in the order of their numbers; RFC 5610 records tell collectors what they are.
-SIDE = Element("routerConnectionSide", 1, U8, OWN, _ID)  # 0 a client opened it, 1 the router
-ENGINE = Element("routerEngineIndex", 2, U32, OWN, _ID)  # named by options data; 0: none
-RESENT = Element("routerResentPacketDeltaCount", 3, U64, OWN, _DELTA, Units.PACKETS)  # by the router
-ROUND_TRIP = Element("routerRoundTripMicroseconds", 4, U32, OWN, _QUANTITY, Units.MICROSECONDS)
-REQUEST = Element("routerRequestNumber", 5, U64, OWN, _ID)
-CLASS = Element("routerClassIndex", 6, U16, OWN, _ID)
-TENANT = Element("routerTenantIndex", 7, U16, OWN, _ID)
-ENGINE_FLOW = Element("routerEngineFlowId", 8, U64, OWN, _ID)  # the engine connection; 0: none
-ATTEMPTS = Element("routerAttemptCount", 9, U8, OWN, _QUANTITY)
-OUTCOME = Element("routerOutcome", 10, U8, OWN, _ID)  # OUTCOMES
-FIRST_EVENT = Element("routerFirstEventMilliseconds", 11, U32, OWN, _QUANTITY, Units.MILLISECONDS)
-WHOLE = Element("routerWholeMilliseconds", 12, U32, OWN, _QUANTITY, Units.MILLISECONDS)
-ANSWER_OCTETS = Element("routerAnswerOctetCount", 13, U64, OWN, _QUANTITY, Units.OCTETS)
-NAMED_KIND = Element("routerNamedKind", 14, U8, OWN, _ID)  # NAMED
-NAMED_INDEX = Element("routerNamedIndex", 15, U32, OWN, _ID)
-NAME = Element("routerName", 16, Kind.STRING, OWN)
+# The program's own, in the order of their numbers; RFC 5610 records describe them to collectors.
+SIDE = Element("routerConnectionSide", 1, U8, OWN_ENTERPRISE, _ID)  # opened by 0: a client, 1: the router
+ENGINE = Element("routerEngineIndex", 2, U32, OWN_ENTERPRISE, _ID)  # options data has its name; 0: none
+RESENT = Element(
+    "routerResentPacketDeltaCount", 3, U64, OWN_ENTERPRISE, _DELTA, Units.PACKETS
+)  # resent by the router
+ROUND_TRIP = Element("routerRoundTripMicroseconds", 4, U32, OWN_ENTERPRISE, _QUANTITY, Units.MICROSECONDS)
+REQUEST = Element("routerRequestNumber", 5, U64, OWN_ENTERPRISE, _ID)
+CLASS = Element("routerClassIndex", 6, U16, OWN_ENTERPRISE, _ID)
+TENANT = Element("routerTenantIndex", 7, U16, OWN_ENTERPRISE, _ID)
+ENGINE_FLOW = Element("routerEngineFlowId", 8, U64, OWN_ENTERPRISE, _ID)  # the engine connection; 0: none
+ATTEMPTS = Element("routerAttemptCount", 9, U8, OWN_ENTERPRISE, _QUANTITY)
+OUTCOME = Element("routerOutcome", 10, U8, OWN_ENTERPRISE, _ID)  # OUTCOMES
+FIRST_EVENT = Element("routerFirstEventMilliseconds", 11, U32, OWN_ENTERPRISE, _QUANTITY, Units.MILLISECONDS)
+WHOLE = Element("routerWholeMilliseconds", 12, U32, OWN_ENTERPRISE, _QUANTITY, Units.MILLISECONDS)
+ANSWER_OCTETS = Element("routerAnswerOctetCount", 13, U64, OWN_ENTERPRISE, _QUANTITY, Units.OCTETS)
+NAMED_KIND = Element("routerNamedKind", 14, U8, OWN_ENTERPRISE, _ID)  # NAMED_KINDS
+NAMED_INDEX = Element("routerNamedIndex", 15, U32, OWN_ENTERPRISE, _ID)
+NAME = Element("routerName", 16, Kind.STRING, OWN_ENTERPRISE)
 OWN_ELEMENTS = (
     SIDE,
     ENGINE,
@@ -162,9 +164,9 @@
     NAMED_INDEX,
     NAME,
 )
-NONE_MS = 0xFFFFFFFF  # of FIRST_EVENT: no event came
+NO_EVENT_MS = 0xFFFFFFFF  # of FIRST_EVENT: no event came
 OUTCOMES = ("", "served", "fail_fast", "failed", "rejected", "broken", "moved", "left")
-NAMED = ("class", "tenant", "engine")
+NAMED_KINDS = ("class", "tenant", "engine")
 END_REASONS = {1: "idle", 2: "active", 3: "ended", 4: "forced", 5: "resources"}  # flowEndReason (RFC 5102)
 
 _TWO_WAY = (OCTETS, PACKETS, PAYLOAD, PAYLOAD_PACKETS)
@@ -209,8 +211,8 @@
         ANSWER_OCTETS,
     ),
 )
-NAMES = Template(258, "name", (NAMED_KIND, NAMED_INDEX, NAME), 2)
-STATISTICS = Template(
+NAME_TEMPLATE = Template(258, "name", (NAMED_KIND, NAMED_INDEX, NAME), 2)
+STATISTICS_TEMPLATE = Template(
     259,
     "statistics",
     (  # RFC 7011, sections 4.1 and 4.3
@@ -224,7 +226,7 @@
     ),
     1,
 )
-TYPES = Template(
+TYPE_TEMPLATE = Template(
     260,
     "type",
     (  # RFC 5610, section 3.9
@@ -237,12 +239,19 @@
     ),
     2,
 )
-SAMPLING = Template(261, "sampling", (DOMAIN, SELECTOR_ALGORITHM, SAMPLING_PROBABILITY), 1)
-TEMPLATES = (CONNECTION_TEMPLATE, REQUEST_TEMPLATE, NAMES, STATISTICS, TYPES, SAMPLING)
+SAMPLING_TEMPLATE = Template(261, "sampling", (DOMAIN, SELECTOR_ALGORITHM, SAMPLING_PROBABILITY), 1)
+TEMPLATES = (
+    CONNECTION_TEMPLATE,
+    REQUEST_TEMPLATE,
+    NAME_TEMPLATE,
+    STATISTICS_TEMPLATE,
+    TYPE_TEMPLATE,
+    SAMPLING_TEMPLATE,
+)
 HASH_FILTERING = 6  # selectorAlgorithm: hash-based (RFC 5477, section 8.2.2)
 
-# NetFlow v9 has no enterprise elements (RFC 3954): it carries connections, and no requests or names.
-V9_CONNECTION = Template(
+# NetFlow v9 has no enterprise elements (RFC 3954), so it exports connections but no requests or names.
+V9_CONNECTION_TEMPLATE = Template(
     256,
     "connection",
     (
@@ -261,9 +270,9 @@
         END_REASON,
     ),
 )
-V9_TEMPLATES = (V9_CONNECTION,)
+V9_TEMPLATES = (V9_CONNECTION_TEMPLATE,)
 
 _STANDARD = (*(e for e in globals().copy().values() if isinstance(e, Element) and e.enterprise == 0),)
 BY_NUMBER: dict[tuple[int, int], Element] = {(0, e.number): e for e in _STANDARD}
 BY_NUMBER |= {(REVERSE, e.number): e.reverse() for e in _STANDARD}
-BY_NUMBER |= {(OWN, e.number): e for e in OWN_ELEMENTS}
+BY_NUMBER |= {(OWN_ENTERPRISE, e.number): e for e in OWN_ELEMENTS}
--- a/spoolbarrow/flows/queue.py
+++ b/spoolbarrow/flows/queue.py
@@ -1,4 +1,4 @@
-"""Records that wait for one collector: bounded in number and bytes, the oldest dropped and counted. Pure."""
+"""Queue of records for one collector, bounded in number and bytes; drops and counts the oldest. Pure."""
 
 from __future__ import annotations
 
@@ -8,57 +8,57 @@
 
 from spoolbarrow.flows.encode import Record
 
-OVERHEAD = 120  # bytes that a record takes in memory beside its data: its tuple, its place in the queue
+RECORD_OVERHEAD_BYTES = 120  # memory besides its data: its tuple and its queue slot
 
 
 class RecordQueue:
-    """First in, first out; over its bounds the oldest goes, since newer records are worth more."""
+    """First in, first out; over its bounds it drops the oldest record, since newer ones are worth more."""
 
-    def __init__(self, most_records: int, most_bytes: int) -> None:
-        self._most_records, self._most_bytes = most_records, most_bytes
+    def __init__(self, max_records: int, max_bytes: int) -> None:
+        self._max_records, self._max_bytes = max_records, max_bytes
         self._records: deque[Record] = deque()
         self.bytes = 0
-        self.dropped = self.dropped_packets = self.dropped_octets = 0  # in all
+        self.dropped = self.dropped_packets = self.dropped_octets = 0  # totals
 
     def __len__(self) -> int:
-        """Records that wait."""
+        """The number of queued records."""
         return len(self._records)
 
-    def resize(self, most_records: int, most_bytes: int) -> None:
-        """Go by other bounds."""
-        self._most_records, self._most_bytes = most_records, most_bytes
-        self._bound()
+    def resize(self, max_records: int, max_bytes: int) -> None:
+        """Apply new bounds."""
+        self._max_records, self._max_bytes = max_records, max_bytes
+        self._drop_excess()
 
     def add(self, record: Record) -> None:
-        """Take one more."""
+        """Append a record."""
         self._records.append(record)
-        self.bytes += len(record.data) + OVERHEAD
-        self._bound()
+        self.bytes += len(record.data) + RECORD_OVERHEAD_BYTES
+        self._drop_excess()
 
-    def first(self, most: int) -> list[Record]:
-        """The oldest ones, which stay."""
-        return list(islice(self._records, most))
+    def first(self, count: int) -> list[Record]:
+        """The oldest records, without removing them."""
+        return list(islice(self._records, count))
 
     def take(self, number: int) -> list[Record]:
-        """The oldest ones, which go."""
+        """Remove and return the oldest records."""
         taken = [self._records.popleft() for _ in range(min(number, len(self._records)))]
-        self.bytes -= sum(len(record.data) + OVERHEAD for record in taken)
+        self.bytes -= sum(len(record.data) + RECORD_OVERHEAD_BYTES for record in taken)
         return taken
 
     def put_back(self, records: Iterable[Record]) -> None:
-        """Records that were taken and did not arrive: in front again, in their order."""
+        """Put records that were taken and not delivered back to the front, in their order."""
         for record in reversed(list(records)):
             self._records.appendleft(record)
-            self.bytes += len(record.data) + OVERHEAD
-        self._bound()
+            self.bytes += len(record.data) + RECORD_OVERHEAD_BYTES
+        self._drop_excess()
 
-    def lose(self, records: Iterable[Record]) -> None:
-        """Count records that were taken and will never arrive."""
+    def count_dropped(self, records: Iterable[Record]) -> None:
+        """Count records that were taken and will not be delivered."""
         for record in records:
             self.dropped += 1
             self.dropped_packets += record.packets
             self.dropped_octets += record.octets
 
-    def _bound(self) -> None:
-        while len(self._records) > self._most_records or self.bytes > self._most_bytes:
-            self.lose(self.take(1))
+    def _drop_excess(self) -> None:
+        while len(self._records) > self._max_records or self.bytes > self._max_bytes:
+            self.count_dropped(self.take(1))
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -50,14 +50,14 @@
     return made
 
 
-def known(hello: Any, life: int, **told: Any) -> Known:
+def known(hello: Any, life: int, **fields: Any) -> Known:
     """A member's response to a Hello."""
     return Known(
         src=hello.dst,
         dst="m0",
         life=life,
         mark=hello.mark,
-        **{"term": 0, "last_index": 0, "leads": False, "sure": True, **told},
+        **{"term": 0, "last_index": 0, "leads": False, "sure": True, **fields},
     )
 
 
@@ -179,7 +179,7 @@
     leads: Any = {"term": 2, "last_index": 3, "leads": True}
     assert made.handle(1.0, known(hello, 2, **leads)).stale_members == ("m0",)
     made.handle(700.0, known(other, 1))  # this member does not know its later incarnation
-    (answer,) = (told for told in made.handle(701.0, ask("m2", 3, (9, 9))).messages if isinstance(told, Vote))
+    (answer,) = (sent for sent in made.handle(701.0, ask("m2", 3, (9, 9))).messages if isinstance(sent, Vote))
     assert not answer.granted and made.role is Role.FOLLOWER and made.stale
     made.handle(702.0, known(hello, 2, **{**leads, "term": 3}))
     for entry in (Entry(2, 3), Entry(3, 3)):
@@ -372,8 +372,8 @@
     encode = msgspec.msgpack.encode
     assert made.apply(1, b"") is None
     assert made.apply(2, encode(Put("a", "key", b"one", 0))) == ("a", Outcome(2))
-    told = made.apply(3, encode(Put("b", "key", b"two", 0)))
-    assert told is not None and told[1].revision == 2 and "not 0" in told[1].why
+    result = made.apply(3, encode(Put("b", "key", b"two", 0)))
+    assert result is not None and result[1].revision == 2 and "not 0" in result[1].why
     assert made.apply(4, encode(Put("c", "key", b"three"))) == ("c", Outcome(4))
     assert StateMachine(made.encode()).documents == made.documents == {"key": Document(b"three", 4)}
     state.check_put(Put("d", "k", b"v"))
