--- a/spoolbarrow/flows/sender.py
+++ b/spoolbarrow/flows/sender.py
@@ -30,7 +30,7 @@
 TCP_MESSAGE_BYTES = 16_384  # large enough to be efficient, small enough to arrive complete
 SEND_BUFFER_BYTES = 65_536  # in the kernel: a collector that does not read must not hold more memory
 MAX_MESSAGE_RECORDS = 256  # considered for one message
-ENDING_RETRY_S = 0.05  # between connection attempts during shutdown
+SHUTDOWN_RETRY_S = 0.05  # between connection attempts during shutdown
 CERTIFICATE_REFUSAL_S = 0.25  # a TLS 1.3 server reports within this that it refuses the client certificate
 UNACKNOWLEDGED_BYTES = 1 << 20  # kept for sending again; older records count as delivered
 STATISTICS_MS = 10_000.0  # between records of the exporter's own statistics
@@ -205,7 +205,7 @@
         waiting = len(self.queue)
         log("collector_lost", collector=str(self.collector), why=why, retry_ms=round(wait), waiting=waiting)
         if self._end_event.is_set():
-            gevent.sleep(ENDING_RETRY_S)
+            gevent.sleep(SHUTDOWN_RETRY_S)
         else:
             self._end_event.wait(wait / 1000)
 
@@ -292,9 +292,9 @@
             self._sock.send(message)
             return
         self._sock.sendall(message)
-        self._unacknowledged.wrote(self._written(), records)
+        self._unacknowledged.wrote(self._stream_position(), records)
 
-    def _written(self) -> int:
+    def _stream_position(self) -> int:
         """The current position in the byte stream: bytes acknowledged, and bytes still in the kernel."""
         waiting: int = struct.unpack("i", fcntl.ioctl(self._sock.fileno(), SIOCOUTQ, b"\0" * 4))[0]
         return tcpinfo.acknowledged_bytes(self._sock) + waiting
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -178,7 +178,7 @@
     hello, other = made.handle(0.0).messages
     leads: Any = {"term": 2, "last_index": 3, "leads": True}
     assert made.handle(1.0, known(hello, 2, **leads)).stale_members == ("m0",)
-    made.handle(700.0, known(other, 1))  # this member does not know its later incarnation
+    made.handle(700.0, known(other, 1))  # m2 does not know its later incarnation
     (answer,) = (sent for sent in made.handle(701.0, ask("m2", 3, (9, 9))).messages if isinstance(sent, Vote))
     assert not answer.granted and made.role is Role.FOLLOWER and made.stale
     made.handle(702.0, known(hello, 2, **{**leads, "term": 3}))
