--- a/spoolbarrow/net/connection_pool.py
+++ b/spoolbarrow/net/connection_pool.py
@@ -152,7 +152,7 @@
         self._idle.setdefault(endpoint, deque()).append(connection)
 
     def drop(self, connection: Connection, why: CloseReason = CloseReason.DONE) -> None:
-        """Close a connection; with Why.BROKEN, unsent bytes of its request are discarded."""
+        """Close a connection; with CloseReason.BROKEN, unsent bytes of its request are discarded."""
         self._open_count -= 1
         self._host.observers.connection_closing(connection.number, why)
         if why is CloseReason.BROKEN:
--- a/spoolbarrow/net/destinations.py
+++ b/spoolbarrow/net/destinations.py
@@ -133,14 +133,19 @@
 
     def _update_excluded(self, entry: ListEntry) -> None:
         try:
-            where = parse_address("address", entry.address)
+            parsed_address = parse_address("address", entry.address)
         except ConfigError:
             self._excluded.pop(entry.name, None)
             return
         if entry.status == "terminated":
             self._excluded.pop(entry.name, None)
         else:
-            self._excluded[entry.name] = (entry.name, where, entry.status == "in_service", entry.since_ms)
+            self._excluded[entry.name] = (
+                entry.name,
+                parsed_address,
+                entry.status == "in_service",
+                entry.since_ms,
+            )
 
     def any_serving(self) -> bool:
         """Whether any endpoint is in service."""
@@ -272,7 +277,9 @@
         # in answer to version 0.
         any_excluded = self._excluded_type or self._excluded_group >= 0
         index = 0 if any_excluded else self._discovery.index or 0
-        return HostList(index, True, [one.line for one in self._listed.values()]), dict(self._resumed)
+        return HostList(index, True, [endpoint.line for endpoint in self._listed.values()]), dict(
+            self._resumed
+        )
 
     def restore(self, known: HostList | None = None, resumed: dict[str, float] | None = None) -> None:
         """Start from the last known list: as configured, or as passed by another process."""
@@ -326,11 +333,11 @@
                 continue
             if not self._accept_entry(entry, is_change):
                 continue
-            made = self._replica_entry(self._listed[entry.name])
-            entries.append(made)
-            if made.state is i.ReplicaState.SERVING:
+            replica_entry = self._replica_entry(self._listed[entry.name])
+            entries.append(replica_entry)
+            if replica_entry.state is i.ReplicaState.SERVING:
                 self._serving.add(entry.name)
-            elif made.state is i.ReplicaState.DRAINING:
+            elif replica_entry.state is i.ReplicaState.DRAINING:
                 self._serving.discard(entry.name)
                 self._on_left(entry.name)
             else:
--- a/spoolbarrow/net/discovery_client.py
+++ b/spoolbarrow/net/discovery_client.py
@@ -176,17 +176,17 @@
         except Exception as error:
             ended.put((number, error))
 
-    made, due = 0, now()
+    call_count, next_call_at = 0, now()
     try:
         while True:
             full = bool(answering) or len(calls) >= MAX_CALLS
-            if now() >= due and not full:
-                made += 1
-                calls[made] = gevent.spawn(run, made)
-                due = now() + pause_ms()
+            if now() >= next_call_at and not full:
+                call_count += 1
+                calls[call_count] = gevent.spawn(run, call_count)
+                next_call_at = now() + pause_ms()
                 continue
             try:
-                number, found = ended.get(timeout=None if full else max(1.0, due - now()) / 1000)
+                number, found = ended.get(timeout=None if full else max(1.0, next_call_at - now()) / 1000)
             except Empty:
                 continue
             if not isinstance(found, Exception):
@@ -204,9 +204,9 @@
     """Answers of further calls that are ready by now."""
     found: list[T] = []
     while not ended.empty():
-        one = ended.get_nowait()[1]
-        if not isinstance(one, Exception):
-            found.append(one)
+        item = ended.get_nowait()[1]
+        if not isinstance(item, Exception):
+            found.append(item)
     return found
 
 
@@ -236,7 +236,7 @@
 
     try:
         while True:
-            calls = {one for one in calls if not one.dead}
+            calls = {item for item in calls if not item.dead}
             if len(calls) < MAX_AGENT_CALLS:
                 calls.add(gevent.spawn(call))
             host_list = answer.wait(AGENT_RETRY_MS / 1000)
--- a/spoolbarrow/net/discovery_watch.py
+++ b/spoolbarrow/net/discovery_watch.py
@@ -101,8 +101,8 @@
         if self._begins_at is not None:
             begins = min(begins, max(now, self._begins_at))
         self._begins_at = begins
-        asked = self._config.settings.subscribe
-        follow = self._run_service_watch if asked else self._run_agent_watch
+        subscribed = self._config.settings.subscribe
+        follow = self._run_service_watch if subscribed else self._run_agent_watch
         self._watch = gevent.spawn_later((begins - now) / 1000, follow)
 
     def ensure_watch(self) -> None:
@@ -124,9 +124,9 @@
     def close(self) -> None:
         """Stop watching permanently: later orders to watch are ignored."""
         self._closed = True
-        for one in (self._watch, self._idle_timer, self._refusal_timer):
-            if one is not None:
-                one.kill(block=False)
+        for greenlet in (self._watch, self._idle_timer, self._refusal_timer):
+            if greenlet is not None:
+                greenlet.kill(block=False)
         self._watch = self._idle_timer = self._refusal_timer = None
 
     def _ensure_current(self) -> None:
@@ -225,11 +225,11 @@
     def _first_of(self, call: Callable[[Callable[[], object]], T], version: Callable[[T], int]) -> T:
         """The first answer of several calls to a service (`discovery_client.first_answer`)."""
         me = self._calling = gevent.getcurrent()
-        begun = self._now()
+        started_at = self._now()
 
         def note(error: Exception) -> None:
             refused = isinstance(error, discovery_client.CALL_ERRORS) and not isinstance(error, TimeoutError)
-            self._refused_after_wait = refused and self._now() - begun >= QUEUED_CALL_MS
+            self._refused_after_wait = refused and self._now() - started_at >= QUEUED_CALL_MS
 
         def on_failure(error: Exception) -> None:
             self._ensure_current()
--- a/spoolbarrow/net/endpoint_client.py
+++ b/spoolbarrow/net/endpoint_client.py
@@ -237,8 +237,8 @@
 
         The time left that the head states must still be true when the last byte has left.
         """
-        host, request, begun = self._host, attempt.request, self._host.now()
-        left = request.deadline - begun
+        host, request, started_at = self._host, attempt.request, self._host.now()
+        left = request.deadline - started_at
         discount_ms = (
             self._time_discount_ms.get(attempt.endpoint, 0.0)
             if len(request.message.body) > INITIAL_WINDOW_BYTES
@@ -249,7 +249,7 @@
         pieces = http1.request_pieces(request.message, connection.address, stated_ms)
 
         def in_time() -> bool:
-            return host.now() - begun <= patience
+            return host.now() - started_at <= patience
 
         def may_continue() -> bool:
             return host.may_send(attempt) and in_time()
@@ -265,7 +265,7 @@
         raise NotSent(f"request not read within {patience:.0f} ms")
 
     def _probe(self, endpoint: str) -> None:
-        begun, outcome, report = self._host.now(), i.Outcome.RESET, None
+        started_at, outcome, report = self._host.now(), i.Outcome.RESET, None
         try:
             with gevent.Timeout(self._config.options.probe_timeout_ms / 1000):
                 outcome, report = self._fetch_load(endpoint)
@@ -280,7 +280,7 @@
         except Exception as error:
             log_exception("probe", error)
         finally:
-            self._host.probe_done(endpoint, outcome, self._host.now() - begun, report)
+            self._host.probe_done(endpoint, outcome, self._host.now() - started_at, report)
 
     def _fetch_load(self, endpoint: str) -> tuple[i.Outcome, i.Report | None]:
         try:
--- a/spoolbarrow/net/endpoint_response.py
+++ b/spoolbarrow/net/endpoint_response.py
@@ -88,8 +88,8 @@
     def read(self) -> None:
         """Parse the next bytes; HttpError if a head or chunk does not end, TimeoutError if a stream stops."""
         parser = self._parser
-        begun = parser.in_chunk or parser.in_chunk_header or (parser.begun and not parser.head_complete)
-        if begun:
+        in_part = parser.in_chunk or parser.in_chunk_header or (parser.begun and not parser.head_complete)
+        if in_part:
             if self._piece != parser.pieces:
                 self._piece, self._left_s = parser.pieces, self._options.piece_ms / 1000
             # Only the time spent here counts, not the time that the client needs to read.
--- a/spoolbarrow/net/failover.py
+++ b/spoolbarrow/net/failover.py
@@ -104,13 +104,13 @@
             return None
         return outcome not in FAILURES
 
-    def _check(self, endpoint: str, where: Address) -> None:
+    def _check(self, endpoint: str, address: Address) -> None:
         """Check an endpoint with a long timeout, on a separate connection: any answer counts as healthy."""
-        begun, healthy = self._host.now(), False
+        started_at, healthy = self._host.now(), False
         try:
             limit = self._table.check_timeout_ms / 1000
-            with gevent.Timeout(limit), http1.connect(where, limit) as sock:
-                http1.send_pieces(sock, http1.get_pieces(b"/alive", where))
+            with gevent.Timeout(limit), http1.connect(address, limit) as sock:
+                http1.send_pieces(sock, http1.get_pieces(b"/alive", address))
                 parser, buffer = http1.ResponseParser(MAX_HEAD_BYTES), bytearray(MAX_HEAD_BYTES)
                 while not parser.head_complete:
                     parser.read(sock, buffer)
@@ -120,7 +120,7 @@
         except (OSError, http1.HttpError, gevent.Timeout):
             pass
         now = self._host.now()
-        self._record(EndpointOutcome(endpoint, now, healthy, now - begun if healthy else -1.0))
+        self._record(EndpointOutcome(endpoint, now, healthy, now - started_at if healthy else -1.0))
 
     def _record(self, outcome: EndpointOutcome) -> None:
         if len(self._outcomes) < MAX_OUTCOMES:
@@ -146,9 +146,9 @@
             self._logged_dropped = self.dropped
         verdicts = self._tracker.update(now, Evidence(listing, tuple(outcomes)))
         for name in self._tracker.endpoints_to_check(now):
-            where = destinations.address(name)
-            if where is not None and len(self._checks) < MAX_CHECKS:
-                check = gevent.spawn(self._check, name, where)
+            address = destinations.address(name)
+            if address is not None and len(self._checks) < MAX_CHECKS:
+                check = gevent.spawn(self._check, name, address)
                 self._checks.add(check)
                 check.link(self._checks.discard)
         out, back = zones_to_mask(verdicts, listing)
--- a/spoolbarrow/net/fleet_part.py
+++ b/spoolbarrow/net/fleet_part.py
@@ -76,10 +76,10 @@
         if isinstance(self.part, HostObserver):
             self.part.end()
 
-    def record(self, asked: float, seen: lease.ObservedRecord) -> None:
-        """Record the lease and decision as read or written at `asked`."""
-        self.claim.observe(asked, seen)
-        self._active.observe(asked, seen)
+    def record(self, called_at: float, seen: lease.ObservedRecord) -> None:
+        """Record the lease and decision as read or written at `called_at`."""
+        self.claim.observe(called_at, seen)
+        self._active.observe(called_at, seen)
         if self.claim.holds() is not self._logged_holding:
             self._logged_holding = self.claim.holds()
             epoch = seen.record.epoch if seen.record is not None else None
@@ -87,20 +87,22 @@
 
     def adopt(self, now: float) -> None:
         """Let the part act on the decision that is valid now, or on none. Never blocks."""
-        wanted = self._active.current(now)
-        if wanted is not None and wanted == self._rejected:
-            wanted = None
-        old = self._adopted
-        if (wanted and (wanted.epoch, wanted.number)) == (old and (old.epoch, old.number)):
+        decision = self._active.current(now)
+        if decision is not None and decision == self._rejected:
+            decision = None
+        previous = self._adopted
+        if (decision and (decision.epoch, decision.number)) == (
+            previous and (previous.epoch, previous.number)
+        ):
             return
-        if wanted is not None and not self._part_adopts(now, wanted.body):
-            self._rejected, wanted = wanted, None
-        if wanted is None:
+        if decision is not None and not self._part_adopts(now, decision.body):
+            self._rejected, decision = decision, None
+        if decision is None:
             self._part_adopts(now, None)
-        if wanted is not None or old is not None or self._rejected is not None:
-            fields = {} if wanted is None else {"epoch": wanted.epoch, "number": wanted.number}
-            log("fleet_decision", kind=self.part.kind, acts=wanted is not None, **fields)
-        self._adopted = wanted
+        if decision is not None or previous is not None or self._rejected is not None:
+            fields = {} if decision is None else {"epoch": decision.epoch, "number": decision.number}
+            log("fleet_decision", kind=self.part.kind, acts=decision is not None, **fields)
+        self._adopted = decision
 
     def version(self) -> tuple[int, str] | None:
         """Number and digest of the decision in effect."""
--- a/spoolbarrow/net/http1.py
+++ b/spoolbarrow/net/http1.py
@@ -172,8 +172,8 @@
     """Which of poll's `events`, or hang-up or error, a connection has now; 0 for none. Never blocks."""
     watched = select.poll()  # not select: that fails on descriptors of 1,024 and more
     watched.register(sock.fileno(), events)
-    told = watched.poll(0)
-    return told[0][1] if told else 0
+    ready = watched.poll(0)
+    return ready[0][1] if ready else 0
 
 
 # Errors of connect(2) that concern this machine alone: no free port, no buffer, no room in its tables.
--- a/spoolbarrow/net/inbox.py
+++ b/spoolbarrow/net/inbox.py
@@ -29,8 +29,8 @@
 
     def take_list_updates(self) -> list[i.Event]:
         """Remove and return the list updates alone."""
-        news, self._list_updates = self._list_updates, []
-        return news
+        updates, self._list_updates = self._list_updates, []
+        return updates
 
     def __len__(self) -> int:
         """Number of queued events."""
--- a/spoolbarrow/net/shared_documents.py
+++ b/spoolbarrow/net/shared_documents.py
@@ -44,14 +44,14 @@
         """Whether `key` names one of these documents."""
         return key in self._shared
 
-    def learn(self, asked: float, key: str, revision: int, text: str) -> None:
-        """Record a committed version, requested at `asked`; InvalidDocument if it can't be decoded."""
-        self._shared[key].learn(asked, revision, text)
+    def learn(self, called_at: float, key: str, revision: int, text: str) -> None:
+        """Record a committed version, requested at `called_at`; InvalidDocument if it can't be decoded."""
+        self._shared[key].learn(called_at, revision, text)
 
-    def confirm(self, asked: float) -> None:
-        """Record that the store, called at `asked`, has sent everything committed."""
+    def confirm(self, called_at: float) -> None:
+        """Record that the store, called at `called_at`, has sent everything committed."""
         for shared in self._shared.values():
-            shared.confirm(asked)
+            shared.confirm(called_at)
 
     def apply(self, now: float) -> None:
         """Apply the versions that are valid now to the router. Never blocks."""
--- a/spoolbarrow/net/store_follower.py
+++ b/spoolbarrow/net/store_follower.py
@@ -71,16 +71,16 @@
         self._store.apply(table)
         self._shared.set_within(table.within_s * 1000)
         self._writer.evidence_ms = table.evidence_ms
-        for held in self._parts.values():
-            held.set_ttl(table.ttl_s)
+        for fleet_part in self._parts.values():
+            fleet_part.set_ttl(table.ttl_s)
         for kind in FLEET_PARTS.keys() & self._parts.keys() - set(table.parts):
             self.remove(kind)
         for kind in table.parts:
             if kind not in self._parts:
                 module, _, name = FLEET_PARTS[kind].partition(":")
                 self.add(getattr(import_module(module), name)(self._router))
-        for held in self._parts.values():
-            held.watch(self._host, table)
+        for fleet_part in self._parts.values():
+            fleet_part.watch(self._host, table)
 
     def add(self, part: d.Part) -> None:
         """Add a part; the caller has already given it what it needs of the host."""
@@ -106,8 +106,8 @@
     def versions(self) -> dict[str, tuple[int, str]]:
         """Number and digest of each shared document and decision in effect."""
         found = self._shared.versions(self._host.now())
-        for kind, held in self._parts.items():
-            version = held.version()
+        for kind, fleet_part in self._parts.items():
+            version = fleet_part.version()
             if version is not None:
                 found[f"fleet/{kind}"] = version
         return found
@@ -122,7 +122,7 @@
             "dropped": self._invalid_count,
             "documents": self._shared.status(now),
             "balancers": self._host.config.settings.nodes,
-            "parts": {kind: held.status() for kind, held in self._parts.items()},
+            "parts": {kind: fleet_part.status() for kind, fleet_part in self._parts.items()},
         }
 
     # The loops
@@ -130,20 +130,20 @@
     def _loop(self, run_once: Callable[[], None], max_period_ms: float) -> None:
         gevent.sleep(self._random.random() * self._table.period_ms / 1000)  # spread the routers
         while True:
-            begun, period = self._host.now(), min(self._table.period_ms, max_period_ms)
+            started_at, period = self._host.now(), min(self._table.period_ms, max_period_ms)
             try:
                 run_once()
             except Exception as error:  # must not disturb serving; the next run tries again
                 log_exception("fleet", error)
-            pause = period * (0.9 + 0.2 * self._random.random()) - (self._host.now() - begun)
+            pause = period * (0.9 + 0.2 * self._random.random()) - (self._host.now() - started_at)
             gevent.sleep(max(pause, MIN_PAUSE_MS) / 1000)
 
     def _apply(self) -> None:
         """Apply the documents and decisions that are valid now. Never blocks."""
         now = self._host.now()
         self._shared.apply(now)
-        for held in list(self._parts.values()):
-            held.adopt(now)
+        for fleet_part in list(self._parts.values()):
+            fleet_part.adopt(now)
 
     def _sync(self) -> None:
         """Read from a member, apply, and write leases and summaries that are due."""
@@ -151,45 +151,47 @@
         self._apply()
         if not read_ok:
             return
-        due = self._host.now() - self._summaries_at >= self._table.evidence_ms
-        if due:
+        summaries_due = self._host.now() - self._summaries_at >= self._table.evidence_ms
+        if summaries_due:
             self._summaries_at = self._host.now()
-        for held in list(self._parts.values()):
+        for fleet_part in list(self._parts.values()):
             try:
-                if not held.passive_since:
-                    self._writer.write_lease(held)
-                if due and self._writer.write_summary(held):
+                if not fleet_part.passive_since:
+                    self._writer.write_lease(fleet_part)
+                if summaries_due and self._writer.write_summary(fleet_part):
                     self._summaries_at = 0.0
             except Exception as error:  # a failing part must not stop the others
-                log_exception(f"fleet {held.part.kind}", error)
+                log_exception(f"fleet {fleet_part.part.kind}", error)
 
     # Reading
 
     def _read(self, member: int) -> None:
         """Read all changes; MemberUnavailable if the member is unreachable, without a leader or behind."""
-        prefixes = [d.SHARED_PREFIX, *(held.standing_key for held in self._parts.values())]
-        asked = self._host.now()
+        prefixes = [d.SHARED_PREFIX, *(fleet_part.standing_key for fleet_part in self._parts.values())]
+        called_at = self._host.now()
         for changes in self._store.changes(self._revision, prefixes, member):
             if changes.applied < self._min_applied:
                 raise MemberUnavailable(f"behind: it has {changes.applied} of {self._min_applied}")
             for document in changes.documents:
-                self._apply_document(asked, document)
+                self._apply_document(called_at, document)
             if not changes.leader:  # it may be partitioned: its data is committed, but may be incomplete
                 raise MemberUnavailable("it knows no leader")
             self._revision, self._min_applied = max(self._revision, changes.upto), changes.applied
-        self._confirmed_at = asked
-        self._shared.confirm(asked)
+        self._confirmed_at = called_at
+        self._shared.confirm(called_at)
 
-    def _apply_document(self, asked: float, document: Document) -> None:
+    def _apply_document(self, called_at: float, document: Document) -> None:
         key, revision = document.key, document.revision
-        held = next((held for held in self._parts.values() if held.standing_key == key), None)
+        fleet_part = next(
+            (fleet_part for fleet_part in self._parts.values() if fleet_part.standing_key == key), None
+        )
         try:
             if key in self._shared:
-                self._shared.learn(asked, key, revision, document.value)
-            elif held is not None:
-                held.record(asked, lease.decode_record(key, revision, document.value))
+                self._shared.learn(called_at, key, revision, document.value)
+            elif fleet_part is not None:
+                fleet_part.record(called_at, lease.decode_record(key, revision, document.value))
         except d.InvalidDocument as error:
             self._invalid_count += 1
             log("fleet_document", key=key, revision=revision, why=str(error)[:200], remedy=error.remedy)
-            if held is not None:
-                held.record(asked, lease.ObservedRecord(revision))
+            if fleet_part is not None:
+                fleet_part.record(called_at, lease.ObservedRecord(revision))
