--- a/spoolbarrow/net/drain_schedule.py
+++ b/spoolbarrow/net/drain_schedule.py
@@ -142,7 +142,7 @@
         return self._drains.pop(cause, None)
 
     def stop_idle_handover(self, now: float, resumes: bool) -> None:
-        """End the handover of idle connections, which the successor rejects: close them here instead."""
+        """End the handover of idle connections, as the successor rejects them: close them here instead."""
         drain = self._drains[DrainCause.SUCCESSOR]
         passed, schedule = now - drain.begun, drain.schedule
         keep = schedule.at(DrainStep.END_ANSWERS)
--- a/spoolbarrow/net/request_parser.py
+++ b/spoolbarrow/net/request_parser.py
@@ -52,9 +52,7 @@
         self.error: HttpError | None = None
         self.reading = False  # in the middle of a request
         self.undecided = False  # too few bytes so far to tell whether they start a request
-        self.cut_short = (
-            False  # the data right after the last request removed from `complete` starts no request
-        )
+        self.cut_short = False  # data right after the last request taken from `complete` starts no request
         self.awaits_continue = False  # the client waits for 100 Continue before the body
         self._message = Message()
         self._parser = httptools.HttpRequestParser(self)
@@ -81,7 +79,7 @@
             self._reject_malformed(
                 cause if isinstance(cause, HttpError) else HttpError(400, f"malformed request: {error}")
             )
-        # Limits input without callbacks (unfinished fields, empty lines, chunk framing).
+        # Limits input without callbacks (unfinished fields, empty lines, chunk framing): may grow forever.
         self._fed_bytes = 0 if len(self.complete) > had else self._fed_bytes + len(data)
         if self.error is None and not self._final and self._fed_bytes > self._max_head:
             if self._in_head or not self.reading:
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -37,7 +37,7 @@
 )
 
 MANY = 2000  # clients without a valid request
-TOLD_S = 3.0  # time after connecting within which each of them is answered or closed
+ANSWER_LIMIT_S = 3.0  # time after connecting within which each of them is answered or closed
 LIST_S = 6.0  # time after discovery is reachable within which the list is known
 LIMITED = (
     "import resource, runpy, sys\n"
@@ -94,18 +94,18 @@
 
     def __init__(self, port: int, says: bytes, stays: float, again: bool) -> None:
         self.port, self.says, self.stays, self.again = port, says, stays, again
-        self.told_s: list[float] = []  # by connection: time until the response or the close
+        self.waited_s: list[float] = []  # by connection: time until the response or the close
         self.running = gevent.spawn(self._run)
 
     def _run(self) -> None:
-        while not self.told_s or self.again:
+        while not self.waited_s or self.again:
             with socket.socket() as sock:
                 sock.connect((LISTEN, self.port))
                 begun = time.monotonic()
                 with suppress(OSError):
                     sock.sendall(self.says)
                     sock.recv(4096)
-                self.told_s.append(time.monotonic() - begun)
+                self.waited_s.append(time.monotonic() - begun)
                 gevent.sleep(self.stays)
 
 
@@ -121,7 +121,7 @@
     for one in idlers:
         one.again = False
     gevent.joinall([one.running for one in idlers], raise_error=True)
-    return max(max(one.told_s) for one in idlers)
+    return max(max(one.waited_s) for one in idlers)
 
 
 class Router:
@@ -201,7 +201,7 @@
     while statuses[-1] != 200:  # refused while earlier clients wait
         statuses.append(asked(router.port, f"b{len(statuses)}"))
     assert time.monotonic() - begun < LIST_S and set(statuses) <= {0, 503, 200}
-    assert longest(idlers) < TOLD_S
+    assert longest(idlers) < ANSWER_LIMIT_S
     assert {one.get() for one in asking} <= {200, 503, 504}
     assert router.most <= 256 and not router.process.events("accept_paused")
 
@@ -222,8 +222,8 @@
     begun = time.monotonic()
     late = Client(router.port).send(ask())
     assert late.answer().status == 503 and late.ended()
-    assert longest(flood(router.port, 300)) < TOLD_S
-    assert time.monotonic() - begun < 2 * TOLD_S and router.most <= 256
+    assert longest(flood(router.port, 300)) < ANSWER_LIMIT_S
+    assert time.monotonic() - begun < 2 * ANSWER_LIMIT_S and router.most <= 256
     assert router.process.events("no_room_for_clients")[0]["remedy"]
     assert all(client.sock.recv(1) for client in slow)  # their streams continue
 
@@ -241,7 +241,7 @@
     for router, _, _ in made:
         wait_until(router.listed)
     assert time.monotonic() - back < LIST_S
-    assert longest(idlers) < TOLD_S
+    assert longest(idlers) < ANSWER_LIMIT_S
     for (router, _, _), (_, limit) in zip(made, limits, strict=True):
         assert router.most <= limit and not router.process.events("accept_paused")
 
