--- a/spoolbarrow/net/json_objects.py
+++ b/spoolbarrow/net/json_objects.py
@@ -27,7 +27,7 @@
     def end(self) -> None:
         """Handle the end of the stream; HttpError 502 if it is inside an object."""
         if self._depth:
-            raise HttpError(502, "incomplete JSON object")
+            raise HttpError(502, "an object that is torn")
 
     def feed(self, data: bytes) -> Iterator[bytes]:
         """Yield each complete object, and b"" for each empty line between objects.
