--- a/spoolbarrow/admission/__init__.py
+++ b/spoolbarrow/admission/__init__.py
@@ -1,1 +1,1 @@
-"""The door: shares, retries and come-back times, before a request reaches the decisions."""
+"""Admission control: fair shares, retry budgets and retry times, applied before the router decides."""
--- a/spoolbarrow/admission/capacity.py
+++ b/spoolbarrow/admission/capacity.py
@@ -1,45 +1,49 @@
-"""What the fleet finishes for this router, learnt from answers: a rate, and how far it strays.
+"""Estimates the fleet's capacity for this router from finished work: a rate and its deviation.
 
-A rate that is seen while the fleet is full is its capacity; seen while it is not, it is only a lower bound.
-Times in ms, work in tokens.
+A rate measured while the fleet is full is its capacity; otherwise it is only a lower bound. Times in ms, work
+in tokens.
 """
 
 from __future__ import annotations
 
-WINDOW_MS = 1000.0  # the rate is looked at this often
-LEARN = 0.3  # weight of one window in the rate
-FORGET = 0.999  # a rate seen while the fleet was not full is a lower bound, and fades so a window
-JUMP_MS = 10_000.0  # a clock that jumps further than this has not passed that time
+WINDOW_MS = 1000.0  # length of a measurement window
+RATE_WEIGHT = 0.3  # weight of one window in the moving average
+PARTIAL_LOAD_DECAY = (
+    0.999  # factor per window while the fleet is not full: the rate is then only a lower bound
+)
+MAX_CLOCK_STEP_MS = 10_000.0  # a longer step is a clock jump and not elapsed time
 
 
 class CapacityEstimator:
-    """A rate, tokens a millisecond, and the mean share by which windows miss it."""
+    """The rate in tokens per ms, and the mean relative deviation of the windows from it."""
 
     def __init__(self) -> None:
         self.rate = 0.0
-        self.strays = 0.0
-        self.finished = 0.0
+        self.deviation = 0.0
+        self.finished_tokens = 0.0
         self.full_ms = 0.0
-        self.window_at = self.seen_at = 0.0
-        self.begun = False
+        self.window_start_ms = self.updated_at_ms = 0.0
+        self.started = False
 
-    def passes(self, now: float, full: bool) -> None:
-        """Time goes on; whether the fleet was full since the last call."""
-        if not self.begun:
-            self.begun, self.window_at, self.seen_at = True, now, now
-        passed, self.seen_at = now - self.seen_at, now
-        window = now - self.window_at
-        if not (0.0 <= passed <= JUMP_MS and 0.0 <= window <= JUMP_MS):
-            self.window_at, self.finished, self.full_ms = now, 0.0, 0.0
+    def update(self, now: float, full: bool) -> None:
+        """Advance to `now`; `full` says whether the fleet was full since the last call."""
+        if not self.started:
+            self.started, self.window_start_ms, self.updated_at_ms = True, now, now
+        elapsed_ms, self.updated_at_ms = now - self.updated_at_ms, now
+        window_ms = now - self.window_start_ms
+        if not (0.0 <= elapsed_ms <= MAX_CLOCK_STEP_MS and 0.0 <= window_ms <= MAX_CLOCK_STEP_MS):
+            self.window_start_ms, self.finished_tokens, self.full_ms = now, 0.0, 0.0
             return
-        self.full_ms += passed * full
-        if window < WINDOW_MS:
+        self.full_ms += elapsed_ms * full
+        if window_ms < WINDOW_MS:
             return
-        seen = self.finished / window
-        if self.full_ms > 0.5 * window:
+        measured_rate = self.finished_tokens / window_ms
+        if self.full_ms > 0.5 * window_ms:
             if self.rate > 0.0:
-                self.strays += LEARN * (min(1.0, abs(seen - self.rate) / self.rate) - self.strays)
-            self.rate += LEARN * (seen - self.rate)
+                self.deviation += RATE_WEIGHT * (
+                    min(1.0, abs(measured_rate - self.rate) / self.rate) - self.deviation
+                )
+            self.rate += RATE_WEIGHT * (measured_rate - self.rate)
         else:
-            self.rate = max(self.rate * FORGET, seen)
-        self.window_at, self.finished, self.full_ms = now, 0.0, 0.0
+            self.rate = max(self.rate * PARTIAL_LOAD_DECAY, measured_rate)
+        self.window_start_ms, self.finished_tokens, self.full_ms = now, 0.0, 0.0
--- a/spoolbarrow/admission/errors.py
+++ b/spoolbarrow/admission/errors.py
@@ -1,4 +1,4 @@
-"""The one error of the door's parts: bounds that can't be, found where they are made."""
+"""The error type of admission control: bounds that are out of range."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class AdmissionError(Problem, ValueError):
-    """The door is to be made with bounds that can't be."""
+    """A bound of admission control is out of range."""
 
     status = 2
     where = "none"
--- a/spoolbarrow/admission/reservations.py
+++ b/spoolbarrow/admission/reservations.py
@@ -1,8 +1,8 @@
-"""When to come back: a calendar of expected capacity, of which each refused caller gets a piece.
+"""Assigns retry times to rejected callers by reserving expected capacity in time slots.
 
-A slot holds what the capacity is expected to serve in it beyond what is under way, less a margin for how
-uncertain that is. A caller that is told a time has its work set aside there; one that comes early is told
-the same time again. Callers that do not come back are reckoned with: slots are overbooked by their share.
+A slot holds the work that the fleet is expected to serve in it beyond the requests in flight, less a margin
+for the uncertainty of that estimate. A caller that is given a time has its work reserved in slots; one that
+returns early is given the same time again. Slots are overbooked by the share of callers that do not return.
 Times in ms, work in tokens.
 """
 
@@ -14,110 +14,122 @@
 from spoolbarrow.admission.errors import AdmissionError
 
 Key = Any
-LEARN = 0.02  # weight of one caller in the share that comes back
-LEAST_SHARE = 0.3  # assumed to come back at least: overbooking is bounded
+RETURN_SHARE_WEIGHT = 0.02  # weight of one caller in the moving average of callers that return
+MIN_RETURN_SHARE = 0.3  # lower bound of the assumed share, which bounds overbooking
 
 
-class Reserved(NamedTuple):
-    """A caller's piece of the calendar."""
+class Reservation(NamedTuple):
+    """The capacity reserved for one caller."""
 
-    at: float  # the time it was told
-    pieces: tuple[tuple[int, float], ...]  # slots, and the work set aside in each
+    at: float  # the time given to the caller
+    bookings: tuple[tuple[int, float], ...]  # slots, and the work reserved in each
 
 
 class ReservationCalendar:
-    """Slots of `slot_ms` up to `horizon_ms` ahead; at most `most` callers hold a piece, `grace_ms` long."""
-
-    def __init__(self, slot_ms: float, horizon_ms: float, most: int, grace_ms: float) -> None:
-        if slot_ms <= 0.0 or horizon_ms < slot_ms or most < 1 or grace_ms < 0.0:
-            raise AdmissionError("", "slots and horizon must be above 0, and hold one caller at least")
-        self.slot_ms, self.horizon_ms, self.most, self.grace_ms = slot_ms, horizon_ms, most, grace_ms
-        self.rate = 0.0  # tokens a millisecond that can be promised
+    """Slots of `slot_ms` up to `horizon_ms` ahead.
+
+    At most `max_reservations` are held, each until `grace_ms` past its time.
+    """
+
+    def __init__(self, slot_ms: float, horizon_ms: float, max_reservations: int, grace_ms: float) -> None:
+        if slot_ms <= 0.0 or horizon_ms < slot_ms or max_reservations < 1 or grace_ms < 0.0:
+            raise AdmissionError(
+                "", "the slot length must be above 0, the horizon at least one slot, and one caller must fit"
+            )
+        self.slot_ms, self.horizon_ms, self.max_reservations, self.grace_ms = (
+            slot_ms,
+            horizon_ms,
+            max_reservations,
+            grace_ms,
+        )
+        self.rate = 0.0  # tokens per ms that can be reserved
         self.booked: dict[int, float] = {}
-        self.callers: OrderedDict[Key, Reserved] = OrderedDict()  # in the order they were told
-        self.share = 1.0  # of told callers that come back
-        self.next_slot = 0
+        self.reservations: OrderedDict[Key, Reservation] = OrderedDict()  # in the order they were made
+        self.return_share = 1.0  # share of callers with a reservation that return
+        self.first_free_slot = 0
         self.latest = float("-inf")
 
-    def expect(self, rate: float, uncertainty: float) -> None:
-        """Capacity from now on, and the share of it that may fail to come."""
+    def set_capacity(self, rate: float, uncertainty: float) -> None:
+        """Set the expected capacity, and the share of it that may not materialize."""
         self.rate = max(0.0, rate * (1.0 - min(1.0, uncertainty)))
 
-    def room(self, slot: int) -> float:
-        """Work that a slot can still take."""
-        whole = self.rate * self.slot_ms / max(self.share, LEAST_SHARE)
-        return whole - self.booked.get(slot, 0.0)
+    def free_work(self, slot: int) -> float:
+        """Work that can still be reserved in a slot."""
+        total = self.rate * self.slot_ms / max(self.return_share, MIN_RETURN_SHARE)
+        return total - self.booked.get(slot, 0.0)
 
-    def tell(
-        self, now: float, key: Key, work: float, spread: float, most_ms: float = float("inf")
+    def reserve(
+        self, now: float, key: Key, work: float, slot_offset: float, max_delay_ms: float = float("inf")
     ) -> float | None:
-        """When this caller is to come, ms from now; None where nothing can be promised within the horizon.
-
-        Nor where it could be promised only later than `most_ms`.
+        """Reserve work for a caller and return its retry time, in ms from now.
 
-        `spread`, in [0, 1), places it within its slot. A caller that has been told is told the same again.
+        None if the work does not fit within the horizon or within `max_delay_ms`. `slot_offset`, in [0, 1),
+        places the time within its slot. A caller that holds a reservation gets the same time again.
         """
-        self._pass(now)
-        told = self.callers.get(key)
-        if told is not None:
-            return max(0.0, told.at - now)
-        if len(self.callers) >= self.most or self.rate <= 0.0:
+        self._expire(now)
+        reservation = self.reservations.get(key)
+        if reservation is not None:
+            return max(0.0, reservation.at - now)
+        if len(self.reservations) >= self.max_reservations or self.rate <= 0.0:
             return None
-        first, last = int(now // self.slot_ms) + 1, int((now + min(most_ms, self.horizon_ms)) // self.slot_ms)
-        slot, left, pieces = max(first, self.next_slot), work, []
+        first, last = (
+            int(now // self.slot_ms) + 1,
+            int((now + min(max_delay_ms, self.horizon_ms)) // self.slot_ms),
+        )
+        slot, remaining, bookings = max(first, self.first_free_slot), work, []
         while slot < last:
-            # Work larger than a slot takes what is free in several: it comes when all of that is.
-            piece = min(left, self.room(slot))
-            if piece > 0.0:
-                pieces.append((slot, piece))
-                left -= piece
-            if left <= 0.0:
+            # Work that exceeds one slot takes free capacity of several; its time lies in the last of them.
+            booked_work = min(remaining, self.free_work(slot))
+            if booked_work > 0.0:
+                bookings.append((slot, booked_work))
+                remaining -= booked_work
+            if remaining <= 0.0:
                 break
             slot += 1
-        if left > 0.0 or slot >= last:
+        if remaining > 0.0 or slot >= last:
             return None
-        self.next_slot = slot  # all before is full
-        for place, piece in pieces:
-            self.booked[place] = self.booked.get(place, 0.0) + piece
-        at = (slot + spread) * self.slot_ms
-        self.callers[key] = Reserved(at, tuple(pieces))
+        self.first_free_slot = slot  # all earlier slots are full
+        for booked_slot, booked_work in bookings:
+            self.booked[booked_slot] = self.booked.get(booked_slot, 0.0) + booked_work
+        at = (slot + slot_offset) * self.slot_ms
+        self.reservations[key] = Reservation(at, tuple(bookings))
         return at - now
 
     def redeem(self, now: float, key: Key) -> bool:
-        """A caller comes: whether at its time. Too early it keeps its piece, and is told the time again."""
-        self._pass(now)
-        told = self.callers.get(key)
-        if told is None or now < told.at:
+        """Whether a returning caller is on time. One that is early keeps its reservation and its time."""
+        self._expire(now)
+        reservation = self.reservations.get(key)
+        if reservation is None or now < reservation.at:
             return False
-        self._release(key, told)
-        self.share += LEARN * (1.0 - self.share)
+        self._release(key, reservation)
+        self.return_share += RETURN_SHARE_WEIGHT * (1.0 - self.return_share)
         return True
 
-    def _release(self, key: Key, told: Reserved) -> None:
-        del self.callers[key]
-        for slot, piece in told.pieces:
-            left = self.booked.get(slot, 0.0) - piece
-            if left > 1e-9:
-                self.booked[slot] = left
+    def _release(self, key: Key, reservation: Reservation) -> None:
+        del self.reservations[key]
+        for slot, booked_work in reservation.bookings:
+            remaining = self.booked.get(slot, 0.0) - booked_work
+            if remaining > 1e-9:
+                self.booked[slot] = remaining
                 continue
             self.booked.pop(slot, None)
-            self.next_slot = min(self.next_slot, slot)
+            self.first_free_slot = min(self.first_free_slot, slot)
 
-    def _pass(self, now: float) -> None:
-        """Forget callers whose time has passed, and slots that lie behind."""
+    def _expire(self, now: float) -> None:
+        """Drop expired reservations and past slots."""
         if now < self.latest - self.horizon_ms:
-            # The clock was set back: what was promised lies too far ahead to be kept.
-            self.callers.clear()
+            # The clock was set back: the reservations now lie too far ahead to be kept.
+            self.reservations.clear()
             self.booked.clear()
-            self.next_slot = 0
+            self.first_free_slot = 0
         self.latest = now
-        while self.callers:
-            # In the order they were told, which is nearly that of their times: one behind waits a bit.
-            key, told = next(iter(self.callers.items()))
-            if told.at + self.grace_ms > now:
+        while self.reservations:
+            # Insertion order is nearly that of the times: one behind a later one expires slightly late.
+            key, reservation = next(iter(self.reservations.items()))
+            if reservation.at + self.grace_ms > now:
                 break
-            self._release(key, told)
-            self.share += LEARN * (0.0 - self.share)
+            self._release(key, reservation)
+            self.return_share += RETURN_SHARE_WEIGHT * (0.0 - self.return_share)
         slot = int(now // self.slot_ms)
-        if self.next_slot < slot:
-            self.next_slot = slot
+        if self.first_free_slot < slot:
+            self.first_free_slot = slot
