--- a/spoolbarrow/shadow/__init__.py
+++ b/spoolbarrow/shadow/__init__.py
@@ -1,1 +1,1 @@
-"""Shadow traffic: a share of live requests copied to a candidate pool, without touching live answers."""
+"""Shadow traffic: copies a share of live requests to a candidate pool without affecting live answers."""
--- a/spoolbarrow/shadow/answer_recorder.py
+++ b/spoolbarrow/shadow/answer_recorder.py
@@ -1,8 +1,8 @@
-"""One answer as it is read for comparison: times, words, finish, usage. Pure.
+"""Records one answer for comparison: times, words, finish reason and usage.
 
-Owns what is kept of an answer, bounded. Of the text itself only what the operator allows is kept: else keyed
-digests, chained word by word, so that a common opening shows in them and no word can be guessed back without
-the key (tenants are competitors). Times are ms since the answer was asked for.
+The record is bounded. The text is kept only if the operator allows it; otherwise it holds keyed digests,
+chained word by word, which show a common opening but reveal no word without the key (tenants are
+competitors). No I/O; times are ms since the request was sent.
 """
 
 from __future__ import annotations
@@ -13,10 +13,10 @@
 
 import msgspec
 
-MOST_EVENTS = 2048  # whose times are kept
-MOST_TEXT = 65_536  # characters
-MOST_LINE = 65_536  # bytes of a line that is not whole yet
-DIGEST = 4  # bytes a word
+MAX_EVENTS = 2048  # events whose times are kept
+MAX_TEXT_CHARS = 65_536  # of the recorded text
+MAX_LINE_BYTES = 65_536  # bytes of an incomplete line
+DIGEST_BYTES = 4  # bytes per word
 _WORDS = re.compile(r"\s*\S+")
 
 
@@ -43,38 +43,38 @@
 
 
 class AnswerRecorder:
-    """An answer's events, fed as bytes cut anywhere."""
+    """Parses an answer's events from arbitrarily split bytes."""
 
     def __init__(self) -> None:
         self.times: list[float] = []  # of events with text
         self.events = 0
         self.finish = ""
         self.prompt_tokens = self.completion_tokens = 0
-        self.whole = False  # `[DONE]` has come
+        self.whole = False  # `[DONE]` was received
         self.octets = 0
-        self.cut = False  # more came than is kept
+        self.cut = False  # the answer exceeds the bounds of the record
         self._text: list[str] = []
-        self._size = 0
-        self._line = b""
+        self._text_chars = 0
+        self._partial_line = b""
 
     def feed(self, data: bytes, at_ms: float) -> None:
-        """What came next."""
+        """Parse the next bytes of the answer."""
         self.octets += len(data)
-        *lines, self._line = (self._line + data).split(b"\n")
-        if len(self._line) > MOST_LINE:
-            self._line, self.cut = b"", True
+        *lines, self._partial_line = (self._partial_line + data).split(b"\n")
+        if len(self._partial_line) > MAX_LINE_BYTES:
+            self._partial_line, self.cut = b"", True
         for line in lines:
             if line.startswith(b"data:"):
-                self._event(line[5:].strip(), at_ms)
+                self._parse_event(line[5:].strip(), at_ms)
 
-    def _event(self, said: bytes, at_ms: float) -> None:
-        if said == b"[DONE]":
+    def _parse_event(self, payload: bytes, at_ms: float) -> None:
+        if payload == b"[DONE]":
             self.whole = True
             return
         try:
-            event = _decoder.decode(said)
+            event = _decoder.decode(payload)
         except msgspec.DecodeError:
-            return  # not of this form: octets and times of the others are compared
+            return  # another format: only octets and the times of other events are recorded
         if event.usage is not None:
             self.prompt_tokens = event.usage.prompt_tokens
             self.completion_tokens = event.usage.completion_tokens
@@ -82,21 +82,21 @@
             self.finish = choice.finish_reason or self.finish
             if choice.delta.content:
                 self.events += 1
-                self._add(choice.delta.content, at_ms)
+                self._add_text(choice.delta.content, at_ms)
 
-    def _add(self, text: str, at_ms: float) -> None:
-        if len(self.times) < MOST_EVENTS:
+    def _add_text(self, text: str, at_ms: float) -> None:
+        if len(self.times) < MAX_EVENTS:
             self.times.append(round(at_ms, 2))
-        room = MOST_TEXT - self._size
-        self.cut = self.cut or len(text) > room or len(self.times) == MOST_EVENTS
-        if room > 0:
-            self._text.append(text[:room])
-            self._size += min(len(text), room)
-
-    def told(self, key: bytes, with_text: bool) -> dict[str, Any]:
-        """What is kept of it: with its text, or with digests and lengths alone."""
+        remaining_chars = MAX_TEXT_CHARS - self._text_chars
+        self.cut = self.cut or len(text) > remaining_chars or len(self.times) == MAX_EVENTS
+        if remaining_chars > 0:
+            self._text.append(text[:remaining_chars])
+            self._text_chars += min(len(text), remaining_chars)
+
+    def to_record(self, key: bytes, with_text: bool) -> dict[str, Any]:
+        """The record as a dict: with the text, or with digests and lengths only."""
         text = "".join(self._text)
-        kept: dict[str, Any] = {
+        record: dict[str, Any] = {
             "times": self.times,
             "events": self.events,
             "tokens": self.completion_tokens or self.events,
@@ -109,17 +109,19 @@
             "words": digest_chain(key, text),
         }
         if with_text:
-            kept["text"] = text
-        return kept
+            record["text"] = text
+        return record
 
 
 def digest_chain(key: bytes, text: str) -> str:
-    """A digest for each word, each of all words up to it (BLAKE2b keyed, RFC 7693), in hex.
+    """One digest per word, each over all words up to it (keyed BLAKE2b, RFC 7693), in hex.
 
-    Two answers of one key agree in as many digests as their openings have words in common.
+    Two answers under one key share as many digests as their openings share words.
     """
-    found, state = [], b""
+    digests, previous_digest = [], b""
     for word in _WORDS.findall(text):
-        state = blake2b(state + word.encode("utf-8", "surrogatepass"), key=key[:64], digest_size=16).digest()
-        found.append(state[:DIGEST].hex())
-    return "".join(found)
+        previous_digest = blake2b(
+            previous_digest + word.encode("utf-8", "surrogatepass"), key=key[:64], digest_size=16
+        ).digest()
+        digests.append(previous_digest[:DIGEST_BYTES].hex())
+    return "".join(digests)
--- a/spoolbarrow/shadow/copier.py
+++ b/spoolbarrow/shadow/copier.py
@@ -1,7 +1,7 @@
-"""Copies sent and pairs kept: an observer of the taps, with connections and greenlets of its own.
+"""Sends copies of live requests to candidates and records pairs of answers, as an observer of live traffic.
 
-Owns what is out towards the candidate pool, and the pairs of answers whose halves have not both come. The
-decisions are `copy_controller.CopyController`'s; nothing that serves live traffic ever waits for anything here.
+Owns the connections to the candidate pool, and the pairs of which one answer is still missing. The decisions
+are made by `copy_controller.CopyController`. Nothing that serves live traffic ever waits for this module.
 """
 
 from __future__ import annotations
@@ -33,33 +33,37 @@
 from spoolbarrow.shadow.answer_recorder import AnswerRecorder
 from spoolbarrow.spool import Spool
 
-ENDING = ".pairs.zst"
-RECV = 16_384  # bytes read at once
-READ_PAUSE_S = 0.002  # after a read that was full: one that pours leaves the loop to the others
-SLOW_S = 0.5  # between looks at descriptors, memory and processor time
-SAY_S = 10.0  # between lines with counts
-RECENT_MS = 5000.0  # refusals and reports so old say nothing of now
-MOST_RECENT = 4096  # requests remembered for the share of refusals
-DESCRIPTORS_SHARE = 8  # of the machine's, one part in so many may be copies
-MOST_PAIRS = 128  # whose live half is not over: each may hold two answers' text
-WRITE_AT_ONCE = 256  # pairs in one frame
-CLOSE_S = 0.2
-CHAT = "spoolbarrow-shadow"
+SPOOL_SUFFIX = ".pairs.zst"
+RECV_BYTES = 16_384  # per read
+READ_PAUSE_S = 0.002  # after each read of a long answer, to yield the event loop to other greenlets
+RESOURCES_INTERVAL_S = 0.5  # between measurements of descriptors, memory and processor time
+COUNTS_INTERVAL_S = 10.0  # between log lines with counts
+RECENT_WINDOW_MS = 5000.0  # older refusals and load reports are ignored
+MAX_RECENT = 4096  # requests counted at most for the share of refusals
+DESCRIPTORS_DIVISOR = 8  # copies may use at most 1/8 of the machine's descriptors
+MAX_PAIRS = 128  # incomplete pairs; each may hold the texts of two answers
+PAIRS_PER_FRAME = 256  # pairs written as one frame
+CLOSE_TIMEOUT_S = 0.2
+SHADOW_MARK = "spoolbarrow-shadow"
 
 
 class Prepared:
-    """Settings that were checked as far as that goes without using them."""
+    """Settings, validated as far as possible without applying them."""
 
     def __init__(self, table: ShadowTable, config: Config) -> None:
         self.table = table
         self.limits = _limits(table, config)
         self.key = _key(table)
-        self.texts = frozenset(index_of(config.tenants, name, "shadow.text_for") for name in table.text_for)
+        self.text_tenants = frozenset(
+            index_of(config.tenants, name, "shadow.text_for") for name in table.text_for
+        )
         self.addresses = {}
         for n, text in enumerate(table.candidates):
             self.addresses[text] = parse_address(f"shadow.candidates[{n}]", text)
-        if table.in_flight > config.max_outbound // DESCRIPTORS_SHARE:
-            raise ConfigError(f"shadow.in_flight: more than {config.max_outbound // DESCRIPTORS_SHARE} here")
+        if table.in_flight > config.max_outbound // DESCRIPTORS_DIVISOR:
+            raise ConfigError(
+                f"shadow.in_flight: more than {config.max_outbound // DESCRIPTORS_DIVISOR} here"
+            )
         if table.directory and not os.access(table.directory, os.W_OK | os.X_OK):
             raise CannotWrite(f"shadow.directory: {table.directory}: no directory that can be written")
         if not (table.candidates or table.candidate_type or table.candidate_group >= 0):
@@ -67,9 +71,9 @@
 
 
 def _key(table: ShadowTable) -> bytes:
-    """The key of the digests: the same at every router whose spools are compared."""
+    """The key of the digests, which must be the same at all routers whose spools are compared."""
     if not table.key_file:
-        return os.urandom(32)  # of this run alone: pairs within one line still compare
+        return os.urandom(32)  # valid for this run only: the two answers of a pair remain comparable
     try:
         key = Path(table.key_file).read_bytes().strip()
     except OSError as error:
@@ -81,25 +85,31 @@
 
 def _limits(table: ShadowTable, config: Config) -> copy_controller.Limits:
     repeatable = {n for n, cls in enumerate(config.settings.classes) if cls.effect is i.Effect.SAFE}
-    allowed = {index_of(config.classes, name, "shadow.classes") for name in table.classes} or repeatable
-    if not allowed <= repeatable:
+    copied_classes = {
+        index_of(config.classes, name, "shadow.classes") for name in table.classes
+    } or repeatable
+    if not copied_classes <= repeatable:
         raise ConfigError("shadow.classes: only classes that may be repeated can be copied")
-    denied = {index_of(config.classes, name, "shadow.not_classes") for name in table.not_classes}
+    excluded_classes = {index_of(config.classes, name, "shadow.not_classes") for name in table.not_classes}
     tenants = {index_of(config.tenants, name, "shadow.tenants") for name in table.tenants}
-    refused = {index_of(config.tenants, name, "shadow.not_tenants") for name in table.not_tenants}
-    everyone = tenants or set(config.tenants.values()) or {0}
+    excluded_tenants = {index_of(config.tenants, name, "shadow.not_tenants") for name in table.not_tenants}
+    tenants_or_all = tenants or set(config.tenants.values()) or {0}
     shares: dict[tuple[int, int], float] = {}
-    for n, told in enumerate(table.shares):
+    for n, share_table in enumerate(table.shares):
         key = f"shadow.shares[{n}]"
-        name = told.cls
+        name = share_table.cls
         classes = [index_of(config.classes, name, f"{key}.class")] if name else config.classes.values()
-        of = [index_of(config.tenants, told.tenant, f"{key}.tenant")] if told.tenant else everyone
-        shares |= {(cls, tenant): told.share for cls in classes for tenant in of}
+        share_tenants = (
+            [index_of(config.tenants, share_table.tenant, f"{key}.tenant")]
+            if share_table.tenant
+            else tenants_or_all
+        )
+        shares |= {(cls, tenant): share_table.share for cls in classes for tenant in share_tenants}
     return copy_controller.Limits(
         share=table.share,
         shares=shares,
-        classes=frozenset(allowed - denied),
-        tenants=frozenset(everyone - refused),
+        classes=frozenset(copied_classes - excluded_classes),
+        tenants=frozenset(tenants_or_all - excluded_tenants),
         begin_ms=table.begin.timestamp() * 1000 if table.begin else 0.0,
         end_ms=table.end.timestamp() * 1000 if table.end else float("inf"),
         salt=table.salt.encode(),
@@ -119,77 +129,79 @@
     )
 
 
-class _Pair:
-    """A live answer and its copy, until both are over."""
+class _AnswerPair:
+    """A live answer and the answer to its copy, until both have ended."""
 
     def __init__(self, request: Request, facts: i.RequestArrived, engine: str, now: float) -> None:
         self.cls, self.tenant, self.prompt_tokens = request.cls, request.tenant, facts.prompt_tokens
         self.engine = engine
-        # Times count from when a request was written to its engine: what this router did before is its own.
-        self.sent: dict[int, float] = {}  # by the live attempt's number; few
-        self.copy_sent = now
+        # Times count from when the request was written to its engine, so without this router's own work.
+        self.sent_at: dict[int, float] = {}  # by number of the live attempt; few entries
+        self.copy_sent_at = now
         self.live, self.copy = AnswerRecorder(), AnswerRecorder()
-        self.live_told: dict[str, Any] | None = None
-        self.copy_told: dict[str, Any] | None = None
+        self.live_result: dict[str, Any] | None = None
+        self.copy_result: dict[str, Any] | None = None
 
 
-class Failed(Exception):
-    """A copy that went badly; its text says why."""
+class CopyFailed(Exception):
+    """A copy failed; the text is the reason."""
 
 
-class Moot(Exception):
-    """A copy that tells nothing of the candidate."""
+class CopyMoot(Exception):
+    """A copy ended without evidence about the candidate."""
 
 
 class Copier(Observer):
-    """Shadow traffic of one router."""
+    """Copies the live traffic of one router."""
 
     def __init__(self, host: Host, prepared: Prepared) -> None:
         self._host = host
         self._prepared = prepared
-        self._decider = copy_controller.CopyController(host.now(), prepared.limits, host.config.seed)
-        self._greenlets: dict[str, Any] = {}  # copies that are out
-        self._pairs: dict[str, _Pair] = {}
+        self._controller = copy_controller.CopyController(host.now(), prepared.limits, host.config.seed)
+        self._greenlets: dict[str, Any] = {}  # of copies in flight
+        self._pairs: dict[str, _AnswerPair] = {}
         self._addresses: dict[str, Address] = {}
-        self._recent: deque[tuple[float, bool]] = deque(maxlen=MOST_RECENT)  # when over, and whether refused
-        self._unread: dict[str, tuple[float, float]] = {}  # by live engine: when told, and how much
-        self._slow = {"descriptors_share": 0.0, "memory_share": 0.0, "cpu_share": 0.0}
-        self._said: Counter[str] = Counter()
+        # Of the last requests: end time, and whether refused.
+        self._recent_outcomes: deque[tuple[float, bool]] = deque(maxlen=MAX_RECENT)
+        # By live engine: time and unread tokens of its last report.
+        self._unread_by_engine: dict[str, tuple[float, float]] = {}
+        self._resources = {"descriptors_share": 0.0, "memory_share": 0.0, "cpu_share": 0.0}
+        self._logged_drops: Counter[str] = Counter()
         self.pairs = self.pairs_dropped = 0
         self._writer: Writer | None = None
         self.apply(prepared)
         host.observers.add(self)
-        self._ticker = gevent.spawn(self._tick)
+        self._tick_greenlet = gevent.spawn(self._run_ticks)
 
     def apply(self, prepared: Prepared) -> None:
-        """Go by other settings; with a share of 0 every copy ends now."""
+        """Apply new settings; with a share of 0 all copies are cancelled at once."""
         self._prepared, table = prepared, prepared.table
-        self._act(self._decider.configure(self._host.now(), prepared.limits))
-        self._host.destinations.exclude(table.candidate_type, table.candidate_group, self._pooled)
+        self._apply_actions(self._controller.configure(self._host.now(), prepared.limits))
+        self._host.destinations.exclude(table.candidate_type, table.candidate_group, self._on_candidates)
         if self._writer is not None and str(self._writer.directory) != table.directory:
-            gevent.spawn(self._writer.close, CLOSE_S)
+            gevent.spawn(self._writer.close, CLOSE_TIMEOUT_S)
             self._writer = None
         if table.directory and self._writer is None:
             self._writer = Writer(Path(table.directory), table.file_bytes, table.file_ms, table.file_keep)
 
     def stop(self) -> None:
-        """End every copy at once, and begin no other."""
+        """Cancel all copies at once and start no more."""
         self._host.observers.remove(self)
-        self._ticker.kill()
-        self._act(self._decider.stop(self._host.now()))
+        self._tick_greenlet.kill()
+        self._apply_actions(self._controller.stop(self._host.now()))
         self._host.destinations.exclude("", -1, lambda entries: None)
         self._pairs.clear()
-        self._say()
+        self._log_counts()
 
     def close(self) -> None:
-        """Keep the pairs that are whole, as far as the disk takes them soon."""
+        """Write the complete pairs, within a short timeout."""
         if self._writer is not None:
-            self._writer.close(CLOSE_S)
+            self._writer.close(CLOSE_TIMEOUT_S)
 
     # Live traffic
 
     def request_taken(self, request: Request, facts: i.RequestArrived) -> None:
-        """Whether it is copied, and then its copy."""
+        """Decide whether to copy the request, and start its copy."""
         message, now = request.message, self._host.now()
         event = copy_controller.RequestReceived(
             request.key,
@@ -201,66 +213,72 @@
             len(message.body),
             b"x-repeat" in message.fields,
         )
-        if len(self._pairs) >= MOST_PAIRS and self._decider.wanted(now, event):
-            self._decider.dropped["pairs waiting"] += 1
+        if len(self._pairs) >= MAX_PAIRS and self._controller.wanted(now, event):
+            self._controller.dropped["pairs waiting"] += 1
             return
-        for action in self._decider.handle(now, [event]):
+        for action in self._controller.handle(now, [event]):
             if isinstance(action, copy_controller.SendCopy):
-                self._pairs[request.key] = _Pair(request, facts, action.engine, now)
-                # The body is the live request's own, held once; it is let go when the copy is written.
+                self._pairs[request.key] = _AnswerPair(request, facts, action.engine, now)
+                # The body is shared with the live request, and released once the copy has been written.
                 copy = (request.key, message, action.engine, action.deadline_ms)
-                self._greenlets[request.key] = gevent.spawn(self._copy, *copy)
+                self._greenlets[request.key] = gevent.spawn(self._run_copy, *copy)
             else:
-                self._act([action])
+                self._apply_actions([action])
 
     def parts_forwarded(self, request: Request, parts: list[bytes]) -> None:
-        """The live half of a pair."""
+        """Record a part of the live answer."""
         pair = self._pairs.get(request.key)
         if pair is not None:
             now, stream = self._host.now(), request.serving_attempt
-            begun = pair.sent.get(stream.number, now) if stream is not None else now
-            pair.live.feed(b"".join(parts), now - begun)
+            sent_at = pair.sent_at.get(stream.number, now) if stream is not None else now
+            pair.live.feed(b"".join(parts), now - sent_at)
 
     def attempt_sent(self, attempt: Attempt) -> None:
-        """From here on the live answer's time counts."""
+        """Start the clock of the live answer."""
         pair = self._pairs.get(attempt.request.key)
         if pair is not None:
-            pair.sent[attempt.number] = self._host.now()
+            pair.sent_at[attempt.number] = self._host.now()
 
     def probe_answered(self, endpoint: str, report: i.Report) -> None:
-        """How full live engines are."""
+        """Record the load that a live engine reports."""
         if report.unread_tokens >= 0:
-            self._unread[endpoint] = (self._host.now(), report.unread_tokens)
+            self._unread_by_engine[endpoint] = (self._host.now(), report.unread_tokens)
 
     def request_over(self, request: Request, now: float) -> None:
-        """The live half is over; where its client left there is nothing to compare with."""
-        self._recent.append((now, request.answer_kind == "fail_fast"))
+        """The live answer ended; if its client disconnected there is nothing to compare with."""
+        self._recent_outcomes.append((now, request.answer_kind == "fail_fast"))
         pair = self._pairs.get(request.key)
         if pair is None:
             return
         if request.answer_kind == "left":
-            self._drop(request.key)
+            self._discard_pair(request.key)
             greenlet = self._greenlets.get(request.key)
             if greenlet is not None:
-                self._ended(request.key, False, "live client left", moot=True)
+                self._on_copy_ended(request.key, False, "live client left", moot=True)
                 greenlet.kill(block=False)
             return
         engine = request.serving_attempt.endpoint if request.serving_attempt else ""
-        pair.live_told = {"outcome": request.answer_kind, "engine": engine, "attempts": len(request.attempts)}
-        self._keep(request.key, pair)
+        pair.live_result = {
+            "outcome": request.answer_kind,
+            "engine": engine,
+            "attempts": len(request.attempts),
+        }
+        self._write_if_complete(request.key, pair)
 
-    # The candidates
+    # Candidates
 
-    def _pooled(self, entries: list[tuple[str, Address, bool, float]]) -> None:
-        """Discovery's candidates: name, address, whether in service, start; with the configured ones."""
-        told = [copy_controller.Engine(name) for name in self._prepared.addresses]
+    def _on_candidates(self, entries: list[tuple[str, Address, bool, float]]) -> None:
+        """Combine configured candidates with those of discovery: name, address, whether in service, start."""
+        engines = [copy_controller.Engine(name) for name in self._prepared.addresses]
         self._addresses = dict(self._prepared.addresses)
-        for name, where, serving, started in entries:
-            told.append(copy_controller.Engine(name, serving, started))
-            self._addresses[name] = where
-        self._act(self._decider.handle(self._host.now(), [copy_controller.CandidatePool(tuple(told))]))
+        for name, address, serving, started in entries:
+            engines.append(copy_controller.Engine(name, serving, started))
+            self._addresses[name] = address
+        self._apply_actions(
+            self._controller.handle(self._host.now(), [copy_controller.CandidatePool(tuple(engines))])
+        )
 
-    def _copy(self, key: str, message: http1.Message, engine: str, deadline_ms: float) -> None:
+    def _run_copy(self, key: str, message: http1.Message, engine: str, deadline_ms: float) -> None:
         good, why, moot = False, "", False
         try:
             with gevent.Timeout(deadline_ms / 1000):
@@ -268,75 +286,77 @@
             good = True
         except gevent.Timeout:
             why = "deadline"
-        except Moot as error:
+        except CopyMoot as error:
             why, moot = str(error), True
-        except (OSError, http1.HttpError, Failed) as error:
-            why = str(error) if isinstance(error, Failed) else f"{type(error).__name__}: {error}"
+        except (OSError, http1.HttpError, CopyFailed) as error:
+            why = str(error) if isinstance(error, CopyFailed) else f"{type(error).__name__}: {error}"
         except gevent.GreenletExit:
-            return  # abandoned: told already
+            return  # cancelled: already reported
         except Exception as error:
             log_exception("copy", error)
             why = "unexpected"
-        self._ended(key, good, why, moot)
+        self._on_copy_ended(key, good, why, moot)
 
     def _exchange(self, key: str, message: http1.Message, engine: str, deadline_ms: float) -> None:
-        where = self._addresses.get(engine)
-        if where is None:
-            raise Moot("engine gone")
+        address = self._addresses.get(engine)
+        if address is None:
+            raise CopyMoot("engine gone")
         body, pair, table = message.body, self._pairs[key], self._prepared.table
         connect_s = self._host.config.connect_timeout_ms / 1000
-        with http1.connect(where, connect_s) as sock:
+        with http1.connect(address, connect_s) as sock:
             marked = http1.Message(
                 method=message.method,
                 target=message.target,
                 body=body,
-                headers=[*message.headers, (table.header.encode(), CHAT.encode())],
+                headers=[*message.headers, (table.header.encode(), SHADOW_MARK.encode())],
             )
-            http1.send_pieces(sock, http1.request_pieces(marked, where, int(deadline_ms)))
-            pair.copy_sent = self._host.now()
+            http1.send_pieces(sock, http1.request_pieces(marked, address, int(deadline_ms)))
+            pair.copy_sent_at = self._host.now()
             del body, marked, message
             self._read(key, sock, pair, engine, table.answer_bytes)
 
-    def _read(self, key: str, sock: socket, pair: _Pair, engine: str, most: int) -> None:
+    def _read(self, key: str, sock: socket, pair: _AnswerPair, engine: str, max_bytes: int) -> None:
         options = self._host.config.options
-        parser, buffer, size = http1.ResponseParser(options.max_head, most), bytearray(RECV), 0
+        parser, buffer, size = http1.ResponseParser(options.max_head, max_bytes), bytearray(RECV_BYTES), 0
         while not parser.complete:
             parser.read(sock, buffer)
             parts = parser.take_body()
             size += sum(map(len, parts))
-            if size > most:
-                raise Failed("answer too large")
+            if size > max_bytes:
+                raise CopyFailed("answer too large")
             if parser.head_complete and parser.status != 200:
                 if parser.status in (400, 404, 405, 413, 422):
-                    raise Moot(f"answered {parser.status}")  # its client's fault, not the candidate's
-                full = parser.status in (503, 504) and parser.fields.get(UNPROCESSED_HEADER) == b"1"
-                raise Failed("turned away" if full else f"answered {parser.status}")
+                    raise CopyMoot(f"answered {parser.status}")  # the client's error, not the candidate's
+                unprocessed = parser.status in (503, 504) and parser.fields.get(UNPROCESSED_HEADER) == b"1"
+                raise CopyFailed("turned away" if unprocessed else f"answered {parser.status}")
             if parser.head_complete and not parser.fields.get(b"content-type", b"").lower().startswith(
                 EVENT_STREAM_TYPE
             ):
-                raise Failed("no stream of events")
+                raise CopyFailed("no stream of events")
             if parts:
                 now = self._host.now()
                 if not pair.copy.octets:
-                    self._act(self._decider.handle(now, [copy_controller.CopyStarted(key)]))
-                pair.copy.feed(b"".join(parts), now - pair.copy_sent)
-                gevent.sleep(READ_PAUSE_S if size > most // 4 else 0)
+                    self._apply_actions(self._controller.handle(now, [copy_controller.CopyStarted(key)]))
+                pair.copy.feed(b"".join(parts), now - pair.copy_sent_at)
+                gevent.sleep(READ_PAUSE_S if size > max_bytes // 4 else 0)
         report = parse_load(parser.fields.get(LOAD_HEADER, b""))
         if report is not None and report.unread_tokens >= 0:
-            told = copy_controller.LoadReport(engine, report.unread_tokens)
-            self._act(self._decider.handle(self._host.now(), [told]))
+            load = copy_controller.LoadReport(engine, report.unread_tokens)
+            self._apply_actions(self._controller.handle(self._host.now(), [load]))
         if not pair.copy.whole:
-            raise Failed("no end of the stream")
+            raise CopyFailed("no end of the stream")
 
-    def _ended(self, key: str, good: bool, why: str, moot: bool = False) -> None:
+    def _on_copy_ended(self, key: str, good: bool, why: str, moot: bool = False) -> None:
         self._greenlets.pop(key, None)
-        self._act(self._decider.handle(self._host.now(), [copy_controller.CopyEnded(key, good, why, moot)]))
+        self._apply_actions(
+            self._controller.handle(self._host.now(), [copy_controller.CopyEnded(key, good, why, moot)])
+        )
         pair = self._pairs.get(key)
         if pair is not None:
-            pair.copy_told = {"outcome": "served" if good else "failed", "why": why, "engine": pair.engine}
-            self._keep(key, pair)
+            pair.copy_result = {"outcome": "served" if good else "failed", "why": why, "engine": pair.engine}
+            self._write_if_complete(key, pair)
 
-    def _act(self, actions: list[copy_controller.Action]) -> None:
+    def _apply_actions(self, actions: list[copy_controller.Action]) -> None:
         for action in actions:
             if isinstance(action, copy_controller.CancelCopy):
                 greenlet = self._greenlets.pop(action.request, None)
@@ -344,22 +364,22 @@
                     greenlet.kill(block=False)
                 pair = self._pairs.get(action.request)
                 if pair is not None:
-                    pair.copy_told = {"outcome": "abandoned", "why": action.why, "engine": pair.engine}
-                    self._keep(action.request, pair)
+                    pair.copy_result = {"outcome": "abandoned", "why": action.why, "engine": pair.engine}
+                    self._write_if_complete(action.request, pair)
             elif isinstance(action, copy_controller.LogEvent):
                 log("shadow", what=action.what, why=action.why)
 
     # Pairs
 
-    def _keep(self, key: str, pair: _Pair) -> None:
-        """Write a pair once both halves are over."""
-        if pair.live_told is None or pair.copy_told is None:
+    def _write_if_complete(self, key: str, pair: _AnswerPair) -> None:
+        """Write a pair once both answers have ended."""
+        if pair.live_result is None or pair.copy_result is None:
             return
         del self._pairs[key]
         if self._writer is None:
             return
         config, secret = self._host.config, self._prepared.key
-        with_text = pair.tenant in self._prepared.texts
+        with_text = pair.tenant in self._prepared.text_tenants
         classes = {n: name for name, n in config.classes.items()}
         tenants = {n: name for name, n in config.tenants.items()}
         line = {
@@ -369,126 +389,136 @@
             "class": classes.get(pair.cls, str(pair.cls)),
             "tenant": tenants.get(pair.tenant, str(pair.tenant)),
             "prompt_tokens": pair.prompt_tokens,
-            "live": pair.live_told | pair.live.told(secret, with_text),
-            "copy": pair.copy_told | pair.copy.told(secret, with_text),
+            "live": pair.live_result | pair.live.to_record(secret, with_text),
+            "copy": pair.copy_result | pair.copy.to_record(secret, with_text),
         }
         if self._writer.add(orjson.dumps(line, option=orjson.OPT_APPEND_NEWLINE)):
             self.pairs += 1
         else:
             self.pairs_dropped += 1
 
-    def _drop(self, key: str) -> None:
+    def _discard_pair(self, key: str) -> None:
         self._pairs.pop(key, None)
 
     # Pressure
 
-    def _tick(self) -> None:
+    def _run_ticks(self) -> None:
         wait = copy_controller.TICK_MS / 1000
-        looked = said = time.monotonic()
-        used = time.process_time()
+        measured_at = logged_at = time.monotonic()
+        cpu_used = time.process_time()
         while True:
             due = time.monotonic() + wait
             gevent.sleep(wait)
             now = time.monotonic()
             try:
-                if now - looked >= SLOW_S:
-                    spent = time.process_time()
-                    self._slow = self._look((spent - used) / (now - looked))
-                    looked, used = now, spent
-                self._act(self._decider.handle(self._host.now(), [self._pressure((now - due) * 1000.0)]))
-                if now - said >= SAY_S:
-                    said = now
-                    self._say()
+                if now - measured_at >= RESOURCES_INTERVAL_S:
+                    cpu_now = time.process_time()
+                    self._resources = self._measure_resources((cpu_now - cpu_used) / (now - measured_at))
+                    measured_at, cpu_used = now, cpu_now
+                self._apply_actions(
+                    self._controller.handle(self._host.now(), [self._pressure((now - due) * 1000.0)])
+                )
+                if now - logged_at >= COUNTS_INTERVAL_S:
+                    logged_at = now
+                    self._log_counts()
             except Exception as error:
                 log_exception("shadow", error)
 
     def _pressure(self, lag_ms: float) -> copy_controller.Pressure:
-        since = self._host.now() - RECENT_MS
-        while self._recent and self._recent[0][0] < since:
-            self._recent.popleft()
-        self._unread = {name: told for name, told in self._unread.items() if told[0] >= since}
-        refused = sum(refused for _, refused in self._recent) / len(self._recent) if self._recent else 0.0
-        unread = [tokens for _, tokens in self._unread.values()]
+        since = self._host.now() - RECENT_WINDOW_MS
+        while self._recent_outcomes and self._recent_outcomes[0][0] < since:
+            self._recent_outcomes.popleft()
+        self._unread_by_engine = {
+            name: last for name, last in self._unread_by_engine.items() if last[0] >= since
+        }
+        refused = (
+            sum(refused for _, refused in self._recent_outcomes) / len(self._recent_outcomes)
+            if self._recent_outcomes
+            else 0.0
+        )
+        unread = [tokens for _, tokens in self._unread_by_engine.values()]
         mean = sum(unread) / len(unread) if unread else 0.0
-        return copy_controller.Pressure(lag_ms=lag_ms, refused_share=refused, unread_tokens=mean, **self._slow)
+        return copy_controller.Pressure(
+            lag_ms=lag_ms, refused_share=refused, unread_tokens=mean, **self._resources
+        )
 
-    def _look(self, cpu_share: float) -> dict[str, float]:
+    def _measure_resources(self, cpu_share: float) -> dict[str, float]:
         limits = self._host.config.limits
         descriptors = len(os.listdir("/proc/self/fd")) / limits.sockets
         pages = int(Path("/proc/self/statm").read_text().split()[1])
         memory = pages * os.sysconf("SC_PAGE_SIZE") / (limits.memory_mb * 1024 * 1024)
-        cores = min(limits.cores, 1.0)  # one is all that this program can use
+        cores = min(limits.cores, 1.0)  # this process uses at most one core
         return {"descriptors_share": descriptors, "memory_share": memory, "cpu_share": cpu_share / cores}
 
-    def _say(self) -> None:
-        """What was copied and what was not, and why, since the last line."""
-        dropped = self._decider.dropped - self._said
-        self._said = Counter(self._decider.dropped)
+    def _log_counts(self) -> None:
+        """Log totals of copies and pairs, and the drops by reason since the last line."""
+        dropped = self._controller.dropped - self._logged_drops
+        self._logged_drops = Counter(self._controller.dropped)
         log(
             "shadow_counts",
-            copied=self._decider.copied,
+            copied=self._controller.copied,
             pairs=self.pairs,
             pairs_dropped=self.pairs_dropped,
             out=len(self._greenlets),
-            allowance=round(self._decider.allowance.value, 3),
-            breaker=self._decider.breaker.state.name.lower(),
+            allowance=round(self._controller.allowance.value, 3),
+            breaker=self._controller.breaker.state.name.lower(),
             dropped=dict(dropped),
         )
 
 
 class Writer:
-    """Lines on their way to the spool, bounded; a greenlet and a thread write them."""
+    """Writes lines to the spool from a bounded buffer, with a greenlet and a thread."""
 
-    MOST_BYTES = 4 << 20  # waiting
+    MAX_WAITING_BYTES = 4 << 20  # of waiting lines
 
     def __init__(self, directory: Path, file_bytes: int, file_ms: float, keep: int) -> None:
         self.directory = directory
         self._file_bytes, self._file_ms = file_bytes, file_ms
-        self._spool = Spool(directory, ENDING, keep)
+        self._spool = Spool(directory, SPOOL_SUFFIX, keep)
         self._lines: deque[bytes] = deque()
-        self._held = 0
-        self._woken, self._end = Event(), Event()
+        self._held_bytes = 0
+        self._woken, self._closing = Event(), Event()
         self._greenlet = gevent.spawn(self._run)
 
     def add(self, line: bytes) -> bool:
-        """Take a line; False where there is no room."""
-        if self._held + len(line) > self.MOST_BYTES:
+        """Buffer a line; False if there is no room."""
+        if self._held_bytes + len(line) > self.MAX_WAITING_BYTES:
             return False
         self._lines.append(line)
-        self._held += len(line)
+        self._held_bytes += len(line)
         self._woken.set()
         return True
 
     def close(self, within_s: float) -> None:
-        """Write what waits and complete the file, as far as that goes within the time."""
-        self._end.set()
+        """Write the waiting lines and complete the file, as far as the time allows."""
+        self._closing.set()
         self._woken.set()
         self._greenlet.join(within_s)
         self._greenlet.kill()
 
     def _run(self) -> None:
         apply: Callable[..., Any] = gevent.get_hub().threadpool.apply
-        self._try(partial(apply, self._spool.set_aside_leftovers))
+        self._log_os_errors(partial(apply, self._spool.set_aside_leftovers))
         while True:
             self._woken.clear()
             while self._lines:
-                batch = [self._lines.popleft() for _ in range(min(WRITE_AT_ONCE, len(self._lines)))]
+                batch = [self._lines.popleft() for _ in range(min(PAIRS_PER_FRAME, len(self._lines)))]
                 data = b"".join(batch)
-                self._held -= len(data)
-                if not self._try(partial(apply, self._spool.append, (data,))):
-                    self._try(partial(apply, self._spool.abandon))
+                self._held_bytes -= len(data)
+                if not self._log_os_errors(partial(apply, self._spool.append, (data,))):
+                    self._log_os_errors(partial(apply, self._spool.abandon))
                 if self._spool.size_bytes >= self._file_bytes:
-                    self._try(partial(apply, self._spool.complete))
+                    self._log_os_errors(partial(apply, self._spool.complete))
             old = time.time() * 1000.0 - self._spool.opened_ms >= self._file_ms
-            if old or self._end.is_set():
-                self._try(partial(apply, self._spool.complete))
-            # Guards against a line that came while the thread was at the file: it was lost at the end.
-            if self._end.is_set() and not self._lines:
+            if old or self._closing.is_set():
+                self._log_os_errors(partial(apply, self._spool.complete))
+            # A line that was added while the thread completed the file would otherwise be lost at the end.
+            if self._closing.is_set() and not self._lines:
                 return
             self._woken.wait(1.0)
-            self._end.wait(0.2)  # what comes soon goes with it
+            self._closing.wait(0.2)  # batches lines that follow shortly
 
-    def _try(self, call: Callable[[], Any]) -> bool:
+    def _log_os_errors(self, call: Callable[[], Any]) -> bool:
         try:
             call()
         except OSError as error:
--- a/spoolbarrow/shadow/render.py
+++ b/spoolbarrow/shadow/render.py
@@ -1,4 +1,4 @@
-"""A comparison as a page and as a table: HTML with charts, CSV."""
+"""Renders a comparison as an HTML page with charts and as a CSV table."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from spoolbarrow.shadow.compare import Figures, Pair, Report, first_ms, token_ms, whole
+from spoolbarrow.shadow.compare import Figures, Pair, Report, first_event_ms, is_complete, time_per_token_ms
 
 STYLE = (
     "body{font:14px sans-serif;max-width:70em;margin:2em auto}table{border-collapse:collapse}"
@@ -19,42 +19,42 @@
 )
 
 
-def flat(group: Figures) -> dict[str, Any]:
-    """A group's figures in one line."""
-    line: dict[str, Any] = {}
+def flatten(group: Figures) -> dict[str, Any]:
+    """The figures of a group as one flat row."""
+    row: dict[str, Any] = {}
 
-    def walk(value: Any, name: str) -> None:
+    def visit(value: Any, name: str) -> None:
         if isinstance(value, dict):
-            for key, inner in value.items():
-                walk(inner, f"{name}_{key}" if name else key)
+            for key, item in value.items():
+                visit(item, f"{name}_{key}" if name else key)
         elif isinstance(value, (list, tuple)):
-            for part, inner in zip(("low", "median", "high"), value, strict=True):
-                walk(inner, f"{name}_{part}")
+            for part, item in zip(("low", "median", "high"), value, strict=True):
+                visit(item, f"{name}_{part}")
         else:
-            line[name] = round(value, 5) if isinstance(value, float) else value
+            row[name] = round(value, 5) if isinstance(value, float) else value
 
-    walk(msgspec.to_builtins(group), "")
-    return line
+    visit(msgspec.to_builtins(group), "")
+    return row
 
 
 def to_csv(report: Report) -> str:
-    """A line for each group."""
-    lines = [flat(group) for group in report.groups]
-    columns = list(dict.fromkeys(name for line in lines for name in line))
+    """A CSV table with one row per group."""
+    rows = [flatten(group) for group in report.groups]
+    columns = list(dict.fromkeys(name for row in rows for name in row))
     out = io.StringIO()
     writer = csv.DictWriter(out, columns, lineterminator="\n")
     writer.writeheader()
-    writer.writerows(lines)
+    writer.writerows(rows)
     return out.getvalue()
 
 
 def to_html(report: Report, pairs: list[Pair]) -> str:
-    """The page; its charts are drawn in it."""
-    said = html.escape
+    """An HTML page with inline charts."""
+    escape = html.escape
     parts = [f"<!doctype html><meta charset=utf-8><title>Shadow report</title><style>{STYLE}</style>"]
     mark = report.verdict.split()[0]
-    parts.append(f"<h1>Shadow report: <span class={mark}>{said(report.verdict)}</span></h1>")
-    parts += [f"<p>{said(reason)}</p>" for reason in report.reasons]
+    parts.append(f"<h1>Shadow report: <span class={mark}>{escape(report.verdict)}</span></h1>")
+    parts += [f"<p>{escape(reason)}</p>" for reason in report.reasons]
     columns: tuple[tuple[str, Callable[[Figures], str]], ...] = (
         ("pairs", lambda g: str(g.pairs)),
         ("whole", lambda g: str(g.compared)),
@@ -71,17 +71,19 @@
         ("length, copy / live", lambda g: f"{g.length_ratio:.2f}"),
         ("failed, live / copy", lambda g: f"{g.live.failed:.1%} / {g.copy.failed:.1%}"),
     )
-    parts.append("<table><tr><th></th>" + "".join(f"<th>{said(name)}</th>" for name, _ in columns) + "</tr>")
+    parts.append(
+        "<table><tr><th></th>" + "".join(f"<th>{escape(name)}</th>" for name, _ in columns) + "</tr>"
+    )
     for group in report.groups:
-        cells = "".join(f"<td>{said(show(group))}</td>" for _, show in columns)
-        parts.append(f"<tr><td>{said(group.name)}</td>{cells}</tr>")
+        cells = "".join(f"<td>{escape(show(group))}</td>" for _, show in columns)
+        parts.append(f"<tr><td>{escape(group.name)}</td>{cells}</tr>")
     parts.append("</table>")
     for title, counts in (("What failed", report.failures), ("What was not copied", report.not_copied)):
         if counts:
             parts.append(f"<h2>{title}</h2><table>")
-            parts += [f"<tr><td>{said(why)}</td><td>{n}</td></tr>" for why, n in counts.items()]
+            parts += [f"<tr><td>{escape(why)}</td><td>{n}</td></tr>" for why, n in counts.items()]
             parts.append("</table>")
-    compared = [pair for pair in pairs if whole(pair)]
+    compared = [pair for pair in pairs if is_complete(pair)]
     if compared:
         parts.append("<h2>Times</h2>" + _charts(compared))
     return "\n".join(parts) + "\n"
@@ -97,7 +99,7 @@
 
 
 def _charts(compared: list[Pair]) -> str:
-    """Distributions of both sides, as SVG."""
+    """The distributions of both sides, as SVG."""
     import matplotlib
 
     matplotlib.use("svg")
@@ -105,16 +107,16 @@
 
     matplotlib.rcParams["svg.hashsalt"] = "shadow"
     figure, axes = pyplot.subplots(1, 2, figsize=(10, 3.2), layout="constrained")
-    for place, (title, time) in zip(
-        axes, (("first event, ms", first_ms), ("ms a token", token_ms)), strict=True
+    for axis, (title, time) in zip(
+        axes, (("first event, ms", first_event_ms), ("ms a token", time_per_token_ms)), strict=True
     ):
         for side in ("live", "copy"):
             values = sorted(v for v in (time(pair[side]) for pair in compared) if v == v)
             shares = [(n + 1) / len(values) for n in range(len(values))]
-            place.step(values, shares, where="post", label=side)
-        place.set_title(title)
-        place.set_ylabel("share of answers")
-        place.legend()
+            axis.step(values, shares, where="post", label=side)
+        axis.set_title(title)
+        axis.set_ylabel("share of answers")
+        axis.legend()
     out = io.StringIO()
     figure.savefig(out, format="svg", metadata={"Date": None})
     pyplot.close(figure)
