--- a/spoolbarrow/admission/capacity.py
+++ b/spoolbarrow/admission/capacity.py
@@ -8,9 +8,8 @@
 
 WINDOW_MS = 1000.0  # length of a measurement window
 RATE_WEIGHT = 0.3  # weight of one window in the moving average
-PARTIAL_LOAD_DECAY = (
-    0.999  # factor per window while the fleet is not full: the rate is then only a lower bound
-)
+# Factor per window while the fleet is not full: the rate is then only a lower bound.
+PARTIAL_LOAD_DECAY = 0.999
 MAX_CLOCK_STEP_MS = 10_000.0  # a longer step is a clock jump and not elapsed time
 
 
--- a/spoolbarrow/admission/controller.py
+++ b/spoolbarrow/admission/controller.py
@@ -174,9 +174,8 @@
         self.work_in_flight = 0.0  # work admitted and not finished
         self.fullness = 0.0
         self.accounting = False
-        self.unfair_refusals: dict[
-            int, float
-        ] = {}  # by tenant: moving share of requests refused although within its share
+        # By tenant: moving average of its requests that were refused although it was within its share.
+        self.unfair_refusals: dict[int, float] = {}
         self.cost_ratio = 1.0  # actual per expected work: cached prefixes need no prefill
         self.mean_work = 1.0
         self.service_ms = 0.0
--- a/spoolbarrow/admission/gate.py
+++ b/spoolbarrow/admission/gate.py
@@ -41,8 +41,8 @@
 def tenant_weights(settings: i.Settings) -> tuple[float, ...]:
     """Default weights of the tenants: their quotas if all have one, else their portions."""
     quotas = [t.quota_per_s for t in settings.tenants]
-    found = quotas if quotas and min(quotas) > 0.0 else [t.portion for t in settings.tenants]
-    return tuple(max(weight, 1e-6) for weight in found) or (1.0,)
+    values = quotas if quotas and min(quotas) > 0.0 else [t.portion for t in settings.tenants]
+    return tuple(max(weight, 1e-6) for weight in values) or (1.0,)
 
 
 def expected_work(event: i.RequestArrived) -> float:
@@ -203,11 +203,11 @@
 
     def _to_arrived(self, event: i.RequestArrived) -> d.Arrived:
         caller = self._identify(event)
-        classes, aim = (event.settings or self.router.settings).classes, 1.0
+        classes, objective_ms = (event.settings or self.router.settings).classes, 1.0
         if 0 <= event.cls < len(classes):  # the router refuses unknown classes
-            aim = classes[event.cls].aim(event.prompt_tokens)
+            objective_ms = classes[event.cls].aim(event.prompt_tokens)
         return d.Arrived(
-            event.request, event.tenant, caller.client, expected_work(event), event.budget_ms, aim,
+            event.request, event.tenant, caller.client, expected_work(event), event.budget_ms, objective_ms,
             event.session, caller.prompt, caller.ticket, caller.repeat, event.resumed,
         )  # fmt: skip
 
--- a/spoolbarrow/admission/service.py
+++ b/spoolbarrow/admission/service.py
@@ -33,11 +33,11 @@
 
     def __init__(self, table: DoorTable, config: Config) -> None:
         self.table = table
-        tenant_values = list(tenant_weights(config.settings))
+        weights = list(tenant_weights(config.settings))
         for name, weight in table.weights.items():
-            tenant_values[index_of(config.tenants, name, f"door.weights.{name}")] = weight
+            weights[index_of(config.tenants, name, f"door.weights.{name}")] = weight
         self.settings = d.Settings(
-            weights=tuple(tenant_values), retry_share=table.retry_share,
+            weights=tuple(weights), retry_share=table.retry_share,
             retry_window_ms=table.retry_window_ms, promised_share=table.promised_share, slot_ms=table.slot_ms,
             grace_ms=table.grace_ms,
             max_retry_after_ms=max(config.settings.max_retry_after_ms, table.slot_ms),
