--- a/spoolbarrow/admin/control.py
+++ b/spoolbarrow/admin/control.py
@@ -148,7 +148,7 @@
                             parser.feed(memoryview(data))
                     pieces = self._answer(parser)
                 except gevent.Timeout:
-                    pieces = _error_response(BadCall(HttpError(408, "no complete call in time")))
+                    pieces = _error_response(BadCall(HttpError(408, "no whole call in time")))
                 sock.settimeout(LINGER_S)
                 http1.send_pieces(sock, pieces)
                 sock.shutdown(socket.SHUT_WR)
