--- a/spoolbarrow/lab/__init__.py
+++ b/spoolbarrow/lab/__init__.py
@@ -1,1 +1,1 @@
-"""The lab: a model of engines, discovery, clients and troubles, played in virtual time or on sockets."""
+"""A model of engines, discovery, clients and faults, run in virtual time or on loopback sockets."""
--- a/spoolbarrow/lab/arrivals.py
+++ b/spoolbarrow/lab/arrivals.py
@@ -1,7 +1,7 @@
-"""What clients will ask, drawn ahead: when, of which class and tenant, in which session, how long.
+"""Draws the requests of a scenario in advance: times, classes, tenants, sessions and lengths.
 
-Openings are shared by Zipf's law; a session's next prompt holds all that went before. Nothing here depends
-on what routers or engines do: the load is open loop.
+Shared prefixes have a Zipf popularity; each prompt of a session contains all of its earlier context. Nothing
+here depends on what routers or engines do: the load is open loop.
 """
 
 from __future__ import annotations
@@ -18,12 +18,12 @@
 from spoolbarrow.lab.kinds import Range, draw, low_high
 from spoolbarrow.lab.scenario import ClassShape, Load, Scenario, ScenarioError, Trouble
 
-QUOTA_DEPTH_S = 2.0  # of a quota that may be used at once
-BURST_FACTOR = 2.0  # usual size of the trouble
+QUOTA_BURST_S = 2.0  # of quota that may be used at once
+BURST_FACTOR = 2.0  # default size of a burst
 
 
 class PlannedRequest(Struct, frozen=True):
-    """A request's first try, as its client means it; lengths in tokens."""
+    """A request as its client first sends it; lengths in tokens."""
 
     at_ms: float
     cls: int
@@ -36,7 +36,7 @@
     over_quota: bool  # beyond its tenant's quota
 
 
-class Traced(Struct, forbid_unknown_fields=True):
+class TraceLine(Struct, forbid_unknown_fields=True):
     """One line of a recorded trace."""
 
     at_ms: float
@@ -50,7 +50,7 @@
 
 
 def rate(load: Load, bursts: Iterable[Trouble], at_s: float) -> float:
-    """The rate of arrivals at a time, as a multiple of the mean rate."""
+    """The arrival rate at a time, as a multiple of the mean rate."""
     factor = 1.0
     if load.shape == "wave":
         factor = 1.0 + load.swing * sin(2.0 * pi * at_s / load.period_s)
@@ -62,10 +62,10 @@
     return factor
 
 
-def _times(
+def _arrival_times(
     scenario: Scenario, mean_per_s: float, bursts: list[Trouble], rng: Random, begin: float
 ) -> Iterator[float]:
-    """A Poisson process of varying rate, by thinning (Lewis and Shedler 1979); seconds."""
+    """The times of a Poisson process of varying rate, by thinning (Lewis and Shedler 1979); in seconds."""
     load = scenario.load
     top = 1.0 + load.swing if load.shape == "wave" else load.burst_factor if load.shape == "bursts" else 1.0
     for trouble in bursts:
@@ -81,7 +81,7 @@
 
 
 def _pick(shares: list[float], rng: Random) -> int:
-    """An index by cumulative shares."""
+    """A random index, by cumulative shares."""
     return min(bisect(shares, rng.random() * shares[-1]), len(shares) - 1)
 
 
@@ -90,7 +90,7 @@
 
 
 def _tokens(value: Range, rng: Random, sigma: float = 0.0, most: int = 0) -> int:
-    """Lengths vary by orders of magnitude: evenly on the logarithmic scale, or log-normal."""
+    """A length in tokens. Lengths vary by orders of magnitude, so log-uniform or log-normal."""
     low, high = low_high(value)
     if sigma > 0.0:
         drawn = sqrt(low * high) * exp(sigma * rng.gauss(0.0, 1.0))
@@ -99,20 +99,20 @@
 
 
 def draw_requests(scenario: Scenario, troubles: Iterable[Trouble], rng: Random) -> list[PlannedRequest]:
-    """Every request of the day, in the order they are sent."""
-    found = _traced(scenario) if scenario.load.trace else _drawn(scenario, troubles, rng)
+    """All requests of the scenario, in the order they are sent."""
+    found = _read_trace(scenario) if scenario.load.trace else _draw_all(scenario, troubles, rng)
     found.sort(key=lambda one: one.at_ms)
-    return _quotas(scenario, found)
+    return _mark_over_quota(scenario, found)
 
 
-def _age_s(c: ClassShape) -> float:
-    """How long nearly all sessions last: as many turns as 19 in 20 do not exceed."""
+def _session_duration_s(c: ClassShape) -> float:
+    """The duration that nearly all sessions stay within: the turns that 19 in 20 do not exceed."""
     if c.turns <= 1.0:
         return 0.0
     return low_high(c.think_s)[1] * log(0.05) / log(1.0 - 1.0 / c.turns)
 
 
-def _drawn(scenario: Scenario, troubles: Iterable[Trouble], rng: Random) -> list[PlannedRequest]:
+def _draw_all(scenario: Scenario, troubles: Iterable[Trouble], rng: Random) -> list[PlannedRequest]:
     lead = scenario.lead_s
     bursts = [msgspec.structs.replace(t, begin_s=t.begin_s + lead) for t in troubles if t.name == "burst"]
     classes = list(scenario.classes.values())
@@ -123,10 +123,12 @@
     for c in classes:
         weights = list(accumulate(1.0 / (n + 1) ** c.zipf for n in range(c.openings)))
         openings.append((weights, [(_key(rng), _tokens(c.opening_tokens, rng)) for _ in range(c.openings)]))
-    # Sessions that began before the day go on into it: else its first seconds would be too light.
-    earlier = max((_age_s(c) for c in classes), default=0.0)
+    # Include sessions that began before the scenario, or its first seconds would have too little load.
+    earlier = max((_session_duration_s(c) for c in classes), default=0.0)
     found: list[PlannedRequest] = []
-    for at in _times(scenario, scenario.load.per_engine * scenario.engines / turns, bursts, rng, -earlier):
+    for at in _arrival_times(
+        scenario, scenario.load.per_engine * scenario.engines / turns, bursts, rng, -earlier
+    ):
         cls, tenant, session = _pick(by_class, rng), _pick(by_tenant, rng), _key(rng)
         c = classes[cls]
         prefix, shared = 0, 0
@@ -143,16 +145,18 @@
             answer = _tokens(c.answer_tokens, rng, c.answer_sigma, c.max_answer)
             if 0.0 <= when < scenario.total_s():
                 found.append(
-                    PlannedRequest(when * 1000.0, cls, tenant, session, prefix, context, shared, answer, False)
+                    PlannedRequest(
+                        when * 1000.0, cls, tenant, session, prefix, context, shared, answer, False
+                    )
                 )
             context += answer
             when += draw(c.think_s, rng)
     return found
 
 
-def _traced(scenario: Scenario) -> list[PlannedRequest]:
+def _read_trace(scenario: Scenario) -> list[PlannedRequest]:
     classes, tenants = list(scenario.classes), list(scenario.tenants)
-    decoder = msgspec.json.Decoder(Traced)
+    decoder = msgspec.json.Decoder(TraceLine)
     found = []
     try:
         with open(scenario.load.trace, "rb") as source:
@@ -181,15 +185,15 @@
     return found
 
 
-def _quotas(scenario: Scenario, found: list[PlannedRequest]) -> list[PlannedRequest]:
-    """Mark what each tenant sends beyond its quota (a token bucket)."""
+def _mark_over_quota(scenario: Scenario, found: list[PlannedRequest]) -> list[PlannedRequest]:
+    """Mark the requests of each tenant beyond its quota (a token bucket)."""
     rates = [t.quota_per_engine * scenario.engines or inf for t in scenario.tenants.values()]
-    level = [r * QUOTA_DEPTH_S for r in rates]
+    level = [r * QUOTA_BURST_S for r in rates]
     last = 0.0
     marked = []
     for one in found:
         for n, r in enumerate(rates):
-            level[n] = min(r * QUOTA_DEPTH_S, level[n] + r * (one.at_ms - last) / 1000.0) if r < inf else inf
+            level[n] = min(r * QUOTA_BURST_S, level[n] + r * (one.at_ms - last) / 1000.0) if r < inf else inf
         last = one.at_ms
         over_quota = level[one.tenant] < 1.0
         if not over_quota:
--- a/spoolbarrow/lab/charts.py
+++ b/spoolbarrow/lab/charts.py
@@ -1,4 +1,4 @@
-"""Charts of a table of results: SVG files and a page that holds them."""
+"""Draws charts of a table of results: SVG files and an HTML page with all of them."""
 
 from __future__ import annotations
 
@@ -25,8 +25,8 @@
 }
 
 
-def drawn(draw: Callable[[Any], None], width: float = 6.0, height: float = 3.4) -> str:
-    """An SVG; the same figures give the same text."""
+def render(draw: Callable[[Any], None], width: float = 6.0, height: float = 3.4) -> str:
+    """The chart as SVG text; the same figures give the same text."""
     matplotlib.rcParams["svg.hashsalt"] = "lab"
     figure, axes = pyplot.subplots(figsize=(width, height), layout="constrained")
     draw(axes)
@@ -38,7 +38,7 @@
 
 
 def groups(rows: list[dict[str, Any]], key: str) -> dict[Any, list[dict[str, Any]]]:
-    """Rows by a column, in its order."""
+    """The rows grouped by a column, in the order of its values."""
     found: dict[Any, list[dict[str, Any]]] = {}
     for row in sorted(rows, key=lambda row: row[key]):
         found.setdefault(row[key], []).append(row)
@@ -46,25 +46,25 @@
 
 
 def distribution(rows: list[dict[str, Any]], figure: str) -> str:
-    """How a figure spreads over runs, by policy."""
+    """The distribution of a figure over runs, by policy."""
 
     def draw(axes: Any) -> None:
-        for policy, mine in groups(rows, "policy").items():
-            values = sorted(row[figure] for row in mine)
+        for policy, policy_rows in groups(rows, "policy").items():
+            values = sorted(row[figure] for row in policy_rows)
             axes.step(values, [(n + 1) / len(values) for n in range(len(values))], where="post", label=policy)
         axes.set_xlabel(NAMES.get(figure, figure))
         axes.set_ylabel("share of runs at or under")
         axes.legend(fontsize="small")
 
-    return drawn(draw)
+    return render(draw)
 
 
 def against(rows: list[dict[str, Any]], figure: str, key: str) -> str:
-    """The mean of a figure against load or size, by policy; bars from the least to the most."""
+    """The mean of a figure over load or size, by policy; bars show the minimum and maximum."""
 
     def draw(axes: Any) -> None:
-        for policy, mine in groups(rows, "policy").items():
-            by = groups(mine, key)
+        for policy, policy_rows in groups(rows, "policy").items():
+            by = groups(policy_rows, key)
             means = [sum(row[figure] for row in some) / len(some) for some in by.values()]
             low = [m - min(row[figure] for row in some) for m, some in zip(means, by.values(), strict=True)]
             high = [max(row[figure] for row in some) - m for m, some in zip(means, by.values(), strict=True)]
@@ -75,11 +75,11 @@
         axes.set_ylabel(NAMES.get(figure, figure))
         axes.legend(fontsize="small")
 
-    return drawn(draw)
+    return render(draw)
 
 
 def timeline(report: dict[str, Any]) -> str:
-    """A run's worth in windows, with its troubles shaded."""
+    """A run's worth by window, with its faults shaded."""
 
     def draw(axes: Any) -> None:
         windows = report["windows"]
@@ -93,11 +93,11 @@
         axes.set_ylabel("share of worth")
         axes.set_title(f"{report['scenario']}, {report['policy']}, seed {report['seed']}", fontsize="medium")
 
-    return drawn(draw, 8.0)
+    return render(draw, 8.0)
 
 
 def charts(rows: list[dict[str, Any]]) -> dict[str, str]:
-    """Every chart that the rows can fill, by name."""
+    """Every chart that the rows have data for, by name."""
     found = {}
     for figure in FIGURES:
         found[f"{figure}-distribution"] = distribution(rows, figure)
@@ -112,7 +112,7 @@
 
 
 def write(rows: list[dict[str, Any]], into: Path, title: str) -> list[Path]:
-    """Write the charts and the page; what was written."""
+    """Write the charts and the page; return the paths written."""
     into.mkdir(parents=True, exist_ok=True)
     made = charts(rows)
     written = []
--- a/spoolbarrow/lab/compare.py
+++ b/spoolbarrow/lab/compare.py
@@ -1,4 +1,4 @@
-"""Two sets of runs held against each other: paired by seed and settings, with bootstrap intervals.
+"""Compares two sets of runs: paired by seed and settings, with bootstrap confidence intervals.
 
 B. Efron and R. J. Tibshirani, "An Introduction to the Bootstrap", 1993, chapter 13 (percentile intervals).
 """
@@ -27,7 +27,7 @@
 
 
 class Difference(NamedTuple):
-    """A figure of B less that of A, over all pairs."""
+    """The difference of a figure, B less A, over all pairs."""
 
     figure: str
     pairs: int
@@ -40,23 +40,23 @@
 
 
 def select(text: str) -> tuple[list[dict[str, Any]], set[str]]:
-    """Rows of `DIRECTORY` or `DIRECTORY:key=value,...`, and the keys named; ScenarioError where none fit."""
+    """The rows of `DIRECTORY` or `DIRECTORY:key=value,...` and its keys; ScenarioError if none match."""
     place, _, chosen = text.partition(":")
     if not Path(place).is_dir():
         raise ScenarioError(f"{place}: no such directory")
     rows = ResultTable(Path(place)).rows()
-    wanted = dict(pair.partition("=")[::2] for pair in chosen.split(",") if pair)
-    for key, value in wanted.items():
+    filters = dict(pair.partition("=")[::2] for pair in chosen.split(",") if pair)
+    for key, value in filters.items():
         if rows and key not in rows[0]:
             raise ScenarioError(f"{text}: there is no column {key!r}")
         rows = [row for row in rows if str(row[key]) == value]
     if not rows:
         raise ScenarioError(f"{text}: no rows")
-    return rows, set(wanted)
+    return rows, set(filters)
 
 
 def compare(a: str, b: str, figure: str) -> Difference:
-    """B against A in one figure; ScenarioError where there is nothing to pair."""
+    """Compare B with A in one figure; ScenarioError if no runs can be paired."""
     (first, one), (second, other) = select(a), select(b)
     by = [key for key in PAIRED_BY if key not in one | other]
 
--- a/spoolbarrow/lab/emulator.py
+++ b/spoolbarrow/lab/emulator.py
@@ -1,8 +1,8 @@
-"""The fleet on loopback: engines in processes of their own, discovery in this one, the same day for all.
+"""Emulates a fleet on loopback sockets: engines in worker processes, discovery in this process.
 
-Each router has a discovery address and engine addresses of its own, so that it alone can be cut off.
-A worker prints one JSON line when it listens, reads one when the day begins, and prints one for each change
-of an engine's state. It ends with its parent: at the end of its input.
+Each router has a discovery address and engine addresses of its own, so that it alone can be partitioned.
+A worker prints one JSON line when it listens, reads one when the scenario begins, and prints one for each
+change of an engine's state. It ends with its parent, when its input ends.
 """
 
 from __future__ import annotations
@@ -27,23 +27,23 @@
 from spoolbarrow.wire import STATES
 
 STREAM = b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n"
-WORDS = {state: word for word, state in STATES.items()}
-IDLE_LINE_S = 2.0
-READY_S = 30.0
+STATE_NAMES = {state: word for word, state in STATES.items()}
+IDLE_LINE_INTERVAL_S = 2.0
+READY_TIMEOUT_S = 30.0
 
 
 class Job(msgspec.Struct):
-    """What a worker is told."""
+    """The job of a worker process."""
 
     scenario: Scenario
     seed: int
     worker: int
     workers: int
-    first_port: int = 0  # of the first engine's listeners; 0: free ones
+    first_port: int = 0  # of the first engine's listeners; 0: any free ports
 
 
 def planned_troubles(scenario: Scenario, seed: int) -> list[Planned]:
-    """The day's troubles, their times counted from the beginning of the lead."""
+    """The scenario's faults, with times counted from the beginning of the lead."""
     return [
         msgspec.structs.replace(
             one, trouble=msgspec.structs.replace(one.trouble, begin_s=one.trouble.begin_s + scenario.lead_s)
@@ -53,36 +53,36 @@
 
 
 def worker() -> None:
-    """Serve this process's part of the engines until the input ends."""
+    """Serve this process's share of the engines until the input ends."""
     lines = FileObjectPosix(sys.stdin.fileno(), "rb", close=False)
     job = msgspec.json.decode(lines.readline(), type=Job)
     clock = Clock()
 
-    def tell(change: dict[str, Any]) -> None:
+    def report(change: dict[str, Any]) -> None:
         sys.stdout.buffer.write(msgspec.json.encode(change) + b"\n")
         sys.stdout.buffer.flush()
 
     specs = fleet(job.scenario, stream(job.seed, "fleet"))
     routers, port = job.scenario.routers, job.first_port
-    mine = {
+    engines = {
         n: WireEngine(
-            spec, routers, clock, stream(job.seed, f"engine {n}"), tell, port and port + n * routers
+            spec, routers, clock, stream(job.seed, f"engine {n}"), report, port and port + n * routers
         )
         for n, spec in enumerate(specs)
         if n % job.workers == job.worker
     }
-    tell({"ready": {n: engine.ports for n, engine in mine.items()}})
+    report({"ready": {n: engine.ports for n, engine in engines.items()}})
     begun = lines.readline()
     if begun:
         clock.begun = float(begun)
         for planned in planned_troubles(job.scenario, job.seed):
             if planned.trouble.name not in (*NOBODY, *ROUTERS):
                 for n in planned.victims:
-                    if n in mine:
-                        mine[n].plan(planned)
-        lines.read()  # until the parent ends
-    tell({"figures": [engine.figures() for engine in mine.values()]})
-    for engine in mine.values():
+                    if n in engines:
+                        engines[n].plan(planned)
+        lines.read()  # returns when the parent ends
+    report({"figures": [engine.figures() for engine in engines.values()]})
+    for engine in engines.values():
         engine.close()
 
 
@@ -100,21 +100,23 @@
         entries = [i.ReplicaEntry(s.id, s.zone, s.kind, s.cell) for s in specs]
         self.directory = Directory(scenario.discovery, entries, stream(seed, "discovery"))
         self.index = 1
-        self.unix_ms = 0.0  # of the day's beginning
-        self.withdrawn: dict[tuple[str, int], float] = {}  # when each router was told that an engine drains
+        self.unix_ms = 0.0  # of the scenario's beginning
+        self.withdrawn: dict[
+            tuple[str, int], float
+        ] = {}  # when each router was notified that an engine drains
         self.watchers: dict[int, list[Queue[bytes | None]]] = {n: [] for n in range(scenario.routers)}
         self.listeners = [listen(first_port and first_port + n) for n in range(scenario.routers)]
         self.addresses = [f"{HOST}:{one.getsockname()[1]}" for one in self.listeners]
         self.tasks = [gevent.spawn(self._accept, one, n) for n, one in enumerate(self.listeners)]
 
     def close(self) -> None:
-        """End it."""
+        """Stop the listeners."""
         gevent.killall(self.tasks)
         for one in self.listeners:
             one.close()
 
     def begin(self, troubles: list[Planned]) -> None:
-        """Schedule what hits discovery."""
+        """Schedule the faults of discovery."""
         self.unix_ms = time.time() * 1000.0 - self.clock.now()
         for planned in troubles:
             t = planned.trouble
@@ -126,7 +128,7 @@
                 self.clock.later(end, setattr, self.directory, "behind_ms", 0.0)
 
     def changed(self, change: dict[str, Any]) -> None:
-        """A worker told of an engine."""
+        """Publish an engine's change that a worker reported."""
         name = change["id"]
         spec = self.specs.get(name) or self.specs[name.rstrip("r")]
         self.specs[name], self.ports[name] = spec, change["ports"]
@@ -137,36 +139,38 @@
         self.clock.later(at, self._notice)
 
     def lines(self, entries: tuple[i.ReplicaEntry, ...], whole: bool, caller: int) -> bytes:
-        """A list as discovery writes it, on one line."""
-        told = [
+        """A list as discovery sends it, on one line."""
+        entries_json = [
             {
                 "name": e.replica,
                 "address": f"{HOST}:{self.ports[e.replica][caller]}",
                 "zone": f"z{e.zone}",
                 "type": self.kinds[e.kind],
                 "group": e.cell,
-                "status": WORDS[e.state],
+                "status": STATE_NAMES[e.state],
                 "weight": e.weight,
                 "since_ms": round(e.started_at_ms),
             }
             for e in entries
         ]
-        return msgspec.json.encode({"index": self.index, "snapshot": whole, "endpoints": told}) + b"\n"
+        return (
+            msgspec.json.encode({"index": self.index, "snapshot": whole, "endpoints": entries_json}) + b"\n"
+        )
 
     def _notice(self) -> None:
-        told = self.directory.due(self.clock.now())
+        due = self.directory.due(self.clock.now())
         self.index += 1
-        for one in told:
+        for one in due:
             self.clock.later(one.at, self._push, one)
 
-    def _push(self, told: Told) -> None:
-        line = self.lines(told.entries, False, told.caller)
-        for entry in told.entries:
+    def _push(self, change: Told) -> None:
+        line = self.lines(change.entries, False, change.caller)
+        for entry in change.entries:
             if entry.state is i.ReplicaState.SERVING:
-                self.withdrawn.pop((entry.replica, told.caller), None)
+                self.withdrawn.pop((entry.replica, change.caller), None)
             else:
-                self.withdrawn.setdefault((entry.replica, told.caller), self.clock.now())
-        for queue in self.watchers[told.caller]:
+                self.withdrawn.setdefault((entry.replica, change.caller), self.clock.now())
+        for queue in self.watchers[change.caller]:
             queue.put(line)
 
     def _down(self, until: float) -> None:
@@ -177,9 +181,9 @@
 
     def _accept(self, listener: Any, caller: int) -> None:
         while True:
-            gevent.spawn(self._converse, listener.accept()[0], caller)
+            gevent.spawn(self._serve_connection, listener.accept()[0], caller)
 
-    def _converse(self, sock: Any, caller: int) -> None:
+    def _serve_connection(self, sock: Any, caller: int) -> None:
         parser = RequestParser(16_384, 1024)
         try:
             while data := sock.recv(65_536):
@@ -187,16 +191,16 @@
                 if parser.error is not None:
                     return
                 while parser.complete:
-                    self._tell(sock, caller, parser.complete.popleft().target)
+                    self._respond(sock, caller, parser.complete.popleft().target)
         except OSError:
             pass
         finally:
             sock.close()
 
-    def _tell(self, sock: Any, caller: int, target: bytes) -> None:
-        told = self.directory.call(self.clock.now(), caller)
-        gevent.sleep(max(0.0, (told.at - self.clock.now()) / 1000.0))
-        if told.kind is i.ListKind.FAILED:
+    def _respond(self, sock: Any, caller: int, target: bytes) -> None:
+        call = self.directory.call(self.clock.now(), caller)
+        gevent.sleep(max(0.0, (call.at - self.clock.now()) / 1000.0))
+        if call.kind is i.ListKind.FAILED:
             sock.sendall(PLAIN % (b"503 Service Unavailable", b"", 0, b""))
             return
         whole = self.lines(self.directory.whole(), True, caller)
@@ -210,7 +214,7 @@
             sock.sendall(STREAM + chunk(b"\n" if same else whole))
             while True:
                 try:
-                    line = queue.get(timeout=IDLE_LINE_S)
+                    line = queue.get(timeout=IDLE_LINE_INTERVAL_S)
                 except Empty:
                     line = b"\n"
                 if line is None:
@@ -221,7 +225,7 @@
 
 
 class Emulator:
-    """A running fleet; use as a context. `discovery.addresses` has discovery's address for each router."""
+    """A running fleet, as a context manager; `discovery.addresses` has the address for each router."""
 
     def __init__(
         self, scenario: Scenario, seed: int, processes: int, first_port: int = 0, engine_port: int = 0
@@ -237,7 +241,7 @@
             for n, one in enumerate(self.workers):
                 self._write(one, msgspec.json.encode(Job(scenario, seed, n, processes, engine_port)))
             for one in self.workers:
-                with gevent.Timeout(READY_S):
+                with gevent.Timeout(READY_TIMEOUT_S):
                     ready = msgspec.json.decode(one.stdout.readline())["ready"]
                 ports |= {int(n): found for n, found in ready.items()}
             self.discovery = EmulatedDiscovery(scenario, self.clock, ports, seed, first_port)
@@ -245,29 +249,29 @@
             self._end()
             raise
         self.figures: list[dict[str, Any]] = []  # of each engine, once it has ended
-        self.hearing = [gevent.spawn(self._hear, one) for one in self.workers]
+        self.readers = [gevent.spawn(self._read_worker, one) for one in self.workers]
 
     def begin(self) -> None:
-        """The day begins now."""
+        """Begin the scenario now."""
         self.clock.begun = time.monotonic()
         self.discovery.begin(planned_troubles(self.scenario, self.seed))
         for one in self.workers:
             self._write(one, repr(self.clock.begun).encode())
 
     def late_sends(self, grace_ms: float) -> int:
-        """Requests sent to an engine longer than `grace_ms` after its router was told that it drains.
+        """The number of requests sent to an engine more than `grace_ms` after its router knew that it drains.
 
-        To be asked once the fleet has ended. Engines that serve again are told so, and forgotten here.
+        To be called after the fleet has ended. Engines that serve again are not counted any more.
         """
-        told = self.discovery.withdrawn
+        withdrawn = self.discovery.withdrawn
         sends = [send for one in self.figures for send in one["unwanted"]]
-        return sum(at > told.get((name, router), float("inf")) + grace_ms for name, router, at in sends)
+        return sum(at > withdrawn.get((name, router), float("inf")) + grace_ms for name, router, at in sends)
 
     def _write(self, one: Any, line: bytes) -> None:
         one.stdin.write(line + b"\n")
         one.stdin.flush()
 
-    def _hear(self, one: Any) -> None:
+    def _read_worker(self, one: Any) -> None:
         while line := one.stdout.readline():
             change = msgspec.json.decode(line)
             if "figures" in change:
@@ -295,4 +299,4 @@
         """End all its processes."""
         self.discovery.close()
         self._end()
-        gevent.joinall(self.hearing)
+        gevent.joinall(self.readers)
--- a/spoolbarrow/lab/engine.py
+++ b/spoolbarrow/lab/engine.py
@@ -1,13 +1,12 @@
-"""A language-model engine in steps: continuous batching, chunked reading, paged memory, preemption.
+"""Models a language-model engine by steps: continuous batching, chunked prefill, paged memory, preemption.
 
-G.-I. Yu et al., "Orca", OSDI '22 (a batch is formed anew for each step); A. Agrawal et al., "Taming
+G.-I. Yu et al., "Orca", OSDI '22 (a new batch for each step); A. Agrawal et al., "Taming
 Throughput-Latency Tradeoff in LLM Inference with Sarathi-Serve", OSDI '24, section 4 (a step's token budget
-holds the running requests' tokens first, then pieces of prompts, first come first served); vLLM's scheduler
-(when memory runs out the newest request goes back to the head of the queue and is read again).
+goes to the running requests' tokens first, then to chunks of prompts, first come first served); vLLM's
+scheduler (when memory runs out, the newest request returns to the head of the queue and is prefilled again).
 
-No clock, no I/O: the caller says what time it is, in milliseconds. Steps that only make tokens are taken
-several at once; whatever comes in between cuts such a leap to the step under way, so nothing is different
-for it.
+No clock and no I/O: the caller passes the time, in milliseconds. Steps that only decode are run several at
+once; an event in between cuts such a leap short after the current step, so the results are the same.
 """
 
 from __future__ import annotations
@@ -19,11 +18,11 @@
 from typing import NamedTuple
 
 from spoolbarrow.lab.kinds import EngineParameters
+from spoolbarrow.lab.load_reports import EngineLoad, LoadReporter
 from spoolbarrow.lab.memory import Key, Memory
-from spoolbarrow.lab.load_reports import Load, Reports
-from spoolbarrow.lab.warmup import Warmth
+from spoolbarrow.lab.warmup import Warmup
 
-LEAP = 32  # steps taken at once at most: memory is taken ahead for so many
+LEAP = 32  # most steps run at once: memory for all of them is allocated ahead
 
 
 class EngineRequest(NamedTuple):
@@ -32,38 +31,38 @@
     id: str
     prompt: int
     answer: int
-    opening: Key = None  # names what many requests begin with
+    opening: Key = None  # identifies the prefix that many requests share
     opening_tokens: int = 0
-    session: Key = None  # names what follows it
+    session: Key = None  # identifies the context after it
 
 
 class SubmitResult(Enum):
-    """What becomes of a request that comes."""
+    """The result of submitting a request."""
 
     ACCEPTED = "taken"
-    FULL = "full"  # turned away unseen
+    FULL = "full"  # rejected unprocessed
     ERROR = "error"
-    CRASHED = "fell"  # it was too much for a cold engine: the process dies
+    CRASHED = "fell"  # too much load during slow start: the process crashes
 
 
 class EventKind(Enum):
-    """What happened to a request."""
+    """The kind of an event of a request."""
 
-    STARTED = "started"  # its first token is made
-    ENDED = "ended"  # its last token is made
+    STARTED = "started"  # its first token is generated
+    ENDED = "ended"  # its last token is generated
 
 
 class EngineEvent(NamedTuple):
-    """News of a request."""
+    """An event of a request."""
 
     at: float
     kind: EventKind
     id: str
-    kept: int  # prompt tokens that were not read
+    kept: int  # prompt tokens found in the prefix cache
 
 
 class Job:
-    """A request in the engine."""
+    """The state of a request in the engine."""
 
     __slots__ = (
         "work", "came", "read", "target", "made", "kept", "cap", "opening", "opening_blocks", "rest", "drop",
@@ -72,11 +71,11 @@
     def __init__(self, work: EngineRequest, block: int, came: float) -> None:
         self.work = work
         self.came = came
-        self.read = 0  # tokens of context that are in memory and read
-        self.target = work.prompt  # tokens to read before the next token can be made
+        self.read = 0  # context tokens that are prefilled and in memory
+        self.target = work.prompt  # tokens to prefill before the next token can be generated
         self.made = 0
-        self.kept = -1  # not known before it first runs
-        self.cap = 0  # tokens that the blocks held can take
+        self.kept = -1  # unknown until it first runs
+        self.cap = 0  # token capacity of the blocks held
         shared = min(work.opening_tokens, work.prompt) if work.opening is not None else 0
         self.opening = ("o", work.opening)
         self.opening_blocks = shared // block
@@ -85,7 +84,7 @@
 
 
 class Engine:
-    """One process. `submit`, `cancel` and the rest first bring it to `now`; news is fetched by `advance`."""
+    """One engine process. Each method first advances the model to `now`; `advance` returns the events."""
 
     def __init__(
         self, figures: EngineParameters, rng: Random, now: float = 0.0, cold: bool = False, leap: int = LEAP
@@ -94,40 +93,42 @@
         self.leap = leap
         self.rng = rng
         self.memory = Memory(figures.blocks)
-        self.warmth = Warmth(figures, now, cold)
-        self.reports = Reports(figures, rng)
+        self.warmup = Warmup(figures, now, cold)
+        self.reports = LoadReporter(figures, rng)
         self.waiting: deque[Job] = deque()
-        self.running: list[Job] = []  # in the order they were admitted
+        self.running: list[Job] = []  # in order of admission
         self.jobs: dict[str, Job] = {}
-        self.unread = 0  # tokens still to be read, of all jobs
-        self.asked = self.done_read = self.found = self.let_go = 0  # tokens: asked - rest = unread
+        self.unread = 0  # tokens still to be prefilled, over all jobs
+        self.asked = self.done_read = self.found = self.let_go = (
+            0  # in tokens; asked less the other three is unread
+        )
         self.made = self.preempted = self.steps = 0
-        self.slow = 1.0  # factor on all times, a trouble
-        self.owed_ms = 0.0  # work beside the steps: handshakes, probes
+        self.slow = 1.0  # factor on all times, set by a fault
+        self.owed_ms = 0.0  # work outside the steps: handshakes, probes
         self.not_before = now  # paused until
         self.begin = now
-        self.end = inf  # of the steps under way
-        self.count = 0  # of them
-        self.first_ms = self.grow_ms = 0.0  # the first step's length, and each one's more than the last
+        self.end = inf  # of the current steps
+        self.count = 0  # number of current steps
+        self.first_ms = self.grow_ms = 0.0  # duration of the first step, and each next one's increase
         self.reading: list[tuple[Job, int]] = []
         self.making: list[Job] = []
-        self.news: list[EngineEvent] = []
+        self.events: list[EngineEvent] = []
 
-    # --- from outside
+    # --- public operations
 
     def next_event_at(self) -> float:
-        """When `advance` will next have something to do, ms; infinity while idle."""
+        """The time at which `advance` next has work, in ms; infinity while idle."""
         return self.end
 
     def advance(self, now: float) -> list[EngineEvent]:
-        """Bring it to `now`; what happened since the last call, in order."""
+        """Advance to `now`; return the events since the last call, in order."""
         while self.end <= now:
             self._finish_steps()
-        news, self.news = self.news, []
-        return news
+        events, self.events = self.events, []
+        return events
 
     def submit(self, now: float, work: EngineRequest) -> SubmitResult:
-        """A request has come whole."""
+        """Submit a request that has been received completely."""
         self._to(now)
         f = self.figures
         blocks = -(-(work.prompt + work.answer) // f.block_tokens)
@@ -137,7 +138,7 @@
             return SubmitResult.ERROR
         if len(self.waiting) >= f.waiting + f.slots - len(self.running):
             return SubmitResult.FULL
-        if self.warmth.take(now, work.prompt):
+        if self.warmup.take(now, work.prompt):
             return SubmitResult.CRASHED
         job = self.jobs[work.id] = Job(work, f.block_tokens, now)
         self.waiting.append(job)
@@ -147,7 +148,7 @@
         return SubmitResult.ACCEPTED
 
     def cancel(self, now: float, request: str) -> None:
-        """Its caller has gone: what the kind drops is dropped, at the end of the step under way."""
+        """The client has disconnected: drop the request after the current step, if the kind does that."""
         self._to(now)
         job = self.jobs.get(request)
         if job is None or self.figures.cancel == "none":
@@ -161,16 +162,16 @@
         self._note(now)
 
     def probe_wait(self, now: float) -> float:
-        """How long a probe that comes now waits: for a pause to end, and a step that reads prompts."""
+        """How long a probe waits if it arrives now: for a pause to end, and for a step with prefill."""
         wait = max(0.0, self.not_before - now)
         return max(wait, min(self.end - now, self.first_ms)) if self.reading else wait
 
     def add_overhead(self, now: float, work_ms: float) -> None:
-        """Work beside the steps (a handshake, a probe) makes the next one longer."""
+        """Lengthen the next step by work outside the steps (a handshake, a probe)."""
         self.owed_ms += work_ms if self.running or self.waiting else 0.0
 
     def stall(self, now: float, until: float) -> None:
-        """Nothing moves until then."""
+        """Pause all work until `until`."""
         self._to(now)
         if until > self.not_before:
             more = until - max(now, self.not_before)
@@ -180,27 +181,27 @@
                 self.end += more
 
     def slowed(self, now: float, factor: float) -> None:
-        """From the next step on all takes `factor` times as long."""
+        """Multiply all durations by `factor` from the next step on."""
         self._to(now)
         self._cut(now)
         self.slow = factor
 
-    def load(self, now: float) -> Load:
-        """The true state."""
+    def load(self, now: float) -> EngineLoad:
+        """The true load at `now`."""
         self._to(now)
         return self._load()
 
-    def report(self, now: float) -> Load:
-        """The state as a probe is told."""
+    def report(self, now: float) -> EngineLoad:
+        """The load as a probe gets it."""
         self._to(now)
         return self.reports.read(now)
 
     def cached_tokens(self, work: EngineRequest) -> int:
-        """Prompt tokens of this request that are in memory now."""
+        """The prompt tokens of this request that are in the prefix cache now."""
         return self._found(Job(work, self.figures.block_tokens, 0.0))
 
     def check(self) -> None:
-        """Raise AssertionError where an account does not add up; thorough, and slow."""
+        """Raise AssertionError if the counts are inconsistent; thorough and slow."""
         self.memory.check()
         jobs = [*self.waiting, *self.running]
         assert len(jobs) == len(self.jobs) and all(self.jobs[j.work.id] is j for j in jobs), "a job is lost"
@@ -208,10 +209,10 @@
         assert self.unread == sum(j.target - j.read for j in jobs), "unread tokens differ from the jobs"
         assert self.asked == self.done_read + self.found + self.let_go + self.unread, "a token is unaccounted"
         assert all(j.read <= j.cap for j in self.running), "context beyond the blocks held"
-        assert all(0 <= j.made < j.work.answer for j in jobs), "made more than asked"
+        assert all(0 <= j.made < j.work.answer for j in jobs), "generated more tokens than requested"
         assert all(not j.cap for j in self.waiting), "a waiting request holds memory"
         users = {u for run in self.memory.runs.values() for u in run.users}
-        assert users <= {j.work.id for j in self.running}, "memory is held for one that is not running"
+        assert users <= {j.work.id for j in self.running}, "memory is held for a request that is not running"
 
     # --- steps
 
@@ -219,9 +220,11 @@
         while self.end <= now:
             self._finish_steps()
 
-    def _load(self) -> Load:
+    def _load(self) -> EngineLoad:
         f = self.figures
-        return Load(self.unread, self.memory.held / f.blocks, len(self.running) / f.slots, len(self.waiting))
+        return EngineLoad(
+            self.unread, self.memory.held / f.blocks, len(self.running) / f.slots, len(self.waiting)
+        )
 
     def _note(self, now: float) -> None:
         self.reports.note(now, self._load())
@@ -234,11 +237,11 @@
             self._note(now)
 
     def _lasting(self, steps: int) -> float:
-        """Length of the first so many of the steps under way."""
+        """The duration of the first `steps` of the current steps."""
         return self.first_ms * steps + self.grow_ms * (steps * (steps - 1) // 2)
 
     def _cut(self, now: float) -> None:
-        """End a leap with the step that is under way."""
+        """End a leap after the current step."""
         if self.count <= 1 or self.end == inf:
             return
         low, high = 1, self.count
@@ -271,7 +274,7 @@
         return min(blocks * block, (job.target - 1) // block * block)
 
     def _hold(self, job: Job, tokens: int) -> bool:
-        """Blocks for so many tokens of context."""
+        """Hold the blocks for so many context tokens; False if they don't fit."""
         if tokens <= job.cap:
             return True
         block = self.figures.block_tokens
@@ -294,7 +297,7 @@
                 return
             self.waiting.popleft()
             self.running.append(job)
-            # Holding may have evicted kept blocks of others, never these: they were held first.
+            # Holding may have evicted cached blocks of other texts, never of this one: those were held first.
             job.read = found
             if job.kept < 0:
                 job.kept = found
@@ -310,7 +313,7 @@
         job.target += made_since
         self.unread += lost + made_since
         self.asked += lost + made_since
-        # What it had made and read is asked for again: the accounts count each reading.
+        # Its generated and prefilled tokens must be prefilled again: the counts include each prefill.
         job.read = 0
         self.preempted += 1
         return job
@@ -345,13 +348,13 @@
             self._note(now)
             return
         batch = len(making) + len(self.reading)
-        factor = self.slow / self.warmth.speed(now)
+        factor = self.slow / self.warmup.speed(now)
         beside = f.per_running_ms * batch + f.per_context_ms * context
         beside += f.read_ms * tokens + f.pair_ms * pairs
         self.first_ms = factor * (f.step_ms + beside)
         self.grow_ms = factor * f.per_context_ms * len(making)
         self.count = 1
-        if not self.reading and self.warmth.warm:
+        if not self.reading and self.warmup.warm:
             count = min(self.leap, min(job.work.answer - job.made for job in making))
             if count > 1 and self._ahead(count):
                 self.count = count
@@ -361,24 +364,24 @@
         self._note(now)
 
     def _ahead(self, steps: int) -> bool:
-        """Take the blocks for so many steps, if that leaves nobody short."""
+        """Allocate the blocks for so many steps, if all running requests can have theirs."""
         need = len(self.making) * (-(-steps // self.figures.block_tokens) + 1)
         if need > self.memory.room():
             return False
         for job in self.making:
-            assert self._hold(job, job.work.prompt + job.made + steps), "room was counted wrongly"
+            assert self._hold(job, job.work.prompt + job.made + steps), "free blocks were miscounted"
         return True
 
     def _finish_steps(self) -> None:
         now, block = self.end, self.figures.block_tokens
-        self.warmth.worked_ms += now - self.begin
+        self.warmup.worked_ms += now - self.begin
         self.steps += self.count
-        gone: list[Job] = []
+        finished: list[Job] = []
         for job in self.making:
             job.made += self.count
             self.made += self.count
             if job.made >= job.work.answer:
-                gone.append(job)
+                finished.append(job)
         read = 0
         for job, piece in self.reading:
             job.read += piece
@@ -388,15 +391,15 @@
             self.memory.fill(job.rest, job.read // block - job.opening_blocks)
             if job.read >= job.target:
                 if not job.made:
-                    self.news.append(EngineEvent(now, EventKind.STARTED, job.work.id, job.kept))
+                    self.events.append(EngineEvent(now, EventKind.STARTED, job.work.id, job.kept))
                 job.made += 1
                 self.made += 1
                 if job.made >= job.work.answer:
-                    gone.append(job)
+                    finished.append(job)
         self.unread -= read
         self.done_read += read
-        for job in gone:
-            self.news.append(EngineEvent(now, EventKind.ENDED, job.work.id, job.kept))
+        for job in finished:
+            self.events.append(EngineEvent(now, EventKind.ENDED, job.work.id, job.kept))
             if self.figures.keeps_answers:
                 self.memory.fill(job.rest, (job.work.prompt + job.made - 1) // block - job.opening_blocks)
             self._leave(job)
--- a/spoolbarrow/lab/experiment.py
+++ b/spoolbarrow/lab/experiment.py
@@ -1,8 +1,8 @@
-"""Experiments: a grid of scenarios, settings, policies, constants and seeds, kept in one Parquet table.
+"""Runs experiments: a grid of scenarios, settings, policies, constants and seeds, kept in one Parquet table.
 
-Rows are appended to a journal of JSON lines as runs end, and folded into the table at the end; after a kill
-the same command goes on with what is not in either. A run is known by the hashes of its scenario, of its
-settings and of the code that plays it, so a table never mixes two programs unseen.
+Rows are appended to a journal of JSON lines as runs end, and merged into the table at the end; after a kill
+the same command resumes with the runs that are in neither. A run is identified by the hashes of its scenario,
+of its settings and of the code, so results of two versions of the program are never mixed unnoticed.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 import orjson
 from msgspec import Struct
 
-from spoolbarrow.lab.scenario import ScenarioError, set_key, convert, load_raw
+from spoolbarrow.lab.scenario import ScenarioError, convert, load_raw, set_key
 
 PACKAGE = Path(__file__).resolve().parent.parent
 TABLE, JOURNAL = "results.parquet", "results.jsonl"
@@ -106,12 +106,12 @@
     """An experiment file."""
 
     name: str
-    scenarios: list[str]  # files, from where this one lies
+    scenarios: list[str]  # files, relative to this one
     seeds: tuple[int, ...] = (1, 2, 3)
     policies: tuple[str, ...] = ("spoolbarrow",)
-    settings: dict[str, Any] = {}  # keys of scenarios, dotted, changed in all runs
-    grid: dict[str, list[Any]] = {}  # keys with values: every combination is played
-    constants: dict[str, list[float]] = {}  # of the decision module, by name; every combination too
+    settings: dict[str, Any] = {}  # dotted keys of scenarios, set in all runs
+    grid: dict[str, list[Any]] = {}  # keys with their values: every combination is run
+    constants: dict[str, list[float]] = {}  # of the decision module, by key; every combination too
 
 
 class Job(Struct, kw_only=True):
@@ -128,24 +128,24 @@
     code_hash: str
 
     def key(self) -> str:
-        """The same run has the same key."""
+        """The key that identifies the run."""
         parts = (self.scenario_hash, self.settings_hash, self.code_hash, self.policy, self.seed)
         return digest(parts)
 
 
 def digest(thing: Any) -> str:
-    """A short hash of anything JSON can hold."""
+    """A short hash of a JSON value."""
     return sha256(orjson.dumps(thing, option=orjson.OPT_SORT_KEYS)).hexdigest()[:16]
 
 
 def code_hash() -> str:
-    """A hash of all that decides how a run ends: the model and the decisions."""
+    """A hash of the code that determines a run's results: the model and the decisions."""
     files = [*sorted((PACKAGE / "lab").glob("*.py")), PACKAGE / "router.py", PACKAGE / "interface.py"]
     return sha256(b"\0".join(path.read_bytes() for path in files)).hexdigest()[:16]
 
 
 def read_experiment(path: Path) -> Experiment:
-    """An experiment file; ScenarioError names the faulty key."""
+    """Read an experiment file; ScenarioError names the invalid key."""
     try:
         found = msgspec.convert(tomllib.loads(path.read_text()), Experiment)
     except (OSError, tomllib.TOMLDecodeError, msgspec.ValidationError) as error:
@@ -163,7 +163,7 @@
 
 
 def jobs(experiment: Experiment, directory: Path) -> Iterator[Job]:
-    """Every run, in a settled order; ScenarioError names what cannot be played."""
+    """Every run, in a fixed order; ScenarioError names what cannot be run."""
     code = code_hash()
     for file in experiment.scenarios:
         raw = load_raw(directory / file)
@@ -190,23 +190,23 @@
 
 
 def run_job(job: Job) -> dict[str, Any]:
-    """Play one run in this process; its row."""
+    """Execute one run in this process; return its row."""
     from spoolbarrow import router
     from spoolbarrow.lab.simulate import simulate
 
-    usual = {name: getattr(router, CONSTANTS[name]) for name in job.constants}
+    defaults = {name: getattr(router, CONSTANTS[name]) for name in job.constants}
     try:
         for name, value in job.constants.items():
-            setattr(router, CONSTANTS[name], type(usual[name])(value))
+            setattr(router, CONSTANTS[name], type(defaults[name])(value))
         report = simulate(convert(job.scenario), job.policy, job.seed)
     finally:
-        for name, value in usual.items():
+        for name, value in defaults.items():
             setattr(router, CONSTANTS[name], value)
     return row(job, report)
 
 
 def row(job: Job, report: dict[str, Any]) -> dict[str, Any]:
-    """A run as a line of the table: figures that are asked for often, and the whole report."""
+    """A run as a row of the table: the most used figures, and the whole report."""
     worst = min((window["worth"] for window in report["windows"]), default=1.0)
     return {
         "key": job.key(),
@@ -235,7 +235,7 @@
 
 
 class ResultTable:
-    """The results in a directory: the Parquet table, and the journal of rows not yet in it."""
+    """The results in a directory: the Parquet table, and the journal of rows not yet merged into it."""
 
     def __init__(self, directory: Path) -> None:
         self.directory = directory
@@ -243,7 +243,7 @@
         self.path, self.journal = directory / TABLE, directory / JOURNAL
 
     def rows(self) -> list[dict[str, Any]]:
-        """All rows, each run once."""
+        """All rows, one for each run."""
         import polars
 
         found: dict[str, dict[str, Any]] = {}
@@ -255,20 +255,20 @@
                 try:
                     one = orjson.loads(line)
                 except orjson.JSONDecodeError:
-                    continue  # torn by a kill, or empty
+                    continue  # cut short by a kill, or empty
                 found[one["key"]] = one
         return list(found.values())
 
     def append(self, one: dict[str, Any]) -> None:
-        """Keep a row, whatever happens next."""
+        """Store a row durably."""
         with self.journal.open("ab") as journal:
-            # A line torn by a kill must not take this one with it.
+            # The leading newline keeps a line cut short by a kill from corrupting this one.
             journal.write(b"\n" + orjson.dumps(one) + b"\n")
             journal.flush()
             os.fsync(journal.fileno())
 
     def fold(self) -> None:
-        """Put the journal's rows into the table."""
+        """Merge the journal's rows into the table."""
         import polars
 
         rows = self.rows()
@@ -283,24 +283,27 @@
 def run_experiment(
     experiment: Experiment, directory: Path, into: Path, workers: int, tell: Callable[[int, int], None]
 ) -> int:
-    """Play what the table in `into` lacks; `tell` hears how many are done, and of how many. Runs played."""
+    """Execute the runs that the table in `into` lacks; return their number.
+
+    `tell` is called with how many runs are done, and with how many there are.
+    """
     table = ResultTable(into)
     known = {one["key"] for one in table.rows()}
-    every = list(jobs(experiment, directory))
-    left = [job for job in every if job.key() not in known]
-    done = len(every) - len(left)
-    tell(done, len(every))
-    # Largest first: else one long run is left at the end, alone.
-    left.sort(key=lambda job: -job.scenario.get("engines", 8))
+    all_jobs = list(jobs(experiment, directory))
+    remaining = [job for job in all_jobs if job.key() not in known]
+    done = len(all_jobs) - len(remaining)
+    tell(done, len(all_jobs))
+    # Largest first: otherwise one long run would be left alone at the end.
+    remaining.sort(key=lambda job: -job.scenario.get("engines", 8))
     with ProcessPoolExecutor(workers, mp_context=get_context("spawn")) as pool:
         out: set[Future[dict[str, Any]]] = set()
-        while left or out:
-            while left and len(out) < 2 * workers:
-                out.add(pool.submit(run_job, left.pop(0)))
+        while remaining or out:
+            while remaining and len(out) < 2 * workers:
+                out.add(pool.submit(run_job, remaining.pop(0)))
             finished, out = wait(out, return_when=FIRST_COMPLETED)
             for one in finished:
                 table.append(one.result())
                 done += 1
-                tell(done, len(every))
+                tell(done, len(all_jobs))
     table.fold()
-    return len(every) - len(known & {job.key() for job in every})
+    return len(all_jobs) - len(known & {job.key() for job in all_jobs})
--- a/spoolbarrow/lab/kinds.py
+++ b/spoolbarrow/lab/kinds.py
@@ -1,4 +1,4 @@
-"""Kinds of engine: figures with units, each a number or a range that is drawn once for an engine, by seed."""
+"""Defines kinds of engine: parameters with units, each a number or a range to draw an engine's value from."""
 
 from __future__ import annotations
 
@@ -12,41 +12,43 @@
 
 
 class EngineKind(Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """One kind of engine as a scenario file describes it; every figure may be a range [low, high]."""
+    """One kind of engine as in a scenario file; values of type Range may be given as [low, high]."""
 
     share: float = 1.0  # of the fleet
-    slots: Range = 64  # requests that run at once
-    waiting: Range = 200  # requests in the waiting room; one more is turned away
+    slots: Range = 64  # requests that run concurrently
+    waiting: Range = 200  # length of the request queue; a request beyond it is rejected
     memory_tokens: Range = 100_000
     block_tokens: int = 16
-    step_ms: Range = 15.0  # an empty step
+    step_ms: Range = 15.0  # of an empty step
     step_ms_per_running: Range = 0.1  # added for each running request
-    step_ms_per_1000_context: Range = 0.02  # added for each 1,000 tokens of context of those that run
-    read_tokens_per_s: Range = 15_000  # prompt reading, beside the step's own time
-    read_ms_per_million_pairs: Range = 0.0  # added: each token read attends to all before it
-    chunk_tokens: Range = 1024  # prompt tokens read in a step at most
+    step_ms_per_1000_context: Range = 0.02  # added for each 1,000 context tokens of the running requests
+    read_tokens_per_s: Range = 15_000  # prefill, beside the step's own time
+    read_ms_per_million_pairs: Range = 0.0  # added: each prefilled token attends to all before it
+    chunk_tokens: Range = 1024  # most prompt tokens prefilled in one step
     speed: Range = 1.0  # divides all times
-    cold_from: Range = 0.5  # share of its speed at start
-    cold_ms: Range = 0.0  # until it is warm; 0: never cold
+    cold_from: Range = 0.5  # share of full speed at the start of slow start
+    cold_ms: Range = 0.0  # duration of slow start; 0: none
     warm_by: Literal["time", "work"] = "time"
-    fall_multiple: float = 0.0  # N: prompts taken within fall_ms, as a multiple of what a cold engine could
-    fall_ms: float = 2000.0  # read in that time; beyond N + 2 x root of N + 2 it falls over; 0: never
-    restart_ms: Range = 3000.0  # from a fall to the cold start
+    fall_multiple: float = 0.0  # N: prompts admitted within fall_ms, as a multiple of what slow start could
+    fall_ms: float = (
+        2000.0  # prefill in that time; beyond N + 2 x root of N + 2 it crashes; multiple 0: never
+    )
+    restart_ms: Range = 3000.0  # from a crash to the next slow start
     connections: Range = 1000
     handshake_rtts: Range = 2.0
     handshake_work_ms: Range = 0.1
-    idle_ms: float = 30_000.0  # an idle connection is closed after this
+    idle_ms: float = 30_000.0  # idle connections are closed after this
     probe_work_ms: Range = 0.1
     report_every_ms: Range = 200.0
     report_delay_ms: Range = 50.0
-    report_noise: Range = 0.1  # standard deviation, as a share
-    error_share: Range = 0.0  # requests answered with an error
-    cancel: Literal["none", "queued", "all"] = "all"  # what a cancel drops
+    report_noise: Range = 0.1  # relative standard deviation
+    error_share: Range = 0.0  # share of requests answered with an error
+    cancel: Literal["none", "queued", "all"] = "all"  # which cancelled requests are dropped
     keeps_answers: bool = True
 
 
 class EngineParameters(Struct, frozen=True, kw_only=True):
-    """One engine's own figures, drawn from its kind."""
+    """The parameters of one engine, drawn from its kind."""
 
     speed: float
     slots: int
@@ -55,9 +57,9 @@
     block_tokens: int
     step_ms: float
     per_running_ms: float
-    per_context_ms: float  # for each token
+    per_context_ms: float  # for each context token
     read_ms: float  # for each prompt token
-    pair_ms: float  # for each pair of a token read and one before it
+    pair_ms: float  # for each pair of a prefilled token and one before it
     chunk: int
     cold_from: float
     cold_ms: float
@@ -78,30 +80,30 @@
     keeps_answers: bool
 
     def read_rate(self) -> float:
-        """Prompt tokens a millisecond when warm and full of reading, the steps' own time included."""
+        """Prompt tokens per millisecond at full speed with full chunks, the steps' own time included."""
         return self.chunk / (self.step_ms + self.chunk * self.read_ms)
 
 
 def low_high(value: Range) -> tuple[float, float]:
-    """The ends of a range; a number is a range of one."""
+    """The bounds of a range; a plain number is both of its bounds."""
     return value if isinstance(value, tuple) else (value, value)
 
 
 def draw(value: Range, rng: Random) -> float:
-    """One figure of a range, evenly; a number costs no draw."""
+    """A value drawn uniformly from a range; a plain number uses no random draw."""
     low, high = low_high(value)
     return low if low == high else rng.uniform(low, high)
 
 
-def faults(name: str, kind: EngineKind) -> list[str]:
-    """What cannot be, each with its key."""
+def kind_errors(name: str, kind: EngineKind) -> list[str]:
+    """The invalid values, each with its key."""
     found = []
     for field in msgspec.structs.fields(EngineKind):
         value = getattr(kind, field.name)
         if isinstance(value, (int, float, tuple)) and not isinstance(value, bool):
             low, high = low_high(value)
             if low > high or low < 0:
-                found.append(f"kinds.{name}.{field.name}: wants a range from low to high, not negative")
+                found.append(f"kinds.{name}.{field.name}: must be a range from low to high, not negative")
     for key in ("slots", "memory_tokens", "step_ms", "read_tokens_per_s", "chunk_tokens", "speed"):
         if low_high(getattr(kind, key))[0] <= 0:
             found.append(f"kinds.{name}.{key}: must be above 0")
@@ -113,7 +115,7 @@
 
 
 def draw_engine(kind: EngineKind, rng: Random) -> EngineParameters:
-    """Draw an engine of this kind."""
+    """Draw the parameters of an engine of this kind."""
     speed = draw(kind.speed, rng)
     return EngineParameters(
         speed=speed,
--- a/spoolbarrow/lab/line_commands.py
+++ b/spoolbarrow/lab/line_commands.py
@@ -1,4 +1,4 @@
-"""How a test or benchmark speaks to a process it started: a line in, a line out, until a time at most."""
+"""Serves commands of a test or benchmark in a process it started: one line of answer for each line."""
 
 from __future__ import annotations
 
@@ -12,19 +12,19 @@
 
 
 class CommandFailed(Problem):
-    """A process of the lab answers a line with an error, or is asked for what it is not."""
+    """A process of the lab answers a command with an error, or gets a command that it does not have."""
 
     where = "the line, or the key"
-    remedy = "See what the process takes, and whether it still runs."
+    remedy = "Check which commands the process has, and whether it still runs."
 
 
-def serve_commands(seconds: float, obey: Callable[[str], str]) -> None:
-    """Answer each line of standard input with one on standard output, until it ends or `seconds` are over."""
-    ear = FileObject(sys.stdin.fileno(), "r", close=False)
+def serve_commands(seconds: float, answer: Callable[[str], str]) -> None:
+    """Answer each line of standard input with one on standard output, until it ends or after `seconds`."""
+    stdin = FileObject(sys.stdin.fileno(), "r", close=False)
 
-    def listen() -> None:
-        for line in ear:
+    def answer_lines() -> None:
+        for line in stdin:
             if line.strip():
-                print(obey(line.strip()), flush=True)
+                print(answer(line.strip()), flush=True)
 
-    gevent.spawn(listen).join(timeout=seconds)
+    gevent.spawn(answer_lines).join(timeout=seconds)
--- a/spoolbarrow/lab/load.py
+++ b/spoolbarrow/lab/load.py
@@ -1,8 +1,9 @@
-"""Open-loop load over sockets: each request at the time it is due, whatever the answers do.
+"""Generates open-loop load over sockets: sends each request when it is due, independent of the responses.
 
-Latency counts from when a request was due, so that a slow answer cannot hide the wait of those behind it
-(G. Tene's "coordinated omission"; wrk2). Several processes share the requests; each reads a line of JSON when
-to begin, further lines name the routers that the front believes in. Runs in gevent greenlets.
+Latency counts from the time a request was due, so that a slow response can't hide the wait of the requests
+behind it (G. Tene's "coordinated omission"; wrk2). Several processes share the requests; each reads a JSON
+line with the time to begin, and further lines with the routers that the load balancer uses. Runs in gevent
+greenlets.
 """
 
 from __future__ import annotations
@@ -21,62 +22,62 @@
 from gevent.fileobject import FileObjectPosix
 from hdrh.histogram import HdrHistogram
 
-from spoolbarrow.lab.run_report import Record
 from spoolbarrow.lab.arrivals import PlannedRequest, draw_requests
 from spoolbarrow.lab.fleet import plan, stream
 from spoolbarrow.lab.kinds import draw
+from spoolbarrow.lab.run_report import Record
 from spoolbarrow.lab.scenario import Scenario
 from spoolbarrow.net import http1
 
 LOWEST_US, HIGHEST_US, DIGITS = 1, 3_600_000_000, 3
-STREAM_S = 60.0  # a stream that says nothing for so long is lost
-CONNECT_S = 1.0
-KEEP = 2000  # idle connections to one router, at most
+STREAM_TIMEOUT_S = 60.0  # a stream that is idle for this long is lost
+CONNECT_TIMEOUT_S = 1.0
+MAX_IDLE_CONNECTIONS = 2000  # to one router
 LATE_MS = 10.0  # a request sent later than that after it was due counts as late
 SPAWN_AHEAD_MS = 50.0
-AFTER_S = 60.0
-MAX_HEAD = 16_384
+FINISH_TIMEOUT_S = 60.0
+MAX_HEAD_BYTES = 16_384
 
 
-class Patience(Exception):
-    """A client has waited for its first token for as long as it would."""
+class PatienceExceeded(Exception):
+    """A client's patience ended before its first token."""
 
 
 class Job(msgspec.Struct):
-    """What a process is told."""
+    """The job of a load process."""
 
     scenario: Scenario
     seed: int
     worker: int
     workers: int
     targets: list[tuple[str, int]]
-    token_bytes: int  # prompt text sent for a token
+    token_bytes: int  # prompt text sent per token
 
 
 class Result(msgspec.Struct):
-    """What a process found; records by number of the request: outcome, first, end, tries, tokens."""
+    """The result of a load process; records by number of the request: outcome, first, end, tries, tokens."""
 
     records: list[tuple[int, str, float, float, int, int]]
-    late: str  # histograms, encoded; us
+    late: str  # this and the next two: encoded histograms, in us
     first: str
     whole: str
     late_share: float
-    unanswered: int  # tries whose patience ended without any answer
+    unanswered: int  # tries whose patience ended without a response
 
 
 def histogram() -> Any:
-    """Times in microseconds, to three digits."""
+    """A histogram of times in microseconds, to three digits."""
     return HdrHistogram(LOWEST_US, HIGHEST_US, DIGITS)
 
 
 def records(scenario: Scenario, seed: int) -> list[Record]:
-    """The day's requests, the same in every process."""
+    """The scenario's requests, the same in every process."""
     troubles = [planned.trouble for planned in plan(scenario, stream(seed, "troubles"))]
     return [Record(one) for one in draw_requests(scenario, troubles, stream(seed, "arrivals"))]
 
 
-class Player:
-    """This process's clients."""
+class LoadWorker:
+    """The clients of this process."""
 
     def __init__(self, job: Job) -> None:
         self.job, self.scenario = job, job.scenario
@@ -84,26 +85,26 @@
         self.classes = list(self.scenario.classes)
         self.shapes = list(self.scenario.classes.values())
         self.tenants = list(self.scenario.tenants)
-        every = records(self.scenario, job.seed)
-        self.mine = [(n, every[n]) for n in range(job.worker, len(every), job.workers)]
-        self.believed = list(range(len(job.targets)))
-        self.idle: dict[int, deque[Any]] = {n: deque() for n in self.believed}
+        all_records = records(self.scenario, job.seed)
+        self.assigned = [(n, all_records[n]) for n in range(job.worker, len(all_records), job.workers)]
+        self.live_routers = list(range(len(job.targets)))
+        self.idle: dict[int, deque[Any]] = {n: deque() for n in self.live_routers}
         self.begun = 0.0
         self.done = self.sent_late = self.unanswered = 0
         self.late, self.first, self.whole = histogram(), histogram(), histogram()
 
     def now(self) -> float:
-        """Milliseconds since the day began."""
+        """Milliseconds since the scenario began."""
         return (time.monotonic() - self.begun) * 1000.0
 
-    def play(self, begun: float, tell: Callable[[dict[str, int]], None]) -> Result:
-        """Send all when they are due; ends when the last has its outcome."""
+    def play(self, begun: float, report: Callable[[dict[str, int]], None]) -> Result:
+        """Send all requests when they are due; returns when the last has its outcome."""
         self.begun = begun
         gc.collect()
         gc.freeze()
         out = set()
-        told = 0.0
-        for _, record in self.mine:
+        last_report = 0.0
+        for _, record in self.assigned:
             while (ahead := record.planned.at_ms - self.now()) > 0.0:
                 gevent.sleep(min(ahead, SPAWN_AHEAD_MS) / 1000.0)
             late = self.now() - record.planned.at_ms
@@ -112,9 +113,9 @@
             greenlet = gevent.spawn(self._client, record, self._number(record))
             out.add(greenlet)
             greenlet.link(out.discard)
-            if self.now() - told > 1000.0:
-                told = self.now()
-                tell(
+            if self.now() - last_report > 1000.0:
+                last_report = self.now()
+                report(
                     {
                         "sent": len(out) + self.done,
                         "done": self.done,
@@ -122,11 +123,11 @@
                         "late": self.sent_late,
                     }
                 )
-        gevent.joinall(list(out), timeout=AFTER_S)
+        gevent.joinall(list(out), timeout=FINISH_TIMEOUT_S)
         for greenlet in list(out):
             greenlet.kill()
-        found = [(n, r.outcome, r.first_ms, r.end_ms, r.tries, r.made) for n, r in self.mine]
-        late_share = self.sent_late / max(1, len(self.mine))
+        found = [(n, r.outcome, r.first_ms, r.end_ms, r.tries, r.made) for n, r in self.assigned]
+        late_share = self.sent_late / max(1, len(self.assigned))
         late, first, whole = (h.encode().decode() for h in (self.late, self.first, self.whole))
         return Result(found, late, first, whole, late_share, self.unanswered)
 
@@ -134,7 +135,7 @@
         return f"{self.job.seed:x}-{record.planned.session:x}-{int(record.planned.at_ms * 1000.0):x}"
 
     def _client(self, record: Record, name: str) -> None:
-        """One client with its tries."""
+        """Run one client with all its tries."""
         c, one = self.scenario.clients, record.planned
         shape = self.shapes[one.cls]
         for number in range(c.retries + 1):
@@ -154,15 +155,15 @@
             self.whole.record_value(max(LOWEST_US, int(record.end_ms * 1000.0)))
 
     def _try(self, record: Record, name: str, patience_ms: float) -> tuple[str, float]:
-        """One try: how it ended, and when to come back, if that was told."""
-        near = self.scenario.routers_in_zone(self.believed, record.planned.session)
+        """Run one try: its outcome, and the Retry-After in ms, if any."""
+        near = self.scenario.routers_in_zone(self.live_routers, record.planned.session)
         if not near:
             return "failed", 0.0
         target = near[int(self.rng.random() * len(near))]
-        parser = http1.ResponseParser(MAX_HEAD)
+        parser = http1.ResponseParser(MAX_HEAD_BYTES)
         sock = None
         try:
-            with gevent.Timeout(patience_ms / 1000.0, Patience()):
+            with gevent.Timeout(patience_ms / 1000.0, PatienceExceeded()):
                 sock, kept = self._connection(target), True
                 request = self._request(record.planned, name, patience_ms)
                 try:
@@ -173,11 +174,11 @@
                 except OSError:
                     if parser.begun:
                         raise
-                    # A kept connection that closed under the request: once more, on a new one.
+                    # A reused connection closed during the request: retry once on a new one.
                     sock.close()
-                    sock = http1.connect(self.job.targets[target], CONNECT_S)
+                    sock = http1.connect(self.job.targets[target], CONNECT_TIMEOUT_S)
                     sock.sendall(request)
-                    parser = http1.ResponseParser(MAX_HEAD)
+                    parser = http1.ResponseParser(MAX_HEAD_BYTES)
                     while not parser.head_complete:
                         parser.read(sock, buffer)
                 if parser.status == 200:
@@ -193,7 +194,7 @@
                 self._keep(target, sock)
                 sock = None
             return ("refused" if parser.status in (429, 503) else "failed"), retry_after_ms
-        except Patience:
+        except PatienceExceeded:
             self.unanswered += 1
             return "left", 0.0
         except (OSError, http1.HttpError, ValueError):
@@ -203,11 +204,11 @@
                 sock.close()
 
     def _stream(self, record: Record, sock: Any, parser: Any, body: bytes, target: int) -> str:
-        """Read a stream that has begun to its end."""
+        """Read a stream to its end."""
         record.first_ms = self.now() - record.planned.at_ms
         buffer = bytearray(65_536)
         tail = body
-        sock.settimeout(STREAM_S)
+        sock.settimeout(STREAM_TIMEOUT_S)
         try:
             while not parser.complete:
                 parser.read(sock, buffer)
@@ -217,19 +218,19 @@
         if b"data: [DONE]" not in tail:
             return "lost"
         record.end_ms = self.now() - record.planned.at_ms
-        record.made = record.planned.answer + record.planned.prompt - _kept(tail)
+        record.made = record.planned.answer + record.planned.prompt - _cached_tokens(tail)
         if parser.reusable:
             self._keep(target, sock)
         return "served"
 
     def _connection(self, target: int) -> Any:
         idle = self.idle[target]
-        return idle.pop() if idle else http1.connect(self.job.targets[target], CONNECT_S)
+        return idle.pop() if idle else http1.connect(self.job.targets[target], CONNECT_TIMEOUT_S)
 
     def _keep(self, target: int, sock: Any) -> None:
         sock.settimeout(None)
         self.idle[target].append(sock)
-        if len(self.idle[target]) > KEEP:
+        if len(self.idle[target]) > MAX_IDLE_CONNECTIONS:
             self.idle[target].popleft().close()
 
     def _request(self, one: PlannedRequest, name: str, patience_ms: float) -> bytes:
@@ -248,35 +249,35 @@
         return head.encode() + body
 
 
-def _kept(tail: bytes) -> int:
-    """Prompt tokens found kept, as a stream's end tells."""
+def _cached_tokens(tail: bytes) -> int:
+    """The cached prompt tokens that the end of a stream reports."""
     found = tail.rpartition(b'"cached_tokens":')[2]
     digits = found[: len(found) - len(found.lstrip(b"0123456789"))]
     return int(digits or b"0")
 
 
 def worker() -> None:
-    """One process of load, told what to do on its input."""
+    """Run one load process; it reads its job from standard input."""
     lines = FileObjectPosix(sys.stdin.fileno(), "rb", close=False)
-    player = Player(msgspec.json.decode(lines.readline(), type=Job))
+    player = LoadWorker(msgspec.json.decode(lines.readline(), type=Job))
 
-    def tell(thing: Any) -> None:
+    def report(thing: Any) -> None:
         sys.stdout.buffer.write(msgspec.json.encode(thing) + b"\n")
         sys.stdout.buffer.flush()
 
-    def hear() -> None:
+    def read_updates() -> None:
         while line := lines.readline():
-            player.believed = msgspec.json.decode(line)["believed"]
+            player.live_routers = msgspec.json.decode(line)["believed"]
 
-    tell({"ready": len(player.mine)})
+    report({"ready": len(player.assigned)})
     begun = msgspec.json.decode(lines.readline())["begin"]
-    hearing = gevent.spawn(hear)
-    tell(player.play(begun, tell))
-    hearing.kill()
+    readers = gevent.spawn(read_updates)
+    report(player.play(begun, report))
+    readers.kill()
 
 
 class LoadGenerator:
-    """Processes that send a day's requests; use as a context."""
+    """Processes that send the scenario's requests, as a context manager."""
 
     def __init__(
         self,
@@ -299,7 +300,7 @@
                 self._write(one, msgspec.json.encode(job))
             for one in self.processes:
                 if b"ready" not in one.stdout.readline():
-                    raise OSError("a process of load did not start")
+                    raise OSError("a load process did not start")
         except BaseException:
             self._end()
             raise
@@ -309,18 +310,18 @@
         one.stdin.flush()
 
     def begin(self, begun: float) -> None:
-        """The day begins at this steady time, seconds."""
+        """Begin the scenario at this time of the monotonic clock, in seconds."""
         for one in self.processes:
             self._write(one, msgspec.json.encode({"begin": begun}))
-        self.hearing = [gevent.spawn(self._hear, n) for n in range(len(self.processes))]
+        self.readers = [gevent.spawn(self._read_worker, n) for n in range(len(self.processes))]
 
     def set_live_routers(self, routers: list[int]) -> None:
-        """The front sends to these routers from now on."""
+        """Send to these routers from now on."""
         for one in self.processes:
             if one.poll() is None:
                 self._write(one, msgspec.json.encode({"believed": routers}))
 
-    def _hear(self, number: int) -> None:
+    def _read_worker(self, number: int) -> None:
         while line := self.processes[number].stdout.readline():
             if line.startswith(b'{"records"'):
                 self.results.append(msgspec.json.decode(line, type=Result))
@@ -328,31 +329,31 @@
                 self.progress[number] = msgspec.json.decode(line)
 
     def wait(self) -> tuple[list[Record], dict[str, Any]]:
-        """All records, and the figures of the load itself; OSError where a process died."""
-        gevent.joinall(self.hearing)
+        """Wait for the end; all records and the figures of the load itself. OSError if a process died."""
+        gevent.joinall(self.readers)
         if len(self.results) < len(self.processes):
-            raise OSError("a process of load ended without a result")
-        every = records(self.scenario, self.seed)
+            raise OSError("a load process ended without a result")
+        all_records = records(self.scenario, self.seed)
         times = {name: histogram() for name in ("late", "first", "whole")}
         for result in self.results:
             for n, outcome, first, end, tries, made in result.records:
-                r = every[n]
+                r = all_records[n]
                 r.outcome, r.first_ms, r.end_ms, r.tries, r.made = outcome, first, end, tries, made
             for name, merged in times.items():
                 merged.decode_and_add(getattr(result, name).encode())
-        late_share = sum(r.late_share * len(r.records) for r in self.results) / max(1, len(every))
-        told = {
+        late_share = sum(r.late_share * len(r.records) for r in self.results) / max(1, len(all_records))
+        percentiles = {
             f"{name}_ms_p{p:g}": round(merged.get_value_at_percentile(p) / 1000.0, 3)
             for name, merged in times.items()
             for p in (50, 90, 99, 99.9)
         }
         kept = late_share <= 0.01
         unanswered = sum(result.unanswered for result in self.results)
-        return every, {
+        return all_records, {
             "sent_late_share": round(late_share, 6),
             "kept_its_schedule": kept,
             "unanswered": unanswered,
-        } | told
+        } | percentiles
 
     def _end(self) -> None:
         for one in self.processes:
@@ -361,11 +362,11 @@
             one.wait()
 
     def __enter__(self) -> LoadGenerator:
-        """The processes, ready to begin."""
+        """Return the processes, ready to begin."""
         return self
 
     def __exit__(
         self, kind: type[BaseException] | None, error: BaseException | None, trace: TracebackType | None
     ) -> None:
-        """End those that still run."""
+        """End the processes that still run."""
         self._end()
--- a/spoolbarrow/lab/load_reports.py
+++ b/spoolbarrow/lab/load_reports.py
@@ -1,4 +1,4 @@
-"""Load reports of an engine: refreshed now and then, told late, a little noisy."""
+"""Load reports of an engine: refreshed periodically, delivered with a delay, with some noise."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 from spoolbarrow.lab.kinds import EngineParameters
 
 
-class Load(NamedTuple):
-    """What an engine tells of itself."""
+class EngineLoad(NamedTuple):
+    """The load that an engine reports."""
 
     unread_tokens: float
     memory_share: float
@@ -18,11 +18,11 @@
     queued: float
 
 
-IDLE = Load(0.0, 0.0, 0.0, 0.0)
+IDLE = EngineLoad(0.0, 0.0, 0.0, 0.0)
 
 
-class Reports:
-    """What a probe hears: the state as it was at the last refresh that has had time to arrive."""
+class LoadReporter:
+    """Gives probes the state as of the last refresh that is older than the report delay."""
 
     __slots__ = ("every", "delay", "noise", "rng", "phase", "state", "boundary", "told")
 
@@ -30,17 +30,19 @@
         self.every = max(1.0, figures.report_every_ms)
         self.delay, self.noise, self.rng = figures.report_delay_ms, figures.report_noise, rng
         self.phase = rng.random() * self.every
-        self.state = IDLE  # as it is now
-        self.boundary = 0.0  # the last refresh taken account of
-        self.told: list[tuple[float, Load]] = [(0.0, IDLE)]  # refreshes, the one to be told first
+        self.state = IDLE  # the current state
+        self.boundary = 0.0  # time of the last refresh that was recorded
+        self.told: list[tuple[float, EngineLoad]] = [
+            (0.0, IDLE)
+        ]  # refreshes; the first is the one reported now
 
-    def note(self, now: float, state: Load) -> None:
-        """The engine's state changes now; until now it was what was noted before."""
+    def note(self, now: float, state: EngineLoad) -> None:
+        """Record that the engine's state changes now; until now the previously recorded state held."""
         self._refresh(now)
         self.state = state
 
-    def read(self, now: float) -> Load:
-        """The report that a probe gets now."""
+    def read(self, now: float) -> EngineLoad:
+        """The report that a probe gets at `now`."""
         self._refresh(now)
         while len(self.told) > 1 and self.told[1][0] + self.delay <= now:
             del self.told[0]
@@ -55,9 +57,9 @@
         if self.noise > 0.0 and state != IDLE:
             factor = max(0.0, 1.0 + self.noise * self.rng.gauss(0.0, 1.0))
             memory = min(1.0, state.memory_share * max(0.0, 1.0 + self.noise * self.rng.gauss(0.0, 1.0)))
-            state = Load(state.unread_tokens * factor, memory, state.busy_share, state.queued)
+            state = EngineLoad(state.unread_tokens * factor, memory, state.busy_share, state.queued)
         while len(self.told) > 1 and self.told[1][0] + self.delay <= now:
             del self.told[0]
         if len(self.told) >= 64:
-            del self.told[1]  # nobody asks: what lies between need not be known
+            del self.told[1]  # no probes come: the refreshes in between are not needed
         self.told.append((last, state))
--- a/spoolbarrow/lab/memory.py
+++ b/spoolbarrow/lab/memory.py
@@ -1,10 +1,11 @@
-"""Paged memory of an engine: blocks held by running requests, and blocks kept for prompts to come.
+"""Paged memory of an engine: blocks held by running requests, and cached blocks for later prompts.
 
 After W. Kwon et al., "Efficient Memory Management for Large Language Model Serving with PagedAttention",
 SOSP '23, sections 4.1 and 4.4 (pages, sharing), and vLLM's automatic prefix caching (whole blocks only, a
-block is found only behind all blocks before it, least recently used first to go, a text's end before its
-beginning). Blocks are counted in runs: a run is the leading stretch of one text, an opening that many share
-or what one session said after it. So no block has an object of its own, and thousands of engines fit.
+block is a hit only if all blocks before it are, least recently used evicted first, the end of a text before
+its beginning). Blocks are counted in runs: a run is the leading part of one text, either a prefix that many
+requests share or the rest of one session's context. So no block needs an object of its own, and thousands of
+engines fit in memory.
 """
 
 from __future__ import annotations
@@ -14,26 +15,26 @@
 
 from spoolbarrow.lab.scenario import ScenarioError
 
-Key = Any  # hashable: names a text
+Key = Any  # hashable: identifies a text
 
 
 class Run:
-    """The blocks of one text in memory: `size` of them, of which `ready` are read."""
+    """The blocks of one text in memory: `size` of them, of which `ready` are prefilled."""
 
     __slots__ = ("key", "size", "ready", "users")
 
     def __init__(self, key: Key) -> None:
         self.key = key
         self.size = self.ready = 0
-        self.users: dict[str, int] = {}  # blocks held, by request
+        self.users: dict[str, int] = {}  # blocks held by each request
 
     def held(self) -> int:
-        """Blocks that some running request uses."""
+        """The number of blocks that running requests use."""
         return max(self.users.values(), default=0)
 
 
 class Memory:
-    """`total` blocks; what is neither held nor kept is free."""
+    """`total` blocks; those neither held nor cached are free."""
 
     __slots__ = ("total", "held", "size", "runs", "idle")
 
@@ -44,25 +45,27 @@
         self.held = 0  # blocks that running requests use
         self.size = 0  # blocks in all runs
         self.runs: dict[Key, Run] = {}
-        self.idle: OrderedDict[Key, None] = OrderedDict()  # runs with blocks nobody uses, oldest first
+        self.idle: OrderedDict[Key, None] = (
+            OrderedDict()
+        )  # runs with unused blocks, least recently used first
 
     def kept(self, key: Key) -> int:
-        """Blocks of this text that need not be read again."""
+        """The number of blocks of this text that need no prefill."""
         run = self.runs.get(key)
         return run.ready if run is not None else 0
 
     def fill(self, key: Key, blocks: int) -> None:
-        """The first `blocks` blocks of a text that is held are read."""
+        """Mark the first `blocks` blocks of a held text as prefilled."""
         run = self.runs.get(key)
         if run is not None:
             run.ready = max(run.ready, min(blocks, run.size))
 
     def room(self) -> int:
-        """Blocks that could be had: free ones, and kept ones that nobody uses."""
+        """The number of blocks that can be allocated: free ones, and cached ones that no request uses."""
         return self.total - self.held
 
     def hold(self, user: str, key: Key, blocks: int) -> bool:
-        """Let `user` hold the first `blocks` blocks of a text; False, and nothing changed, without room."""
+        """Let `user` hold the first `blocks` blocks of a text; False, with no change, if they don't fit."""
         run = self.runs.get(key)
         if run is None:
             run = self.runs[key] = Run(key)
@@ -86,7 +89,7 @@
         return True
 
     def release(self, user: str, key: Key, keep: bool) -> None:
-        """Let go of a text; what is read and nobody else uses stays as kept, or is dropped."""
+        """Release a text; with `keep`, prefilled blocks that no other request uses stay cached."""
         run = self.runs.get(key)
         if run is None or user not in run.users:
             return
@@ -101,7 +104,7 @@
         self._rank(run)
 
     def _rank(self, run: Run) -> None:
-        """Used just now: the last to be evicted, if it has anything to evict."""
+        """Make a run the most recently used, if it has blocks to evict."""
         self.idle.pop(run.key, None)
         if not run.size and not run.users:
             del self.runs[run.key]
@@ -124,12 +127,12 @@
                     del self.runs[key]
 
     def check(self) -> None:
-        """Raise AssertionError where the accounts do not add up."""
+        """Raise AssertionError if the counts are inconsistent."""
         held = sum(run.held() for run in self.runs.values())
         size = sum(run.size for run in self.runs.values())
-        assert self.held == held and self.size == size, "accounts differ from the runs"
-        assert 0 <= held <= size <= self.total, "more blocks than there are"
+        assert self.held == held and self.size == size, "counts differ from the runs"
+        assert 0 <= held <= size <= self.total, "more blocks in use than exist"
         idle = {run.key for run in self.runs.values() if run.size > run.held()}
-        assert idle == set(self.idle), "the order of eviction misses a run"
-        assert all(run.ready <= run.size for run in self.runs.values()), "read, but not in memory"
-        assert all(run.size or run.users for run in self.runs.values()), "an empty run is kept"
+        assert idle == set(self.idle), "the eviction order misses a run"
+        assert all(run.ready <= run.size for run in self.runs.values()), "prefilled, but not in memory"
+        assert all(run.size or run.users for run in self.runs.values()), "an empty run was not removed"
--- a/spoolbarrow/lab/policies.py
+++ b/spoolbarrow/lab/policies.py
@@ -1,8 +1,9 @@
-"""Policies to compare the router with, in the lab only: they hear and say what `Router` does.
+"""Implements routing policies to compare the router with: they take `Router`'s events and return its actions.
 
 Random, round robin and least in flight are folklore; two choices: M. Mitzenmacher, "The Power of Two Choices
 in Randomized Load Balancing", IEEE TPDS 12(10), 2001; prefix hash: V. Mirrokni, M. Thorup and
-M. Zadimoghaddam, "Consistent Hashing with Bounded Loads", SODA '18. The oracle sees every engine's state.
+M. Zadimoghaddam, "Consistent Hashing with Bounded Loads", SODA '18. The oracle knows the true state
+of every engine.
 """
 
 from __future__ import annotations
@@ -36,29 +37,29 @@
 )
 from spoolbarrow.router import Router
 
-RETRY_LIST_MS = 2000.0
-BOUND = 1.25  # of the mean in flight: an engine beyond it passes a request on
-POINTS = 32  # of an engine on the ring
+LIST_RETRY_MS = 2000.0
+MAX_LOAD_FACTOR = 1.25  # of the mean in flight; a request passes over an engine beyond it
+RING_POINTS_PER_ENGINE = 32  # hash ring points of each engine
 
 
 class RoutingPolicy(Protocol):
-    """What plays a router's part."""
+    """Decides in place of a router."""
 
     def handle(self, now_ms: float, events: list[Event]) -> list[Action]:
-        """Decide on what happened."""
+        """Return the actions for a batch of events."""
         ...
 
 
 class EngineOracle(Protocol):
-    """What only the lab can know."""
+    """The true state of engines, which only the lab knows."""
 
     def first_token_ms(self, replica: str, request: RequestArrived, now: float) -> float:
-        """When the request would get its first token there, from now."""
+        """The time from now until the request would get its first token there."""
         ...
 
 
-class Open:
-    """A request under way."""
+class RequestState:
+    """The state of a request in progress."""
 
     __slots__ = ("event", "tried", "ran", "out", "deadline")
 
@@ -70,8 +71,8 @@
         self.deadline = deadline
 
 
-class Simple:
-    """One attempt at a time, tried elsewhere while it is safe; subclasses choose the engine."""
+class BasicPolicy:
+    """Sends one attempt at a time and retries elsewhere while that is safe; subclasses choose the engine."""
 
     def __init__(self, settings: Settings, seed: int, truth: EngineOracle) -> None:
         self.settings = settings
@@ -80,27 +81,27 @@
         self.entries: dict[str, ReplicaEntry] = {}
         self.serving: list[str] = []
         self.in_flight: dict[str, int] = {}
-        self.open: dict[str, Open] = {}
-        self.begun = False
+        self.open: dict[str, RequestState] = {}
+        self.list_timer_set = False
         self.now = 0.0
 
-    def choose(self, request: Open) -> str | None:
+    def choose(self, request: RequestState) -> str | None:
         """The engine for the next attempt; None to give up."""
         raise NotImplementedError
 
-    def listed(self) -> None:
-        """The list has changed."""
+    def list_changed(self) -> None:
+        """Called when the list has changed."""
 
     def handle(self, now_ms: float, events: list[Event]) -> list[Action]:
-        """Decide on what happened."""
+        """Return the actions for a batch of events."""
         self.now = now_ms
         actions: list[Action] = []
-        if not self.begun:
-            self.begun = True
+        if not self.list_timer_set:
+            self.list_timer_set = True
             actions.append(SetTimer("list", self.rng.random() * 40.0 * self.settings.nodes))
         for event in events:
             if isinstance(event, RequestArrived):
-                self.open[event.request] = Open(event, now_ms + event.budget_ms)
+                self.open[event.request] = RequestState(event, now_ms + event.budget_ms)
                 self._next(event.request, actions)
             elif isinstance(event, AttemptEnded):
                 self._ended(event, actions)
@@ -114,7 +115,7 @@
 
     def _list(self, event: ReplicaList, actions: list[Action]) -> None:
         if event.kind is ListKind.FAILED:
-            actions.append(SetTimer("list", RETRY_LIST_MS * (0.5 + self.rng.random())))
+            actions.append(SetTimer("list", LIST_RETRY_MS * (0.5 + self.rng.random())))
             return
         if event.kind is not ListKind.CHANGES:
             self.entries.clear()
@@ -125,7 +126,7 @@
                 self.entries[entry.replica] = entry
         self.serving = [name for name, e in self.entries.items() if e.state is ReplicaState.SERVING]
         self.in_flight = {name: self.in_flight.get(name, 0) for name in self.entries}
-        self.listed()
+        self.list_changed()
 
     def _next(self, name: str, actions: list[Action]) -> None:
         request = self.open[name]
@@ -161,7 +162,7 @@
         else:
             self._next(event.request, actions)
 
-    def _safe(self, request: Open) -> bool:
+    def _safe(self, request: RequestState) -> bool:
         return self.settings.classes[request.event.cls].effect is Effect.SAFE
 
     def _forget(self, name: str) -> None:
@@ -169,8 +170,8 @@
         if request is not None and request.out and request.tried[-1] in self.in_flight:
             self.in_flight[request.tried[-1]] -= 1
 
-    def some(self, tried: list[str]) -> str:
-        """Any engine, one not tried if a few draws find it."""
+    def pick_untried(self, tried: list[str]) -> str:
+        """A random engine, preferably one not tried yet (8 draws at most)."""
         for _ in range(8):
             name = self.serving[int(self.rng.random() * len(self.serving))]
             if name not in tried:
@@ -178,76 +179,77 @@
         return name
 
 
-class AnyEngine(Simple):
+class RandomChoice(BasicPolicy):
     """Random choice."""
 
-    def choose(self, request: Open) -> str | None:
-        """Any."""
-        return self.some(request.tried)
+    def choose(self, request: RequestState) -> str | None:
+        """A random engine."""
+        return self.pick_untried(request.tried)
 
 
-class RoundRobin(Simple):
-    """Each in turn, from a random beginning."""
+class RoundRobin(BasicPolicy):
+    """Each engine in turn, from a random start."""
 
-    def listed(self) -> None:
-        """Go on from anywhere."""
+    def list_changed(self) -> None:
+        """Restart at a random engine."""
         self.turn = int(self.rng.random() * max(1, len(self.serving)))
 
-    def choose(self, request: Open) -> str | None:
-        """The next."""
+    def choose(self, request: RequestState) -> str | None:
+        """The next engine in turn."""
         self.turn = (self.turn + 1) % len(self.serving)
         return self.serving[self.turn]
 
 
-class LeastInFlight(Simple):
+class LeastInFlight(BasicPolicy):
     """The engine with the fewest of this router's own requests."""
 
-    def choose(self, request: Open) -> str | None:
-        """The least, ties at random."""
+    def choose(self, request: RequestState) -> str | None:
+        """The engine with the fewest; ties at random."""
         left = [name for name in self.serving if name not in request.tried] or self.serving
         least = min(self.in_flight[name] for name in left)
         return self.rng.choice([name for name in left if self.in_flight[name] == least])
 
 
-class TwoChoices(Simple):
+class TwoChoices(BasicPolicy):
     """The less loaded of two random engines."""
 
-    def choose(self, request: Open) -> str | None:
-        """Of two."""
+    def choose(self, request: RequestState) -> str | None:
+        """The less loaded of two random engines."""
         return min(
-            (self.some(request.tried), self.some(request.tried)), key=lambda name: self.in_flight[name]
+            (self.pick_untried(request.tried), self.pick_untried(request.tried)),
+            key=lambda name: self.in_flight[name],
         )
 
 
-class PrefixHash(Simple):
-    """The first engine with room on a ring, from the place of the request's opening or session."""
+class PrefixHash(BasicPolicy):
+    """The first engine below its load bound on a hash ring, from the request's prefix or session."""
 
-    def listed(self) -> None:
-        """Lay the ring anew."""
+    def list_changed(self) -> None:
+        """Rebuild the ring."""
         self.ring = sorted(
             (int.from_bytes(blake2b(name.encode(), salt=b"%d" % n, digest_size=8).digest(), "big"), name)
             for name in self.serving
-            for n in range(POINTS)
+            for n in range(RING_POINTS_PER_ENGINE)
         )
 
-    def choose(self, request: Open) -> str | None:
-        """Walk on while full."""
+    def choose(self, request: RequestState) -> str | None:
+        """The first engine on the ring below the bound."""
         key = request.event.prefix or request.event.session
         place = blake2b(key.to_bytes(8, "big"), digest_size=8).digest()
         start = bisect(self.ring, (int.from_bytes(place, "big"), ""))
-        bound = BOUND * (len(self.open) + 1) / len(self.serving)
+        bound = MAX_LOAD_FACTOR * (len(self.open) + 1) / len(self.serving)
         for n in range(len(self.ring)):
             name = self.ring[(start + n) % len(self.ring)][1]
             if name not in request.tried and self.in_flight[name] + 1 <= max(bound, 1.0):
                 return name
-        return self.some(request.tried)
+        return self.pick_untried(request.tried)
 
 
-class Oracle(Simple):
-    """Sees when each engine would give the first token; gives up what cannot be in time anywhere."""
+class Oracle(BasicPolicy):
+    """Knows when each engine would give the first token; gives up what no engine can serve in time."""
 
-    def choose(self, request: Open) -> str | None:
-        """The soonest of all."""
+    def choose(self, request: RequestState) -> str | None:
+        """The engine with the earliest first token."""
         best, least = None, float("inf")
         for name in self.serving:
             if name not in request.tried:
@@ -257,30 +259,30 @@
         return best if self.now + least < request.deadline else None
 
 
-def own(settings: Settings, seed: int, truth: EngineOracle) -> RoutingPolicy:
-    """The project's decisions."""
+def router_policy(settings: Settings, seed: int, truth: EngineOracle) -> RoutingPolicy:
+    """The router's own decisions."""
     return Router(settings, seed)
 
 
-def doored(settings: Settings, seed: int, truth: EngineOracle) -> RoutingPolicy:
-    """The project's decisions behind its door."""
+def admission_policy(settings: Settings, seed: int, truth: EngineOracle) -> RoutingPolicy:
+    """The router's own decisions behind its admission service."""
     from spoolbarrow.lab.doored import Doored
 
     return Doored(settings, seed)
 
 
-def zoned(settings: Settings, seed: int, truth: EngineOracle) -> RoutingPolicy:
-    """The project's decisions with failover between zones."""
+def failover_router(settings: Settings, seed: int, truth: EngineOracle) -> RoutingPolicy:
+    """The router's own decisions with failover between zones."""
     from spoolbarrow.lab.failover_policy import FailoverRouter
 
     return FailoverRouter(settings, seed)
 
 
 POLICIES: dict[str, Callable[[Settings, int, EngineOracle], RoutingPolicy]] = {
-    "spoolbarrow": own,
-    "door": doored,
-    "failover": zoned,
-    "random": AnyEngine,
+    "spoolbarrow": router_policy,
+    "door": admission_policy,
+    "failover": failover_router,
+    "random": RandomChoice,
     "round-robin": RoundRobin,
     "least-in-flight": LeastInFlight,
     "two-choices": TwoChoices,
--- a/spoolbarrow/lab/random_scenarios.py
+++ b/spoolbarrow/lab/random_scenarios.py
@@ -1,8 +1,9 @@
-"""Deployments made up at random: engines, classes and load drawn over a wide range, the same by seed.
+"""Generates random scenarios: engines, classes and load drawn from wide ranges, reproducible by seed.
 
-A change of the decisions that gains on one deployment may be fitted to it. These are none that anybody runs:
-half of them have few openings, engines on which each stream costs much and loose aims, half have hundreds
-of openings, engines that join a stream nearly for free, heavy-tailed lengths and little memory to spare.
+A change of the decisions that helps one deployment may be overfitted to it. These scenarios match no real
+deployment: half of them have few shared prefixes, engines on which each stream costs much and loose latency
+objectives; half have hundreds of shared prefixes, engines on which another stream costs almost nothing,
+heavy-tailed lengths and little spare memory.
 """
 
 from __future__ import annotations
@@ -15,19 +16,20 @@
 from spoolbarrow.lab.fleet import Spec, fleet, stream
 from spoolbarrow.lab.scenario import Scenario, convert
 
-# By whether openings are many: slots, memory in tokens, step in ms, ms for a stream, ms for 1,000 tokens of
-# context, tokens read a second, ms for a million pairs, tokens of a chunk, tokens of a block
+# By whether there are many shared prefixes: slots, memory in tokens, step in ms, ms for a stream, ms for
+# 1,000 tokens of context, tokens prefilled per second, ms for a million pairs; below: tokens of a prefill
+# chunk, tokens of a memory block
 ENGINES: dict[bool, tuple[tuple[float, float], ...]] = {
     False: ((40, 90), (70e3, 130e3), (9, 22), (0.05, 0.35), (0.02, 0.08), (7e3, 30e3), (0.4, 2.0)),
     True: ((100, 160), (240e3, 380e3), (8, 16), (0.02, 0.07), (0.015, 0.06), (11e3, 24e3), (1.0, 4.0)),
 }
 CHUNKS = {False: (1024, 2048, 4096), True: (4096, 8192)}
 BLOCKS = {False: (32, 64), True: (16,)}
-KINDS, CLASSES = 3, 3
+KIND_COUNT, CLASS_COUNT = 3, 3
 
 
 def _within(rng: Random, low: float, high: float, wide: float = 1.0) -> tuple[float, float]:
-    """A narrow range about a point drawn from a wide one."""
+    """A narrow range about a point drawn from a wide range."""
     middle = rng.uniform(low, high)
     return middle * (1.0 - 0.04 * wide), middle * (1.0 + 0.04 * wide)
 
@@ -61,7 +63,7 @@
 
 
 def _class(rng: Random, many: bool, share: float, bare: bool) -> dict[str, Any]:
-    """One class; a bare one has no opening, and is short."""
+    """One class; a bare one has short prompts and, where there are many shared prefixes, none of them."""
     pace = rng.choice((60.0, 68.0, 80.0)) if many else rng.choice((80.0, 100.0))
     out = _within(rng, 35, 70) if many else _within(rng, 35, 200)
     found: dict[str, Any] = {
@@ -91,18 +93,20 @@
     }
 
 
-def random_scenario(seed: int, many: bool, routers: int, engines: int, load: float, length_s: float) -> Scenario:
-    """A deployment and its day: `load` is the share of what the engines bear."""
+def random_scenario(
+    seed: int, many: bool, routers: int, engines: int, load: float, length_s: float
+) -> Scenario:
+    """A random deployment and its scenario: `load` is a share of the engines' capacity."""
     rng = stream(seed, "site")
-    shares = [rng.uniform(0.2, 0.5) for _ in range(KINDS)]
-    parts = [rng.uniform(0.2, 0.45) for _ in range(CLASSES)]
+    shares = [rng.uniform(0.2, 0.5) for _ in range(KIND_COUNT)]
+    parts = [rng.uniform(0.2, 0.45) for _ in range(CLASS_COUNT)]
     raw: dict[str, Any] = {
         "name": f"{'many' if many else 'few'}-{seed}",
         "length_s": length_s,
         "routers": routers,
         "engines": engines,
         "kinds": {f"kind-{n}": _kind(rng, many, share) for n, share in enumerate(shares)},
-        "classes": {f"class-{n}": _class(rng, many, p, n == CLASSES - 1) for n, p in enumerate(parts)},
+        "classes": {f"class-{n}": _class(rng, many, p, n == CLASS_COUNT - 1) for n, p in enumerate(parts)},
         "net": {"same_ms": (0.13, 0.3), "client_ms": (0.2, 1.2)},
         "clients": {"retries": 1, "patience": (0.4, 1.0), "backoff": "exp", "backoff_ms": (60, 480)},
         "tenants": {"one": {"share": 0.6}, "other": {"share": 0.4}},
@@ -118,19 +122,20 @@
 
 
 def capacity(scenario: Scenario, seed: int) -> float:
-    """Requests a second and engine at which tokens come at their aim, all found kept that was there before.
+    """Requests per second and engine at which tokens meet their objective, with a perfect prefix cache.
 
-    In a steady batch a step of T ms reads T x rate x new tokens and makes a token for each of the
-    rate x answer x T that run, so T = step / (1 - rate x cost), where cost is what a request adds to steps.
+    In a steady batch a step of T ms prefills T x rate x new tokens and generates a token for each of the
+    rate x answer x T running requests, so T = step / (1 - rate x cost), where cost is what a request adds to
+    steps.
     """
-    day = draw_requests(scenario, (), stream(seed, "arrivals"))
-    return _mean_rate(day, fleet(scenario, stream(seed, "fleet")), scenario)
+    requests = draw_requests(scenario, (), stream(seed, "arrivals"))
+    return _mean_rate(requests, fleet(scenario, stream(seed, "fleet")), scenario)
 
 
-def _mean_rate(day: Iterable[PlannedRequest], specs: list[Spec], scenario: Scenario) -> float:
+def _mean_rate(requests: Iterable[PlannedRequest], specs: list[Spec], scenario: Scenario) -> float:
     ended: dict[int, int] = {}
     count = new = answer = context = pairs = 0.0
-    for one in day:
+    for one in requests:
         fresh = one.prompt - ended.get(one.session, one.shared)
         ended[one.session] = one.prompt + one.answer
         count, new, answer = count + 1, new + fresh, answer + one.answer
--- a/spoolbarrow/lab/run_report.py
+++ b/spoolbarrow/lab/run_report.py
@@ -1,4 +1,4 @@
-"""What a day was worth: the one report that both ways of playing a scenario end in."""
+"""Builds the report of a scenario's run, for runs in virtual time and on sockets alike."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 from spoolbarrow.lab.scenario import Scenario
 
 WINDOW_S = 5.0
-WORST = 3  # windows told
+WORST_WINDOWS = 3  # windows reported
 PERCENTILES = (50, 90, 99)
 
 
 class Record(Struct):
-    """One request with all its tries; times in ms from when the first try was due, negative: never."""
+    """One request with all its tries; times in ms from when the first try was due, negative for never."""
 
     planned: PlannedRequest
     outcome: str = "lost"  # served, refused, failed, lost (broken or never answered), left
@@ -26,27 +26,27 @@
     end_ms: float = -1.0
     tries: int = 0
     attempts: int = 0
-    made: int = 0  # tokens that came
+    made: int = 0  # tokens received, including prefilled ones
 
 
 def worth(scenario: Scenario, record: Record) -> tuple[float, float]:
-    """What the request was worth, and what of that was got."""
+    """The worth of a request, and the part of it that was achieved."""
     one = record.planned
     c = list(scenario.classes.values())[one.cls]
-    asked = c.worth * (scenario.load.over_worth if one.over_quota else 1.0)
+    possible = c.worth * (scenario.load.over_worth if one.over_quota else 1.0)
     if record.outcome != "served" or record.first_ms < 0.0:
-        return asked, 0.0
+        return possible, 0.0
     more = c.aim_ms_per_1000 * one.prompt / 1000.0
     pace = (record.end_ms - record.first_ms) / max(1, one.answer - 1) if one.answer > 1 else 0.0
     if record.first_ms <= c.aim_ms + more and (not c.token_aim_ms or pace <= c.token_aim_ms):
-        return asked, asked
+        return possible, possible
     if record.first_ms <= c.deadline_ms + 2.0 * more and (not c.token_aim_ms or pace <= 2.0 * c.token_aim_ms):
-        return asked, asked * c.late_share
-    return asked, 0.0
+        return possible, possible * c.late_share
+    return possible, 0.0
 
 
 def cause(scenario: Scenario, record: Record) -> str:
-    """Why a request did not get its whole worth: its outcome, or that its answer was late or slow."""
+    """Why a request did not achieve its full worth: its outcome, or a late or slow response."""
     if record.outcome != "served":
         return record.outcome
     c = list(scenario.classes.values())[record.planned.cls]
@@ -55,18 +55,18 @@
 
 
 def _causes(scenario: Scenario, records: list[Record], pairs: list[tuple[float, float]]) -> dict[str, float]:
-    """Share of all worth asked for that was lost, by cause."""
-    total = sum(asked for asked, _ in pairs) or 1.0
+    """The lost share of all requested worth, by cause."""
+    total = sum(possible for possible, _ in pairs) or 1.0
     found: dict[str, float] = {}
-    for record, (asked, got) in zip(records, pairs, strict=True):
-        if got < asked:
-            why = cause(scenario, record)
-            found[why] = found.get(why, 0.0) + asked - got
-    return {why: round(lost / total, 6) for why, lost in sorted(found.items())}
+    for record, (possible, achieved) in zip(records, pairs, strict=True):
+        if achieved < possible:
+            reason = cause(scenario, record)
+            found[reason] = found.get(reason, 0.0) + possible - achieved
+    return {reason: round(lost / total, 6) for reason, lost in sorted(found.items())}
 
 
 def to_csv(scenario: Scenario, records: list[Record]) -> str:
-    """A line for each request."""
+    """A CSV table with a line for each request."""
     classes, tenants = list(scenario.classes), list(scenario.tenants)
     lines = ["at_ms,class,tenant,prompt,answer,outcome,first_ms,whole_ms,tries"]
     for r in records:
@@ -79,7 +79,7 @@
 
 
 def work_report(scenario: Scenario, records: list[Record], work: int) -> dict[str, Any]:
-    """What the engines did in all, `work` tokens read and made, and what of it no served answer needed."""
+    """The engines' work, in `work` tokens prefilled and decoded, and the share of it that was wasted."""
     useful = sum(r.made for r in records if r.outcome == "served")
     return {
         "engines": scenario.engines,
@@ -90,24 +90,24 @@
 
 
 def percentile(values: list[float], share: float) -> float:
-    """The smallest value that at least `share` percent do not exceed; 0 of none."""
+    """The smallest value that at least `share` percent do not exceed; 0 without values."""
     ordered = sorted(values)
     return ordered[max(0, ceil(share / 100.0 * len(ordered)) - 1)] if ordered else 0.0
 
 
 def _share(pairs: Iterable[tuple[float, float]]) -> float:
-    asked = got = 0.0
+    possible = achieved = 0.0
     for one, other in pairs:
-        asked += one
-        got += other
-    return round(got / asked, 6) if asked else 1.0
+        possible += one
+        achieved += other
+    return round(achieved / possible, 6) if possible else 1.0
 
 
 def _times(records: list[Record]) -> dict[str, float]:
     first = [r.first_ms for r in records if r.first_ms >= 0.0]
     whole = [r.end_ms for r in records if r.outcome == "served"]
-    told = {f"first_token_ms_p{p}": round(percentile(first, p), 3) for p in PERCENTILES}
-    return told | {f"whole_ms_p{p}": round(percentile(whole, p), 3) for p in PERCENTILES}
+    times = {f"first_token_ms_p{p}": round(percentile(first, p), 3) for p in PERCENTILES}
+    return times | {f"whole_ms_p{p}": round(percentile(whole, p), 3) for p in PERCENTILES}
 
 
 def _windows(
@@ -124,7 +124,7 @@
 
 
 def build_report(scenario: Scenario, records: list[Record], troubles: list[Planned]) -> dict[str, Any]:
-    """The figures of a day that its records hold."""
+    """The figures of a run that its records give."""
     lead = scenario.lead_ms()
     records = [record for record in records if record.planned.at_ms >= lead]
     pairs = [worth(scenario, record) for record in records]
@@ -137,13 +137,13 @@
         found = {}
         for n, name in enumerate(names):
             chosen = [k for k, r in enumerate(records) if getattr(r.planned, key) == n]
-            mine = [records[k] for k in chosen]
-            refused = sum(r.outcome == "refused" for r in mine)
+            group = [records[k] for k in chosen]
+            refused = sum(r.outcome == "refused" for r in group)
             found[name] = {
-                "requests": len(mine),
+                "requests": len(group),
                 "worth": _share(pairs[k] for k in chosen),
-                "refused_share": round(refused / len(mine), 6) if mine else 0.0,
-            } | _times(mine)
+                "refused_share": round(refused / len(group), 6) if group else 0.0,
+            } | _times(group)
         return found
 
     costs = []
@@ -180,6 +180,6 @@
         "classes": part("cls", list(scenario.classes)),
         "tenants": part("tenant", list(scenario.tenants)),
         "windows": windows,
-        "worst_windows": sorted(windows, key=lambda w: w["worth"])[:WORST],
+        "worst_windows": sorted(windows, key=lambda w: w["worth"])[:WORST_WINDOWS],
         "troubles": costs,
     }
--- a/spoolbarrow/lab/scenario.py
+++ b/spoolbarrow/lab/scenario.py
@@ -1,4 +1,4 @@
-"""Scenario files: TOML with units in the names of keys, read and checked in one place."""
+"""Reads and validates scenario files: TOML with units in the names of keys."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 from spoolbarrow.lab import kinds
 from spoolbarrow.lab.kinds import EngineKind, Range
 
-Name = Literal[
+TroubleName = Literal[
     "hang", "pauses", "slow", "cold_restart", "drain", "replace", "vanish", "connection_cap", "resets",
     "spoilt", "trickle", "partition", "router_death", "router_restart", "burst", "discovery_down",
     "discovery_stale",
 ]  # fmt: skip
-TROUBLES: tuple[Name, ...] = get_args(Name)
+TROUBLES: tuple[TroubleName, ...] = get_args(TroubleName)
 
 
 class ScenarioError(Problem, ValueError):
@@ -28,74 +28,74 @@
 
     status = 2
     where = "the file or the key"
-    remedy = "Put right what is named; docs/operators/lab.md tells what a scenario holds."
+    remedy = "Correct the named key; docs/operators/lab.md describes the format of a scenario."
 
 
 class ClassShape(Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """One class of requests: what is wanted of its answers, and what its requests look like."""
+    """One class of requests: its objectives, and the shape of its requests."""
 
     share: float = 1.0  # of requests
     aim_ms: float
     deadline_ms: float
     worth: float = 1.0
-    late_share: float = 0.2  # of the worth, for an answer after the aim and before the deadline
-    aim_ms_per_1000: float = 60.0  # added to the aim for each 1,000 prompt tokens
+    late_share: float = 0.2  # of the worth, for a response after the objective and before the deadline
+    aim_ms_per_1000: float = 60.0  # added to the objective for each 1,000 prompt tokens
     token_aim_ms: float = 100.0  # mean time between tokens; 0: none
     effect: Literal["safe", "unsafe"] = "safe"
-    turns: float = 1.2  # mean, of a session
+    turns: float = 1.2  # mean per session
     think_s: Range = (2.0, 12.0)
-    new_tokens: Range = (100, 600)  # added by a turn
+    new_tokens: Range = (100, 600)  # added by each turn
     answer_tokens: Range = (40, 160)
-    new_sigma: float = 0.0  # above 0: log-normal with this spread about the range's middle, so heavy-tailed
+    new_sigma: float = 0.0  # above 0: log-normal (heavy-tailed) with this sigma about the middle of the range
     answer_sigma: float = 0.0
-    max_context: int = 0  # tokens of prompt and answer; a session that would go beyond ends. 0: no limit
-    max_answer: int = 0  # tokens; what requests tell. 0: the answer's own length
-    openings: int = 20  # shared beginnings; 0: none
+    max_context: int = 0  # tokens of prompt and answer; a session that would exceed it ends. 0: no limit
+    max_answer: int = 0  # tokens, as stated by requests. 0: the answer's own length
+    openings: int = 20  # shared prefixes; 0: none
     opening_tokens: Range = (3000, 6000)
-    opening_share: float = 0.9  # of sessions that begin with one
-    zipf: float = 1.0  # exponent of the openings' popularity
+    opening_share: float = 0.9  # share of sessions that begin with one
+    zipf: float = 1.0  # exponent of the shared prefixes' popularity
 
 
 class TenantShape(Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """One tenant; beyond its quota its requests are worth little."""
+    """One tenant; its requests beyond the quota are worth little."""
 
     share: float = 1.0  # of requests
     quota_per_engine: float = 0.0  # requests a second for each engine of the scenario; 0: none
 
 
 class Load(Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """Arrivals: open loop, drawn ahead."""
+    """Arrivals: open loop, drawn in advance."""
 
     per_engine: float = 2.0  # requests a second
     shape: Literal["steady", "wave", "bursts"] = "steady"
     swing: float = 0.3  # of a wave, as a share of the mean
     period_s: float = 20.0  # of waves and bursts
-    burst_factor: float = 2.0  # rate within a burst
+    burst_factor: float = 2.0  # rate during a burst
     burst_s: float = 3.0
-    over_worth: float = 0.05  # share of the worth of what a tenant sends beyond its quota
-    trace: str = ""  # a JSON-lines file played instead (docs/operators/lab.md has its form)
+    over_worth: float = 0.05  # share of worth that requests beyond a tenant's quota keep
+    trace: str = ""  # a JSON-lines file to replay instead (format: docs/operators/lab.md)
 
 
-class Net(Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """One-way delays, ms."""
+class Network(Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
+    """One-way network delays, ms."""
 
     same_ms: Range = 0.2
     cross_ms: Range = 1.0
     client_ms: Range = 0.5
-    jitter: float = 0.2  # standard deviation, as a share
+    jitter: float = 0.2  # relative standard deviation
 
 
 class Clients(Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """How callers behave."""
+    """The behaviour of clients."""
 
     retries: int = 2
-    patience: Range = (0.6, 1.0)  # of the class's deadline
+    patience: Range = (0.6, 1.0)  # share of the class's deadline
     backoff: Literal["none", "fixed", "exp"] = "exp"
     backoff_ms: Range = 200.0
-    honour: float = 0.5  # share that waits as Retry-After says
+    honour: float = 0.5  # share of clients that obey Retry-After
 
     def pause_ms(self, number: int, retry_after_ms: float, rng: Random) -> float:
-        """How long a caller waits after its try of this number (from 0) before the next."""
+        """How long a client pauses after try `number` (from 0) before the next."""
         pause = 0.0 if self.backoff == "none" else kinds.draw(self.backoff_ms, rng)
         if self.backoff == "exp":
             pause *= 2.0**number
@@ -105,26 +105,26 @@
 
 
 class Front(Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """The layer that deals connections out among routers."""
+    """The load balancer that distributes connections among routers."""
 
-    notice_s: Range = 2.0  # until it takes a dead router out, or a live one in
+    notice_s: Range = 2.0  # until it removes a dead router, or adds a live one
 
 
 class Discovery(Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """The list service."""
+    """The discovery service."""
 
-    notice_s: Range = (1.5, 4.5)  # until a told change shows
-    silent_notice_s: Range = (6.0, 13.0)  # until a process that says nothing is taken off
-    spread_ms: Range = 100.0  # more, at each router
-    call_ms: float = 200.0  # work for one call; calls wait in turn
-    line_ms: float = 0.0  # more for each line told
+    notice_s: Range = (1.5, 4.5)  # until an announced change is published
+    silent_notice_s: Range = (6.0, 13.0)  # until an unresponsive process is removed
+    spread_ms: Range = 100.0  # additional delay at each router
+    call_ms: float = 200.0  # work for one call; calls are served in turn
+    line_ms: float = 0.0  # additional work for each entry sent
     timeout_ms: float = 3000.0
-    weights: bool = False  # lines tell an engine's speed, more or less; else 1
-    weight_noise: float = 0.2  # standard deviation, as a share
+    weights: bool = False  # entries give an engine's approximate speed; else 1
+    weight_noise: float = 0.2  # relative standard deviation
 
 
 class Limits(Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """What routers may do."""
+    """Limits on what routers may do."""
 
     probes: bool = True
     probe_timeout_ms: float = 250.0
@@ -134,37 +134,37 @@
     max_attempts: int = 6
     max_retry_after_ms: float = 2000.0
     connect_timeout_ms: float = 200.0
-    idle_connections: int = 64  # of a router to one engine, kept at most
+    idle_connections: int = 64  # most that a router keeps to one engine
     drain_grace_ms: float = 500.0
     waste_fee: float = 0.3
 
 
 class Trouble(Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """Something that goes wrong; `size` is read as the trouble needs it (docs/operators/lab.md)."""
+    """A fault; the meaning of `size` depends on the fault (docs/operators/lab.md)."""
 
-    name: Name
+    name: TroubleName
     begin_s: float
     length_s: float = 5.0
-    part: float = 0.1  # of the engines or routers; at least one
-    zone: int = -1  # of whose engines alone; negative: of all
-    size: float = 0.0  # 0: the trouble's usual one
+    part: float = 0.1  # share of the engines or routers affected; at least one
+    zone: int = -1  # only its engines are affected; negative: those of all zones
+    size: float = 0.0  # 0: the fault's default
 
 
-class Drawn(Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """Troubles drawn at random by the seed."""
+class RandomTroubles(Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
+    """Faults drawn at random from the seed."""
 
     count: int = 0
-    names: tuple[Name, ...] = TROUBLES
+    names: tuple[TroubleName, ...] = TROUBLES
     length_s: Range = (3.0, 10.0)
     part: Range = (0.05, 0.2)
 
 
 class Scenario(Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """A day in the lab."""
+    """A scenario of the lab."""
 
     name: str
     length_s: float = 30.0
-    lead_s: float = 0.0  # played before it and not judged: engines begin with nothing kept
+    lead_s: float = 0.0  # run before it and not judged, since engines begin with empty caches
     zones: int = 1
     routers: int = 1
     engines: int = 8
@@ -172,28 +172,28 @@
     kinds: dict[str, EngineKind] = msgspec.field(default_factory=lambda: {"engine": EngineKind()})
     classes: dict[str, ClassShape]
     tenants: dict[str, TenantShape] = msgspec.field(default_factory=lambda: {"all": TenantShape()})
-    net: Net = Net()
+    net: Network = Network()
     clients: Clients = Clients()
     front: Front = Front()
     discovery: Discovery = Discovery()
     limits: Limits = Limits()
     troubles: tuple[Trouble, ...] = ()
-    drawn: Drawn = Drawn()
+    drawn: RandomTroubles = RandomTroubles()
 
     def lead_ms(self) -> float:
-        """When the judged part begins."""
+        """The time at which the judged part begins."""
         return self.lead_s * 1000.0
 
     def total_s(self) -> float:
-        """Lead and day."""
+        """The duration of lead and judged part together."""
         return self.lead_s + self.length_s
 
     def routers_in_zone(self, routers: list[int], session: int) -> list[int]:
-        """Those of the routers that are in the zone of a session's client; all, where none is."""
+        """Those of the routers that are in the zone of a session's client; all if none is."""
         return [n for n in routers if n % self.zones == session % self.zones] or routers
 
     def settings(self, router: int) -> Settings:
-        """What a router is told at start."""
+        """The settings of a router."""
         classes = tuple(
             RequestClass(
                 aim_ms=c.aim_ms,
@@ -234,7 +234,7 @@
         )
 
 
-def _faults(s: Scenario) -> list[str]:
+def _find_errors(s: Scenario) -> list[str]:
     found = []
     for key in ("length_s", "zones", "routers", "engines"):
         if getattr(s, key) <= 0:
@@ -255,7 +255,7 @@
         if kinds.low_high(c.new_tokens)[0] < 1 or kinds.low_high(c.answer_tokens)[0] < 1:
             found.append(f"classes.{name}: new_tokens and answer_tokens must be at least 1")
     for name, kind in s.kinds.items():
-        found += kinds.faults(name, kind)
+        found += kinds.kind_errors(name, kind)
     if s.load.per_engine <= 0 or s.load.period_s <= 0 or not 0 <= s.load.swing <= 1:
         found.append("load: per_engine and period_s must be above 0, swing within 0 and 1")
     if s.limits.max_attempts < 1 or s.clients.retries < 0:
@@ -271,19 +271,19 @@
 
 
 def convert(raw: dict[str, Any]) -> Scenario:
-    """A scenario of what a TOML file held; ScenarioError names every fault."""
+    """A scenario from the tables of a TOML file; ScenarioError names every error."""
     try:
         scenario = msgspec.convert(raw, Scenario)
     except msgspec.ValidationError as error:
         raise ScenarioError(str(error)) from error
-    found = _faults(scenario)
+    found = _find_errors(scenario)
     if found:
         raise ScenarioError("; ".join(found))
     return scenario
 
 
 def set_key(raw: dict[str, Any], path: str, value: Any) -> None:
-    """Set one figure of a scenario's tables by its dotted path, as experiments do."""
+    """Set one value in a scenario's tables by its dotted path, as experiments do."""
     *tables, key = path.split(".")
     for name in tables:
         raw = raw.setdefault(name, {})
@@ -293,7 +293,7 @@
 
 
 def load_raw(path: str | Path) -> dict[str, Any]:
-    """A scenario file's tables; ScenarioError says what cannot be read. A trace is found beside the file."""
+    """The tables of a scenario file; ScenarioError if it is unreadable. A trace's path is relative to it."""
     try:
         with open(path, "rb") as source:
             raw = tomllib.load(source)
@@ -306,7 +306,7 @@
 
 
 def load(path: str | Path) -> Scenario:
-    """Read a scenario file; ScenarioError names the file and every fault."""
+    """Read a scenario file; ScenarioError names the file and every error."""
     raw = load_raw(path)
     try:
         return convert(raw)
--- a/spoolbarrow/lab/simulated_engines.py
+++ b/spoolbarrow/lab/simulated_engines.py
@@ -1,4 +1,4 @@
-"""The engines of a simulation, the network between them and the routers, and the troubles that hit both.
+"""Simulates the engines, the network between them and the routers, and the faults of both.
 
 Times are in milliseconds.
 """
@@ -11,27 +11,27 @@
 from typing import Any
 
 from spoolbarrow import interface as i
-from spoolbarrow.lab.run_report import Record, work_report
 from spoolbarrow.lab.arrivals import PlannedRequest
-from spoolbarrow.lab.engine import Engine, EventKind, SubmitResult, EngineRequest
+from spoolbarrow.lab.engine import Engine, EngineRequest, EventKind, SubmitResult
 from spoolbarrow.lab.fleet import Planned, Spec, fleet, moves
-from spoolbarrow.lab.simulation_state import Flight, Machine, Node, SimulationContext
+from spoolbarrow.lab.run_report import Record, work_report
+from spoolbarrow.lab.simulation_state import Attempt, EngineProcess, RouterProcess, SimulationContext
 
-STALL_MS = 20_000.0  # a stream silent for so long is given up by its router
-SAMPLE_MS = 1000.0
+STREAM_IDLE_TIMEOUT_MS = 20_000.0  # routers abandon a stream that is idle for this long
+SAMPLE_INTERVAL_MS = 1000.0
 
 
-class Machines:
-    """Engines, and the way to them."""
+class Engines:
+    """The engines and the network to them."""
 
     def __init__(self, sim: SimulationContext) -> None:
         self.sim, self.clock = sim, sim.clock
         self.rng = sim.stream("engines")
         specs = fleet(sim.scenario, sim.stream("fleet"))
-        self.first = [Machine(spec, spec.id, self._engine(spec, 0.0, False)) for spec in specs]
-        self.by_id = {machine.id: machine for machine in self.first}
+        self.initial = [EngineProcess(spec, spec.id, self._engine(spec, 0.0, False)) for spec in specs]
+        self.by_id = {machine.id: machine for machine in self.initial}
         self.falls = 0
-        self.past: list[Engine] = []  # processes that have ended: their work still counts
+        self.ended_engines: list[Engine] = []  # processes that have ended: their work counts too
         self.spread: list[float] = []
         self.moves: dict[str, Callable[..., None]] = {
             "stall": self._stall,
@@ -40,39 +40,39 @@
             "drain": self._drain,
             "replace": self._replace,
             "vanish": self._vanish,
-            "cut": self._cut,
+            "cut": self._partition,
             "put": setattr,
         }
 
     def _engine(self, spec: Spec, now: float, cold: bool) -> Engine:
         return Engine(spec.figures, Random(self.rng.random()), now, cold)
 
-    # --- attempts and probes on the way
+    # --- attempts and probes on the network
 
-    def _reach(self, node: Node, machine: Machine) -> float:
+    def _one_way_delay(self, node: RouterProcess, machine: EngineProcess) -> float:
         """The one-way delay from a router to an engine."""
         net = self.sim.scenario.net
         return self.sim.delay(net.same_ms if node.zone == machine.spec.zone else net.cross_ms)
 
-    def _held_until(self, node: Node, machine: Machine) -> float:
-        """Until when nothing passes between the two."""
+    def _blocked_until(self, node: RouterProcess, machine: EngineProcess) -> float:
+        """The time until which nothing passes between the two."""
         return max(machine.silent, machine.cut.get(node.number, -inf))
 
-    def _after(self, flight: Flight, call: Callable[..., None], *args: Any) -> None:
-        """What the engine says reaches the router: after a cut, where the packets are sent again."""
+    def _to_router(self, flight: Attempt, call: Callable[..., None], *args: Any) -> None:
+        """Deliver an engine's message to the router; during a partition, at its end (retransmission)."""
         machine = flight.machine
         assert machine is not None
-        begin = max(self.clock.now, self._held_until(flight.node, machine))
+        begin = max(self.clock.now, self._blocked_until(flight.node, machine))
         self.clock.at(begin + flight.delay, call, flight, *args)
 
-    def send(self, flight: Flight) -> None:
-        """An attempt leaves its router."""
+    def send(self, flight: Attempt) -> None:
+        """Send an attempt from its router."""
         machine, node, now, nodes = flight.machine, flight.node, self.clock.now, self.sim.routers
         timeout = self.sim.scenario.limits.connect_timeout_ms
         if machine is None:
             return self.clock.at(now + 1.0, nodes.ended, flight, i.Outcome.UNREACHABLE)
-        flight.delay = delay = self._reach(node, machine)
-        held = self._held_until(node, machine) > now
+        flight.delay = delay = self._one_way_delay(node, machine)
+        held = self._blocked_until(node, machine) > now
         if not machine.alive and not held:
             return self.clock.at(now + 2.0 * delay, nodes.ended, flight, i.Outcome.UNREACHABLE)
         idle = node.idle.get(machine, [])
@@ -83,17 +83,17 @@
             idle.pop()
         elif held:
             return self.clock.at(now + timeout, nodes.ended, flight, i.Outcome.UNREACHABLE)
-        elif machine.connections >= machine.cap and not self._purge(machine):
+        elif machine.connections >= machine.cap and not self._close_idle(machine):
             return self.clock.at(now + 2.0 * delay, nodes.ended, flight, i.Outcome.UNREACHABLE)
         else:
             machine.connections += 1
             machine.engine.add_overhead(now, machine.spec.figures.handshake_work_ms)
             now += machine.spec.figures.handshake_rtts * 2.0 * delay
         flight.engine = machine.engine
-        self.clock.at(max(now, self._held_until(node, machine)) + delay, self._deliver, flight)
+        self.clock.at(max(now, self._blocked_until(node, machine)) + delay, self._deliver, flight)
 
-    def _purge(self, machine: Machine) -> bool:
-        """Close what has been idle for too long; whether that made room."""
+    def _close_idle(self, machine: EngineProcess) -> bool:
+        """Close connections that have been idle for too long; whether one more connection fits then."""
         for node in self.sim.routers.all:
             idle = node.idle.get(machine, [])
             young = [at for at in idle if self.clock.now - at < machine.spec.figures.idle_ms]
@@ -101,162 +101,166 @@
             idle[:] = young
         return machine.connections < machine.cap
 
-    def _deliver(self, flight: Flight) -> None:
+    def _deliver(self, flight: Attempt) -> None:
         machine, now, nodes = flight.machine, self.clock.now, self.sim.routers
         if machine is None or flight.over:
             return
         if not machine.alive or machine.engine is not flight.engine:
-            return self._after(flight, nodes.ended, i.Outcome.RESET)
+            return self._to_router(flight, nodes.ended, i.Outcome.RESET)
         if machine.state is not i.ReplicaState.SERVING:
-            return self._after(flight, nodes.ended, i.Outcome.FULL)
+            return self._to_router(flight, nodes.ended, i.Outcome.FULL)
         one = flight.open.call.record.planned
-        taken = machine.engine.submit(now, work(flight.name, one))
-        if taken is SubmitResult.ACCEPTED:
+        result = machine.engine.submit(now, work(flight.name, one))
+        if result is SubmitResult.ACCEPTED:
             machine.flights[flight.name] = flight
-            self._arm(machine)
-        elif taken is SubmitResult.CRASHED:
+            self._schedule_wake(machine)
+        elif result is SubmitResult.CRASHED:
             machine.flights[flight.name] = flight
             self.falls += 1
-            self.sim.breaks("4: a cold engine fell over")
+            self.sim.record_violation("4: a cold engine fell over")
             self.crash(machine, machine.spec.figures.restart_ms)
         else:
-            self._after(flight, nodes.ended, i.Outcome.FULL if taken is SubmitResult.FULL else i.Outcome.ERROR)
+            self._to_router(
+                flight, nodes.ended, i.Outcome.FULL if result is SubmitResult.FULL else i.Outcome.ERROR
+            )
 
-    def _arm(self, machine: Machine) -> None:
+    def _schedule_wake(self, machine: EngineProcess) -> None:
         at = machine.engine.next_event_at()
         if at < machine.armed:
             machine.armed = at
             self.clock.at(at, self._wake, machine)
 
-    def _wake(self, machine: Machine) -> None:
+    def _wake(self, machine: EngineProcess) -> None:
         if self.clock.now < machine.armed:
             return
         machine.armed = inf
         if not machine.alive:
             return
-        for news in machine.engine.advance(self.clock.now):
-            flight = machine.flights.get(news.id)
+        for event in machine.engine.advance(self.clock.now):
+            flight = machine.flights.get(event.id)
             if flight is None:
                 continue
-            if news.kind is EventKind.STARTED:
-                self._started(machine, flight, news.kept)
+            if event.kind is EventKind.STARTED:
+                self._started(machine, flight, event.kept)
             else:
-                del machine.flights[news.id]
+                del machine.flights[event.id]
                 read = flight.first_at + flight.trickle * flight.open.call.record.planned.answer
                 read = min(read, machine.trickle_end)
                 if flight.spoil:
-                    self._after(flight, self.sim.routers.ended, i.Outcome.UNREADABLE)
+                    self._to_router(flight, self.sim.routers.ended, i.Outcome.UNREADABLE)
                 elif read > self.clock.now:
-                    ended = (flight, self.sim.routers.ended, i.Outcome.SERVED, news.kept)
-                    self.clock.at(read, self._after, *ended)
+                    ended = (flight, self.sim.routers.ended, i.Outcome.SERVED, event.kept)
+                    self.clock.at(read, self._to_router, *ended)
                 else:
-                    self._after(flight, self.sim.routers.ended, i.Outcome.SERVED, news.kept)
-        self._arm(machine)
+                    self._to_router(flight, self.sim.routers.ended, i.Outcome.SERVED, event.kept)
+        self._schedule_wake(machine)
 
-    def _started(self, machine: Machine, flight: Flight, kept: int) -> None:
+    def _started(self, machine: EngineProcess, flight: Attempt, kept: int) -> None:
         nodes = self.sim.routers
         if machine.resets and self.rng.random() < machine.resets:
             self.drop(flight)
-            return self._after(flight, nodes.ended, i.Outcome.RESET)
+            return self._to_router(flight, nodes.ended, i.Outcome.RESET)
         if machine.spoilt and self.rng.random() < machine.spoilt:
             if self.rng.random() < 0.5:
                 self.drop(flight)
-                return self._after(flight, nodes.ended, i.Outcome.UNREADABLE)
-            flight.spoil = True  # only a later event of the stream
+                return self._to_router(flight, nodes.ended, i.Outcome.UNREADABLE)
+            flight.spoil = True  # only a later event of the stream is malformed
         flight.first_at, flight.trickle = self.clock.now, machine.trickle
-        self._after(flight, nodes.started)
+        self._to_router(flight, nodes.started)
 
-    def drop(self, flight: Flight) -> None:
-        """The router, or a fault, closes the attempt's connection."""
+    def drop(self, flight: Attempt) -> None:
+        """Close the attempt's connection, by the router or by a fault."""
         machine = flight.machine
         if machine is not None and machine.flights.pop(flight.name, None) is not None:
             machine.engine.cancel(self.clock.now, flight.name)
-            self._arm(machine)
+            self._schedule_wake(machine)
 
-    def probe(self, node: Node, name: str) -> None:
-        """A probe leaves its router."""
+    def probe(self, node: RouterProcess, name: str) -> None:
+        """Send a probe from its router."""
         machine, now = self.by_id.get(name), self.clock.now
         limit = self.sim.scenario.limits.probe_timeout_ms
-        said = self.sim.routers.probed
+        callback = self.sim.routers.probe_answered
         if machine is None:
-            return self.clock.at(now + 1.0, said, node, node.life, name, i.Outcome.UNREACHABLE, 1.0)
-        delay = self._reach(node, machine)
-        if self._held_until(node, machine) > now:
-            return self.clock.at(now + limit, said, node, node.life, name, i.Outcome.TIMEOUT, limit)
+            return self.clock.at(now + 1.0, callback, node, node.life, name, i.Outcome.UNREACHABLE, 1.0)
+        delay = self._one_way_delay(node, machine)
+        if self._blocked_until(node, machine) > now:
+            return self.clock.at(now + limit, callback, node, node.life, name, i.Outcome.TIMEOUT, limit)
         if not machine.alive:
             lag = 2.0 * delay
-            return self.clock.at(now + lag, said, node, node.life, name, i.Outcome.UNREACHABLE, lag)
+            return self.clock.at(now + lag, callback, node, node.life, name, i.Outcome.UNREACHABLE, lag)
         engine = machine.engine
         engine.add_overhead(now, machine.spec.figures.probe_work_ms)
         wait = engine.probe_wait(now)
         lag = 2.0 * delay + wait
         if lag > limit:
-            return self.clock.at(now + limit, said, node, node.life, name, i.Outcome.TIMEOUT, limit)
+            return self.clock.at(now + limit, callback, node, node.life, name, i.Outcome.TIMEOUT, limit)
         self.clock.at(now + delay + wait, self._probed, node, node.life, machine, lag, delay)
 
-    def _probed(self, node: Node, life: int, machine: Machine, lag: float, delay: float) -> None:
-        now, said = self.clock.now, self.sim.routers.probed
+    def _probed(
+        self, node: RouterProcess, life: int, machine: EngineProcess, lag: float, delay: float
+    ) -> None:
+        now, callback = self.clock.now, self.sim.routers.probe_answered
         if not machine.alive:
-            return self.clock.at(now + delay, said, node, life, machine.id, i.Outcome.RESET, lag)
+            return self.clock.at(now + delay, callback, node, life, machine.id, i.Outcome.RESET, lag)
         load = machine.engine.report(now)
         report = i.Report(load.memory_share, load.unread_tokens, -1.0, load.busy_share)
-        self.clock.at(now + delay, said, node, life, machine.id, i.Outcome.SERVED, lag, report)
+        self.clock.at(now + delay, callback, node, life, machine.id, i.Outcome.SERVED, lag, report)
 
-    # --- troubles
+    # --- faults
 
-    def trouble(self, machine: Machine, planned: Planned, begin: float, end: float) -> None:
-        """Schedule what hits one engine."""
-        # What is left of a trickling stream then comes at once.
+    def schedule_trouble(self, machine: EngineProcess, planned: Planned, begin: float, end: float) -> None:
+        """Schedule the effects of a fault on one engine."""
+        # When a trickle ends, the rest of a stream arrives at once.
         machine.trickle_end = end if planned.trouble.name == "trickle" else machine.trickle_end
-        for at, move, told in moves(planned, machine.spec.figures, self.rng, begin):
-            self.clock.at(at, self.moves[move], machine, *told)
+        for at, move, args in moves(planned, machine.spec.figures, self.rng, begin):
+            self.clock.at(at, self.moves[move], machine, *args)
 
-    def _stall(self, machine: Machine, until: float) -> None:
+    def _stall(self, machine: EngineProcess, until: float) -> None:
         machine.engine.stall(self.clock.now, until)
-        self._rearm(machine)
+        self._reschedule_wake(machine)
 
-    def _slowed(self, machine: Machine, factor: float) -> None:
+    def _slowed(self, machine: EngineProcess, factor: float) -> None:
         machine.engine.slowed(self.clock.now, factor)
-        self._rearm(machine)
+        self._reschedule_wake(machine)
 
-    def _rearm(self, machine: Machine) -> None:
+    def _reschedule_wake(self, machine: EngineProcess) -> None:
         machine.armed = inf
-        self._arm(machine)
+        self._schedule_wake(machine)
 
-    def _cut(self, machine: Machine, routers: tuple[int, ...], until: float) -> None:
+    def _partition(self, machine: EngineProcess, routers: tuple[int, ...], until: float) -> None:
         for number in routers:
             machine.cut[number] = until
 
-    def _change(self, machine: Machine, silent: bool = False) -> None:
+    def _change(self, machine: EngineProcess, silent: bool = False) -> None:
         at = self.sim.directory.changed(self.clock.now, machine.entry(), silent)
-        self.clock.at(at, self._noticed)
+        self.clock.at(at, self._publish_changes)
 
-    def _noticed(self) -> None:
-        for told in self.sim.directory.due(self.clock.now):
-            self.clock.at(told.at, self.sim.routers.told, told)
+    def _publish_changes(self) -> None:
+        for change in self.sim.directory.due(self.clock.now):
+            self.clock.at(change.at, self.sim.routers.list_received, change)
 
-    def _drain(self, machine: Machine) -> None:
+    def _drain(self, machine: EngineProcess) -> None:
         machine.state = i.ReplicaState.DRAINING
         self._change(machine)
 
-    def _lose(self, machine: Machine) -> None:
-        """The process ends: what it had is reset."""
+    def _end_process(self, machine: EngineProcess) -> None:
+        """End the process; its connections are reset."""
         machine.alive = False
-        self.past.append(machine.engine)
+        self.ended_engines.append(machine.engine)
         for flight in list(machine.flights.values()):
-            self._after(flight, self.sim.routers.ended, i.Outcome.RESET)
+            self._to_router(flight, self.sim.routers.ended, i.Outcome.RESET)
         machine.flights.clear()
         machine.connections = 0
         for node in self.sim.routers.all:
             node.idle.pop(machine, None)
 
-    def crash(self, machine: Machine, down_ms: float) -> None:
-        """The process dies and starts again, cold."""
+    def crash(self, machine: EngineProcess, down_ms: float) -> None:
+        """Crash the process; it restarts later, in slow start."""
         if machine.alive:
-            self._lose(machine)
+            self._end_process(machine)
             self.clock.at(self.clock.now + down_ms, self._restart, machine)
 
-    def _restart(self, machine: Machine) -> None:
+    def _restart(self, machine: EngineProcess) -> None:
         now = self.clock.now
         if machine.alive:
             return
@@ -265,43 +269,48 @@
         machine.armed = inf
         self._change(machine)
 
-    def _replace(self, machine: Machine, until: float) -> None:
-        """It goes for good; another takes its place, with a new id."""
+    def _replace(self, machine: EngineProcess, until: float) -> None:
+        """Remove the engine for good; another one with a new id replaces it."""
         if machine.alive:
-            self._lose(machine)
+            self._end_process(machine)
         machine.state = i.ReplicaState.GONE
         self._change(machine)
         self.by_id.pop(machine.id, None)
-        new = Machine(machine.spec, f"{machine.id}r", self._engine(machine.spec, until, True))
+        new = EngineProcess(machine.spec, f"{machine.id}r", self._engine(machine.spec, until, True))
         new.alive = False
         self.by_id[new.id] = new
         self.clock.at(until, self._restart, new)
 
-    def _vanish(self, machine: Machine, until: float) -> None:
+    def _vanish(self, machine: EngineProcess, until: float) -> None:
         machine.silent = until
         flights = list(machine.flights.values())
         for flight in flights:
-            self.clock.at(self.clock.now + STALL_MS, self.sim.routers.ended, flight, i.Outcome.TIMEOUT)
+            self.clock.at(
+                self.clock.now + STREAM_IDLE_TIMEOUT_MS, self.sim.routers.ended, flight, i.Outcome.TIMEOUT
+            )
         machine.state = i.ReplicaState.GONE
         self._change(machine, silent=True)
         if machine.alive:
-            self._lose(machine)
+            self._end_process(machine)
         self.clock.at(until, self._restart, machine)
 
-    # --- what it came to
+    # --- results
 
     def sample(self) -> None:
-        """How evenly the load lies just now: its standard deviation among engines, as a share of the mean."""
+        """Record how uneven the load is now: its standard deviation over engines, divided by the mean."""
         counts = [len(m.engine.jobs) for m in self.by_id.values() if m.alive]
         mean = sum(counts) / max(1, len(counts))
         if mean > 0.0:
             self.spread.append(sqrt(sum((c - mean) ** 2 for c in counts) / len(counts)) / mean)
         if self.clock.now < self.sim.scenario.total_s() * 1000.0:
-            self.clock.at(self.clock.now + SAMPLE_MS, self.sample)
+            self.clock.at(self.clock.now + SAMPLE_INTERVAL_MS, self.sample)
 
     def figures(self, records: list[Record]) -> dict[str, Any]:
-        """Work of all engines."""
-        engines = [*self.past, *(m.engine for m in self.by_id.values() if m.engine not in self.past)]
+        """The figures of all engines' work."""
+        engines = [
+            *self.ended_engines,
+            *(m.engine for m in self.by_id.values() if m.engine not in self.ended_engines),
+        ]
         for engine in engines:
             engine.check()
         work = sum(engine.made + engine.done_read for engine in engines)
@@ -315,7 +324,7 @@
         }
 
     def first_token_ms(self, replica: str, request: i.RequestArrived, now: float) -> float:
-        """The true state of an engine, for the oracle."""
+        """The time to the first token from an engine's true state, for the oracle."""
         machine = self.by_id.get(replica)
         if machine is None or not machine.alive or machine.silent > now:
             return inf
@@ -323,10 +332,10 @@
             return inf
         engine, f = machine.engine, machine.spec.figures
         engine.load(now)
-        one = work("", self.sim.clients.asked_of(request.request))
+        one = work("", self.sim.clients.planned_request(request.request))
         unread = engine.unread + one.prompt - engine.cached_tokens(one)
         wait = max(0.0, engine.not_before - now)
-        wait += engine.slow * (unread / f.read_rate() + f.step_ms) / engine.warmth.speed(now)
+        wait += engine.slow * (unread / f.read_rate() + f.step_ms) / engine.warmup.speed(now)
         running = len(engine.running)
         behind = max(0, running + len(engine.waiting) + 1 - f.slots)
         short = one.prompt / f.block_tokens > engine.memory.room()
--- a/spoolbarrow/lab/simulated_routers.py
+++ b/spoolbarrow/lab/simulated_routers.py
@@ -1,4 +1,4 @@
-"""The routers of a simulation: what the serving program does round the decisions, in virtual time.
+"""Simulates the routers in virtual time: does for the decisions what the network program does.
 
 Times are in milliseconds.
 """
@@ -10,34 +10,41 @@
 from spoolbarrow import interface as i
 from spoolbarrow.lab.directory import Told
 from spoolbarrow.lab.policies import POLICIES
-from spoolbarrow.lab.simulation_state import ROUTER_UP_DELAY_MS, Call, Flight, Node, Open, SimulationContext
+from spoolbarrow.lab.simulation_state import (
+    ROUTER_UP_DELAY_MS,
+    Attempt,
+    ClientTry,
+    PendingRequest,
+    RouterProcess,
+    SimulationContext,
+)
 
-MARGIN_MS = 5.0  # of a client's patience that its router is not told
+DEADLINE_MARGIN_MS = 5.0  # of a client's patience, withheld from its router
 
 
-class Nodes:
-    """Routers: what the serving program does round the decisions."""
+class Routers:
+    """The routers: do for the decisions what the network program does."""
 
     def __init__(self, sim: SimulationContext) -> None:
         self.sim, self.clock = sim, sim.clock
-        self.all = [Node(n, n % sim.scenario.zones) for n in range(sim.scenario.routers)]
+        self.all = [RouterProcess(n, n % sim.scenario.zones) for n in range(sim.scenario.routers)]
         self.seeds = sim.stream("routers")
 
     def begin(self) -> None:
-        """Start all, each with the list as it is."""
+        """Start all routers, each with the present list."""
         for node in self.all:
             node.list = dict(self.sim.directory.shown)
             self._start(node)
 
-    def _start(self, node: Node) -> None:
+    def _start(self, node: RouterProcess) -> None:
         settings = self.sim.scenario.settings(node.number)
         make = POLICIES[self.sim.policy]
         node.policy = make(settings, self.seeds.getrandbits(32), self.sim.engines)
         node.away.clear()
-        self.feed(node, [i.ReplicaList(i.ListKind.RESTORED, tuple(node.list.values()))])
+        self.process_events(node, [i.ReplicaList(i.ListKind.RESTORED, tuple(node.list.values()))])
 
-    def die(self, node: Node) -> None:
-        """Its process is killed: connections break, and all it knew is gone but the last list."""
+    def kill(self, node: RouterProcess) -> None:
+        """Kill a router's process: its connections break, and its state is lost except for the last list."""
         if node.policy is None:
             return
         node.policy = None
@@ -52,30 +59,30 @@
                     self._hang_up(flight)
                     if flight.machine is not None and flight.connected():
                         flight.machine.connections -= 1
-            self.sim.clients.cut_off(open.call)
+            self.sim.clients.connection_lost(open.call)
             del self.sim.clients.calls[open.id]
         node.opens.clear()
         self.sim.directory.leave(node.number)
-        self.sim.clients.died(node)
+        self.sim.clients.router_died(node)
 
-    def drain(self, node: Node, grace_ms: float) -> None:
-        """It is told to end: the front turns away from it; what it has when its grace ends is cut off."""
+    def drain(self, node: RouterProcess, grace_ms: float) -> None:
+        """Drain a router: the load balancer stops using it; requests left after the grace are cut off."""
         node.draining = True
-        self.clock.at(self.clock.now + ROUTER_UP_DELAY_MS, self.sim.clients.believe)
+        self.clock.at(self.clock.now + ROUTER_UP_DELAY_MS, self.sim.clients.update_live_routers)
         self.clock.at(self.clock.now + grace_ms, self._replaced, node)
 
-    def _replaced(self, node: Node) -> None:
-        self.die(node)
-        self.rise(node)
+    def _replaced(self, node: RouterProcess) -> None:
+        self.kill(node)
+        self.restart(node)
 
-    def rise(self, node: Node) -> None:
-        """It starts again."""
+    def restart(self, node: RouterProcess) -> None:
+        """Start a router again."""
         node.draining = False
         self._start(node)
-        self.sim.clients.rose(node)
+        self.sim.clients.router_started(node)
 
-    def feed(self, node: Node, events: list[i.Event]) -> None:
-        """Let it decide, and do what it says."""
+    def process_events(self, node: RouterProcess, events: list[i.Event]) -> None:
+        """Pass events to a router's policy and carry out its actions."""
         decider, now = node.policy, self.clock.now
         if decider is None:
             return
@@ -101,22 +108,22 @@
                 assert isinstance(action, (i.Refuse, i.Fail))
                 self._answer(node, action)
             else:
-                told = self.sim.directory.call(now, node.number)
-                self.clock.at(told.at, self.told, told, node.life)
+                change = self.sim.directory.call(now, node.number)
+                self.clock.at(change.at, self.list_received, change, node.life)
 
-    def _fire(self, node: Node, life: int, token: str) -> None:
+    def _fire(self, node: RouterProcess, life: int, token: str) -> None:
         if node.life == life:
-            self.feed(node, [i.TimerFired(token)])
+            self.process_events(node, [i.TimerFired(token)])
 
-    def told(self, told: Told, life: int = -1) -> None:
-        """Discovery speaks to a router."""
-        node = self.all[told.caller]
+    def list_received(self, change: Told, life: int = -1) -> None:
+        """Deliver a list or an update from discovery to a router."""
+        node = self.all[change.caller]
         if node.policy is None or (life >= 0 and life != node.life):
             return
-        kind, entries = told.kind, told.entries
+        kind, entries = change.kind, change.entries
         if kind is i.ListKind.WHOLE:
             if node.number not in self.sim.directory.watches:
-                kind = i.ListKind.FAILED  # it went down while the call waited
+                kind = i.ListKind.FAILED  # discovery went down while the call waited
             else:
                 entries = self.sim.directory.whole()
                 for gone in set(node.list) - {e.replica for e in entries}:
@@ -131,43 +138,45 @@
                 node.list.pop(entry.replica, None)
             else:
                 node.list[entry.replica] = entry
-        self.feed(node, [i.ReplicaList(kind, entries)])
+        self.process_events(node, [i.ReplicaList(kind, entries)])
 
-    def arrived(self, call: Call, node: Node, client_ms: float) -> None:
-        """A request's last byte is here."""
+    def request_arrived(self, call: ClientTry, node: RouterProcess, client_ms: float) -> None:
+        """Receive a complete request."""
         if node.policy is None:
-            return self.clock.at(self.clock.now + client_ms, self.sim.clients.answered, call, "failed", 0.0)
+            return self.clock.at(
+                self.clock.now + client_ms, self.sim.clients.response_received, call, "failed", 0.0
+            )
         if call.over:
             return
         one, now = call.record.planned, self.clock.now
-        budget = max(1.0, call.patience - (now - call.sent_at) - client_ms - MARGIN_MS)
+        budget = max(1.0, call.patience - (now - call.sent_at) - client_ms - DEADLINE_MARGIN_MS)
         node.taken += 1
         name = f"{one.session:x}.{call.record.tries}.{node.number}.{node.taken}"
         call.node = node
-        open = call.open = node.opens[name] = Open(name, call, now + budget)
+        open = call.open = node.opens[name] = PendingRequest(name, call, now + budget)
         self.sim.clients.calls[name] = call
         self.clock.at(open.deadline, self._deadline, node, node.life, open)
         most = list(self.sim.scenario.classes.values())[one.cls].max_answer or one.answer
         event = i.RequestArrived(
             name, one.cls, budget, one.tenant, one.prompt, one.shared, most, one.session, one.prefix
         )
-        self.feed(node, [event])
+        self.process_events(node, [event])
 
-    def _send(self, node: Node, action: i.Send) -> None:
+    def _send(self, node: RouterProcess, action: i.Send) -> None:
         open, now = node.opens.get(action.request), self.clock.now
         if open is None or open.done or open.claimed is not None:
-            return self.sim.breaks("1: sent after the answer")
+            return self.sim.record_violation("1: sent after the answer")
         since = node.away.get(action.replica)
         if since is not None and now - since > self.sim.scenario.limits.drain_grace_ms:
-            self.sim.breaks("3: sent to what drains or is gone")
+            self.sim.record_violation("3: sent to what drains or is gone")
         machine = self.sim.engines.by_id.get(action.replica)
-        flight = Flight(node, open, len(open.flights), machine, now)
+        flight = Attempt(node, open, len(open.flights), machine, now)
         open.flights.append(flight)
         open.call.record.attempts += 1
         self.sim.engines.send(flight)
 
-    def started(self, flight: Flight) -> None:
-        """An attempt's first token is here."""
+    def started(self, flight: Attempt) -> None:
+        """Receive an attempt's first token."""
         open, node = flight.open, flight.node
         if flight.over:
             return
@@ -178,17 +187,17 @@
         self.sim.clients.first_token(open.call)
         lag = self.clock.now - flight.sent_at
         assert flight.machine is not None
-        self.feed(node, [i.StreamStarted(open.id, flight.number, flight.machine.id, lag)])
+        self.process_events(node, [i.StreamStarted(open.id, flight.number, flight.machine.id, lag)])
 
-    def ended(self, flight: Flight, outcome: i.Outcome, kept: int = 0) -> None:
-        """An attempt has its outcome."""
+    def ended(self, flight: Attempt, outcome: i.Outcome, kept: int = 0) -> None:
+        """Receive an attempt's outcome."""
         if flight.over:
             return
         if outcome is i.Outcome.TIMEOUT:
             self._hang_up(flight)
         self._end(flight, outcome, kept)
 
-    def _end(self, flight: Flight, outcome: i.Outcome, kept: int) -> None:
+    def _end(self, flight: Attempt, outcome: i.Outcome, kept: int) -> None:
         open, node, machine = flight.open, flight.node, flight.machine
         flight.over = True
         if machine is not None and flight.connected():
@@ -207,46 +216,46 @@
             self._forget(node, open)
         name = machine.id if machine is not None else ""
         lag = self.clock.now - flight.sent_at
-        self.feed(node, [i.AttemptEnded(open.id, flight.number, name, outcome, closed, lag, kept)])
+        self.process_events(node, [i.AttemptEnded(open.id, flight.number, name, outcome, closed, lag, kept)])
 
-    def _forget(self, node: Node, open: Open) -> None:
+    def _forget(self, node: RouterProcess, open: PendingRequest) -> None:
         if node.opens.pop(open.id, None) is not None:
             del self.sim.clients.calls[open.id]
 
-    def _hang_up(self, flight: Flight) -> None:
+    def _hang_up(self, flight: Attempt) -> None:
         machine = flight.machine
         if machine is not None:
             delay = flight.delay
             self.clock.at(self.clock.now + delay, self.sim.engines.drop, flight)
 
-    def _cancel(self, node: Node, action: i.Cancel) -> None:
+    def _cancel(self, node: RouterProcess, action: i.Cancel) -> None:
         open = node.opens.get(action.request)
         flight = open.flights[action.attempt] if open is not None else None
         if flight is not None and not flight.over and not flight.started:
             self._hang_up(flight)
             self.clock.at(self.clock.now, self.ended, flight, i.Outcome.CANCELLED)
 
-    def _answer(self, node: Node, action: i.Refuse | i.Fail) -> None:
+    def _answer(self, node: RouterProcess, action: i.Refuse | i.Fail) -> None:
         open = node.opens.get(action.request)
         if open is None or open.done:
-            return self.sim.breaks("1: answered twice")
+            return self.sim.record_violation("1: answered twice")
         open.done = True
         refused = isinstance(action, i.Refuse)
         pause = action.retry_after_ms if isinstance(action, i.Refuse) else 0.0
-        self.sim.clients.tell(open.call, "refused" if refused else "failed", pause)
+        self.sim.clients.send_response(open.call, "refused" if refused else "failed", pause)
         if all(f.over for f in open.flights):
             self._forget(node, open)
 
-    def _deadline(self, node: Node, life: int, open: Open) -> None:
+    def _deadline(self, node: RouterProcess, life: int, open: PendingRequest) -> None:
         if node.life != life or node.opens.get(open.id) is not open or open.claimed is not None:
             return
         for flight in open.flights:
             self.ended(flight, i.Outcome.TIMEOUT)
         if not open.done:
-            self.sim.breaks("1: no answer by the deadline")
-            self.left(open.call)
+            self.sim.record_violation("1: no answer by the deadline")
+            self.client_disconnected(open.call)
 
-    def left(self, call: Call) -> None:
+    def client_disconnected(self, call: ClientTry) -> None:
         """A client closed its connection."""
         node, open = call.node, call.open
         if node is None or open is None or open.done or node.opens.get(open.id) is not open:
@@ -256,13 +265,19 @@
             if not flight.over and flight.started:
                 self._hang_up(flight)
                 self.clock.at(self.clock.now, self.ended, flight, i.Outcome.CANCELLED)
-        self.feed(node, [i.RequestGone(open.id)])
+        self.process_events(node, [i.RequestGone(open.id)])
         if all(f.over for f in open.flights):
             self._forget(node, open)
 
-    def probed(
-        self, node: Node, life: int, name: str, outcome: i.Outcome, lag: float, report: i.Report | None = None
+    def probe_answered(
+        self,
+        node: RouterProcess,
+        life: int,
+        name: str,
+        outcome: i.Outcome,
+        lag: float,
+        report: i.Report | None = None,
     ) -> None:
-        """A probe's answer is here."""
+        """Receive a probe's response."""
         if node.life == life:
-            self.feed(node, [i.ProbeAnswered(name, outcome, lag, report)])
+            self.process_events(node, [i.ProbeAnswered(name, outcome, lag, report)])
--- a/spoolbarrow/lab/simulation_state.py
+++ b/spoolbarrow/lab/simulation_state.py
@@ -1,8 +1,8 @@
-"""The state of a simulation, and the protocols by which its parts call each other.
+"""Defines the state of a simulation and the protocols through which its parts call each other.
 
 Engines and the network to them (`simulated_engines.py`), routers (`simulated_routers.py`) and clients
-(`simulated_clients.py`) share the state types and know each other only by the protocols. Times are in
-milliseconds.
+(`simulated_clients.py`) share the state types and depend on each other only through the protocols. Times are
+in milliseconds.
 """
 
 from __future__ import annotations
@@ -12,20 +12,20 @@
 from typing import Any, Protocol
 
 from spoolbarrow import interface as i
-from spoolbarrow.lab.run_report import Record
 from spoolbarrow.lab.arrivals import PlannedRequest
 from spoolbarrow.lab.directory import Directory, Told
 from spoolbarrow.lab.engine import Engine
 from spoolbarrow.lab.fleet import Planned, Spec
-from spoolbarrow.lab.policies import RoutingPolicy, EngineOracle
+from spoolbarrow.lab.policies import EngineOracle, RoutingPolicy
+from spoolbarrow.lab.run_report import Record
 from spoolbarrow.lab.scenario import Scenario
-from spoolbarrow.lab.virtual_time import Clock
+from spoolbarrow.lab.virtual_time import VirtualClock
 
-ROUTER_UP_DELAY_MS = 200.0  # from a router's restart until the front takes it in
+ROUTER_UP_DELAY_MS = 200.0  # from a router's restart until the load balancer uses it
 
 
-class Machine:
-    """An engine's process and its place in the network."""
+class EngineProcess:
+    """An engine process and its state in the network."""
 
     __slots__ = (
         "spec", "id", "engine", "state", "alive", "silent", "cut", "connections", "cap", "resets",
@@ -37,164 +37,177 @@
         self.id = name
         self.engine = engine
         self.state = i.ReplicaState.SERVING
-        self.alive = True  # its process runs
-        self.silent = -inf  # nothing comes from it, or gets to it, until then
-        self.cut: dict[int, float] = {}  # routers that cannot reach it, until when
+        self.alive = True  # the process runs
+        self.silent = -inf  # unreachable in both directions until then
+        self.cut: dict[int, float] = {}  # routers partitioned from it, each with the end
         self.connections = 0
         self.cap = spec.figures.connections
         self.resets = self.spoilt = self.trickle = self.trickle_end = 0.0
-        self.flights: dict[str, Flight] = {}
+        self.flights: dict[str, Attempt] = {}
         self.armed = inf
         self.started_at = 0.0
 
     def entry(self) -> i.ReplicaEntry:
-        """Its line in the list."""
+        """Its entry in the discovery list."""
         s = self.spec
         return i.ReplicaEntry(self.id, s.zone, s.kind, s.cell, self.state, s.weight, self.started_at)
 
 
-class Flight:
-    """One attempt on its way."""
+class Attempt:
+    """One attempt in progress."""
 
     __slots__ = (
         "node", "open", "number", "machine", "name", "sent_at", "delay", "over", "started", "spoil", "engine",
         "first_at", "trickle",
     )  # fmt: skip
 
-    def __init__(self, node: Node, open: Open, number: int, machine: Machine | None, now: float) -> None:
+    def __init__(
+        self,
+        node: RouterProcess,
+        open: PendingRequest,
+        number: int,
+        machine: EngineProcess | None,
+        now: float,
+    ) -> None:
         self.node, self.open, self.number, self.machine = node, open, number, machine
         self.name = f"{open.id}#{number}"
         self.sent_at = now
         self.delay = 0.0
         self.over = self.started = self.spoil = False
-        self.engine: Engine | None = None  # the process it has a connection to
-        self.first_at = self.trickle = 0.0  # its first token, and the time each takes on the wire
+        self.engine: Engine | None = None  # the process that it is connected to
+        self.first_at = self.trickle = 0.0  # time of the first token, and delay of each token on the network
 
     def connected(self) -> bool:
-        """Whether the process that it has a connection to still runs."""
+        """Whether the process that it is connected to still runs."""
         machine = self.machine
         return machine is not None and machine.alive and machine.engine is self.engine
 
 
-class Open:
-    """A request at its router."""
+class PendingRequest:
+    """A request in progress at a router."""
 
     __slots__ = ("id", "call", "deadline", "flights", "done", "claimed")
 
-    def __init__(self, name: str, call: Call, deadline: float) -> None:
+    def __init__(self, name: str, call: ClientTry, deadline: float) -> None:
         self.id, self.call, self.deadline = name, call, deadline
-        self.flights: list[Flight] = []
+        self.flights: list[Attempt] = []
         self.done = False
-        self.claimed: Flight | None = None
+        self.claimed: Attempt | None = None
 
 
-class Call:
-    """One try of a client."""
+class ClientTry:
+    """One try of a client's request."""
 
     __slots__ = ("record", "number", "sent_at", "patience", "over", "started", "node", "open")
 
     def __init__(self, record: Record, number: int, now: float, patience: float) -> None:
         self.record, self.number, self.sent_at, self.patience = record, number, now, patience
         self.over = self.started = False
-        self.node: Node | None = None
-        self.open: Open | None = None  # its router's side
+        self.node: RouterProcess | None = None
+        self.open: PendingRequest | None = None  # the router's state of it
 
 
-class Node:
-    """One router."""
+class RouterProcess:
+    """One router process."""
 
     def __init__(self, number: int, zone: int) -> None:
         self.number, self.zone = number, zone
-        self.policy: RoutingPolicy | None = None  # None while dead
+        self.policy: RoutingPolicy | None = None  # None while it is dead
         self.life = 0
         self.draining = False
-        self.opens: dict[str, Open] = {}
+        self.opens: dict[str, PendingRequest] = {}
         self.list: dict[str, i.ReplicaEntry] = {}
-        self.away: dict[str, float] = {}  # told to drain or gone, since when
-        self.idle: dict[Machine, list[float]] = {}
+        self.away: dict[str, float] = {}  # draining or removed replicas, each with the time
+        self.idle: dict[EngineProcess, list[float]] = {}
         self.cpu_ns = self.taken = self.probes = 0
 
 
 class SimulatedEngines(EngineOracle, Protocol):
-    """The engines and the network to them, as routers use them."""
+    """The interface of the engines and the network to them."""
 
-    by_id: dict[str, Machine]
+    by_id: dict[str, EngineProcess]
 
-    def send(self, flight: Flight) -> None:
-        """An attempt leaves its router."""
+    def send(self, flight: Attempt) -> None:
+        """Send an attempt from its router."""
 
-    def drop(self, flight: Flight) -> None:
-        """The router, or a fault, closes the attempt's connection."""
+    def drop(self, flight: Attempt) -> None:
+        """Close the attempt's connection, by the router or by a fault."""
 
-    def probe(self, node: Node, name: str) -> None:
-        """A probe leaves its router."""
+    def probe(self, node: RouterProcess, name: str) -> None:
+        """Send a probe from its router."""
 
 
 class SimulatedRouters(Protocol):
-    """The routers, as engines, the network and clients use them."""
+    """The interface of the routers, for engines, the network and clients."""
 
-    all: list[Node]
+    all: list[RouterProcess]
 
-    def told(self, told: Told, life: int = -1) -> None:
-        """Discovery speaks to a router."""
+    def list_received(self, change: Told, life: int = -1) -> None:
+        """Deliver a list or an update from discovery to a router."""
 
-    def started(self, flight: Flight) -> None:
-        """An attempt's first token is here."""
+    def started(self, flight: Attempt) -> None:
+        """Receive an attempt's first token."""
 
-    def ended(self, flight: Flight, outcome: i.Outcome, kept: int = 0) -> None:
-        """An attempt has its outcome."""
+    def ended(self, flight: Attempt, outcome: i.Outcome, kept: int = 0) -> None:
+        """Receive an attempt's outcome."""
 
-    def probed(
-        self, node: Node, life: int, name: str, outcome: i.Outcome, lag: float, report: i.Report | None = None
+    def probe_answered(
+        self,
+        node: RouterProcess,
+        life: int,
+        name: str,
+        outcome: i.Outcome,
+        lag: float,
+        report: i.Report | None = None,
     ) -> None:
-        """A probe's answer is here."""
+        """Receive a probe's response."""
 
-    def arrived(self, call: Call, node: Node, client_ms: float) -> None:
-        """A request's last byte is here."""
+    def request_arrived(self, call: ClientTry, node: RouterProcess, client_ms: float) -> None:
+        """Receive a complete request."""
 
-    def left(self, call: Call) -> None:
+    def client_disconnected(self, call: ClientTry) -> None:
         """A client closed its connection."""
 
 
 class SimulatedClients(Protocol):
-    """The clients and the front, as routers and engines use them."""
+    """The interface of the clients and the load balancer, for routers and engines."""
 
-    calls: dict[str, Call]
+    calls: dict[str, ClientTry]
 
-    def asked_of(self, request: str) -> PlannedRequest:
-        """What the client of a request means."""
+    def planned_request(self, request: str) -> PlannedRequest:
+        """The planned request behind a request of a router."""
 
-    def died(self, node: Node) -> None:
-        """The front will notice."""
+    def router_died(self, node: RouterProcess) -> None:
+        """Let the load balancer notice a router's death after its delay."""
 
-    def rose(self, node: Node) -> None:
-        """The front asks for signs of life."""
+    def router_started(self, node: RouterProcess) -> None:
+        """Let the load balancer find a router that has started."""
 
-    def believe(self) -> None:
-        """Look which routers say that they serve."""
+    def update_live_routers(self) -> None:
+        """Refresh the routers that the load balancer sends to: those that run and don't drain."""
 
-    def tell(self, call: Call, how: str, retry_after_ms: float) -> None:
-        """A final answer leaves its router."""
+    def send_response(self, call: ClientTry, how: str, retry_after_ms: float) -> None:
+        """A router sends a final response without a stream."""
 
-    def answered(self, call: Call, how: str, retry_after_ms: float) -> None:
-        """A try ended without an answer: again, or never."""
+    def response_received(self, call: ClientTry, how: str, retry_after_ms: float) -> None:
+        """A try ended without a stream: retry, or give up."""
 
-    def first_token(self, call: Call) -> None:
-        """The first token leaves its router."""
+    def first_token(self, call: ClientTry) -> None:
+        """A router sends the first token."""
 
-    def ended(self, call: Call, whole: bool, read: int) -> None:
-        """A stream came to its end, or broke."""
+    def ended(self, call: ClientTry, whole: bool, read: int) -> None:
+        """A stream ended or broke."""
 
-    def cut_off(self, call: Call) -> None:
-        """Its router died."""
+    def connection_lost(self, call: ClientTry) -> None:
+        """The router of a try died."""
 
 
 class SimulationContext(Protocol):
-    """The simulation, as each of its parts uses it."""
+    """The interface of the simulation for its parts."""
 
     scenario: Scenario
     policy: str
-    clock: Clock
+    clock: VirtualClock
     plans: list[Planned]
     directory: Directory
 
@@ -208,13 +221,13 @@
 
     @property
     def clients(self) -> SimulatedClients:
-        """The clients and the front."""
+        """The clients and the load balancer."""
 
     def stream(self, name: str) -> Random:
-        """Random numbers of one concern, the same whatever the others draw."""
+        """A random generator for one purpose, independent of the draws of the others."""
 
     def delay(self, low_high: Any) -> float:
         """A one-way delay, with jitter."""
 
-    def breaks(self, rule: str) -> None:
-        """A rule was broken."""
+    def record_violation(self, rule: str) -> None:
+        """Count a violation of a rule."""
--- a/spoolbarrow/lab/virtual_time.py
+++ b/spoolbarrow/lab/virtual_time.py
@@ -1,4 +1,4 @@
-"""Virtual time: a queue of events, played in order without waiting; times in milliseconds."""
+"""A discrete-event queue in virtual time: events run in order without waiting; times in milliseconds."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 from typing import Any
 
 
-class Clock:
-    """Events in the order of their times, and of their making where times are equal."""
+class VirtualClock:
+    """Runs events in the order of their times; events with equal times in the order they were scheduled."""
 
     def __init__(self) -> None:
         self.now = 0.0
@@ -16,13 +16,13 @@
         self.count = 0
 
     def at(self, when: float, call: Callable[..., None], *args: Any) -> None:
-        """Call it then; never before now."""
+        """Schedule a call at `when`, or now where that is already past."""
         self.count += 1
         heappush(self.heap, (max(when, self.now), self.count, call, args))
 
-    def run(self, goes_on: Callable[[], bool]) -> None:
-        """Play until nothing is left to do, or to wait for."""
+    def run(self, should_continue: Callable[[], bool]) -> None:
+        """Run events until the queue is empty or `should_continue` returns false."""
         heap = self.heap
-        while heap and goes_on():
+        while heap and should_continue():
             self.now, _, call, args = heappop(heap)
             call(*args)
--- a/spoolbarrow/lab/warmup.py
+++ b/spoolbarrow/lab/warmup.py
@@ -1,4 +1,4 @@
-"""Cold starts: an engine's speed rises from a share to the whole, by time or work; overfilled, it falls."""
+"""Models slow start of an engine: its speed grows by time or work; if overloaded meanwhile, it crashes."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 from spoolbarrow.lab.kinds import EngineParameters
 
 
-class Warmth:
-    """The cold state of one process."""
+class Warmup:
+    """The slow start of one engine process."""
 
     __slots__ = ("figures", "started_at", "worked_ms", "warm", "taken", "taken_tokens")
 
@@ -18,11 +18,11 @@
         self.started_at = started_at
         self.worked_ms = 0.0  # time spent in steps
         self.warm = not cold or figures.cold_ms <= 0.0
-        self.taken: deque[tuple[float, int]] = deque()  # prompts taken while cold: when, tokens
+        self.taken: deque[tuple[float, int]] = deque()  # prompts admitted during slow start: (time, tokens)
         self.taken_tokens = 0
 
     def speed(self, now: float) -> float:
-        """Share of the full speed, in (0, 1]."""
+        """The share of full speed at `now`, in (0, 1]."""
         if self.warm:
             return 1.0
         f = self.figures
@@ -34,7 +34,7 @@
         return f.cold_from + (1.0 - f.cold_from) * max(0.0, done)
 
     def take(self, now: float, tokens: int) -> bool:
-        """A prompt of so many tokens came; True when that is too much for a cold one, and no chance."""
+        """Count an admitted prompt; True if the load is more than slow start and chance allow for."""
         f = self.figures
         if self.warm or f.fall_multiple <= 0.0:
             return False
--- a/tests/test_lab_experiment.py
+++ b/tests/test_lab_experiment.py
@@ -1,4 +1,4 @@
-"""Experiments: nothing is run twice or lost by a kill, comparisons are paired, charts hold what was found."""
+"""Tests experiments: no run is repeated or lost after a kill, comparisons are paired, charts show results."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from spoolbarrow.cli import run
 from spoolbarrow.lab import charts
 from spoolbarrow.lab.compare import compare
-from spoolbarrow.lab.experiment import ResultTable, jobs, run_job, run_experiment, read_experiment
+from spoolbarrow.lab.experiment import ResultTable, jobs, read_experiment, run_experiment, run_job
 from spoolbarrow.lab.scenario import ScenarioError
 
 SCENARIO = """
@@ -43,8 +43,8 @@
     return tmp_path
 
 
-def every(place: Path) -> Path:
-    """All runs, played in this process."""
+def run_all(place: Path) -> Path:
+    """Execute all runs in this process."""
     table = ResultTable(place / "out")
     for job in jobs(read_experiment(place / "pairs.toml"), place):
         table.append(run_job(job))
@@ -59,20 +59,20 @@
         table.append(run_job(job))
     with table.journal.open("ab") as journal:
         journal.write(b'{"key":"torn')  # killed in the middle of a line
-    told: list[tuple[int, int]] = []
-    assert run_experiment(found, place, place / "out", 1, lambda done, of: told.append((done, of))) == 13
-    assert told[0] == (7, 20) and told[-1] == (20, 20)
+    progress: list[tuple[int, int]] = []
+    assert run_experiment(found, place, place / "out", 1, lambda done, of: progress.append((done, of))) == 13
+    assert progress[0] == (7, 20) and progress[-1] == (20, 20)
     assert not table.journal.exists() and len(table.rows()) == 20
     assert run_experiment(found, place, place / "out", 1, lambda done, of: None) == 0
 
 
-def test_another_constant_is_another_run(place: Path) -> None:
-    usual = router.PREFILL_TOKENS_PER_MS
+def test_each_constant_value_is_a_run_of_its_own(place: Path) -> None:
+    default = router.PREFILL_TOKENS_PER_MS
     (place / "pairs.toml").write_text(
         'name = "c"\nscenarios = ["tiny.toml"]\nseeds = [1]\n[constants]\nREAD_RATE = [12.0, 3.0]\n'
     )
     rows = [run_job(job) for job in jobs(read_experiment(place / "pairs.toml"), place)]
-    assert len({row["key"] for row in rows}) == 2 and usual == router.PREFILL_TOKENS_PER_MS
+    assert len({row["key"] for row in rows}) == 2 and default == router.PREFILL_TOKENS_PER_MS
     assert [orjson.loads(row["constants"])["READ_RATE"] for row in rows] == [12.0, 3.0]
 
 
@@ -80,14 +80,14 @@
     "line, key",
     [("policies = ['none']", "policies"), ("[constants]\nNONE = [1.0]", "constants"), ("odd = 1", "odd")],
 )
-def test_a_faulty_experiment_names_the_key(place: Path, line: str, key: str) -> None:
+def test_an_invalid_experiment_names_the_key(place: Path, line: str, key: str) -> None:
     (place / "bad.toml").write_text(f'name = "b"\nscenarios = ["tiny.toml"]\n{line}\n')
     with pytest.raises(ScenarioError, match=key):
         read_experiment(place / "bad.toml")
 
 
-def test_comparison_is_paired_and_plain(place: Path) -> None:
-    out = every(place)
+def test_comparisons_are_paired(place: Path) -> None:
+    out = run_all(place)
     found = compare(f"{out}:policy=random", f"{out}:policy=oracle", "worth")
     assert found.pairs == 10 and found.low <= found.difference <= found.high
     assert found.difference == pytest.approx(found.of_b - found.of_a)
@@ -99,7 +99,7 @@
         compare(f"{out}:policy=nobody", str(out), "worth")
 
 
-def test_less_is_better_where_it_is(place: Path) -> None:
+def test_less_is_better_for_latencies(place: Path) -> None:
     table = ResultTable(place / "out")
     for seed in range(6):
         for policy, late in (("a", 100.0), ("b", 150.0)):
@@ -112,8 +112,8 @@
     assert compare(a, b, "worth").verdict == "B is better"
 
 
-def test_charts_show_troubles_and_are_the_same_twice(place: Path) -> None:
-    rows = ResultTable(every(place)).rows()
+def test_charts_show_faults_and_are_reproducible(place: Path) -> None:
+    rows = ResultTable(run_all(place)).rows()
     one, other = charts.charts(rows), charts.charts(rows)
     assert one == other and "timeline-tiny-oracle" in one and "worth-against-per_engine" in one
     assert "hang" in one["timeline-tiny-random"]
@@ -121,8 +121,8 @@
     assert "a &amp; b" in page and page.count("<svg") == len(one)
 
 
-def test_the_commands_say_what_they_find(place: Path, capsys: pytest.CaptureFixture[str]) -> None:
-    out = str(every(place))
+def test_the_commands_print_their_results(place: Path, capsys: pytest.CaptureFixture[str]) -> None:
+    out = str(run_all(place))
     assert run(["lab", "compare", f"{out}:policy=oracle", f"{out}:policy=random"]) in (0, 1)
     assert "10 pairs" in capsys.readouterr().out
     assert run(["lab", "compare", out, f"{out}:colour=red"]) == 2
--- a/tests/test_ready.py
+++ b/tests/test_ready.py
@@ -1,4 +1,4 @@
-"""Several processes begin in one instant while discovery is away, and are ready all the same; /up is true."""
+"""Tests that processes started at once without discovery become ready, and that /up is correct."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 from tests.test_descriptors import Discovery
 
 ROUTERS = 6
-READY_S = 10.0  # after its start a process takes clients
+READY_TIMEOUT_S = 10.0  # from a process's start until it serves clients
 
 
 class Router:
@@ -36,7 +36,7 @@
         self.port = int(raw["listen"].rpartition(":")[2])
         self.begun = time.monotonic()
         self.process = Process("-m", "spoolbarrow", env={"NODE_CONFIG": str(file)})
-        self.refused = 0  # `/up` said no
+        self.refused = 0  # 503 responses of `/up`
 
     def ready(self) -> bool:
         try:
@@ -49,15 +49,15 @@
     def serves(self, left: int) -> int:
         return Client(self.port).send(ask(left=left)).answer().status
 
-    def first(self) -> tuple[float, int]:
-        """How long until it was ready, in s, and how a request that cannot wait long ends then."""
+    def first_result(self) -> tuple[float, int]:
+        """The time until it was ready, in s, and the status of a request with little time left then."""
         wait_until(self.ready)
         return time.monotonic() - self.begun, self.serves(500)
 
 
 @pytest.fixture
 def begin(tmp_path: Path) -> Iterator[Callable[..., list[Router]]]:
-    """Processes that begin at once: `begin(known, asked, discovery)`."""
+    """Starts processes at once: `begin(known, asked, discovery)`."""
     made: list[Router] = []
     engine = ScriptedServer(serve_all)
 
@@ -81,26 +81,29 @@
     made.close()
 
 
-def firsts(routers: list[Router]) -> list[tuple[float, int]]:
-    jobs = [gevent.spawn(one.first) for one in routers]
+def first_results(routers: list[Router]) -> list[tuple[float, int]]:
+    jobs = [gevent.spawn(one.first_result) for one in routers]
     gevent.joinall(jobs, raise_error=True)
     return [job.get() for job in jobs]
 
 
 @pytest.mark.parametrize("silent", [False, True])
 @pytest.mark.parametrize("asked", [True, False])
-def test_a_known_list_is_enough_while_discovery_is_away(
+def test_a_known_list_is_enough_without_discovery(
     begin: Callable[..., list[Router]], discovery: Discovery, asked: bool, silent: bool
 ) -> None:
-    """It refuses, or takes calls and says nothing; once /up says yes a hurried request is served."""
+    """Discovery refuses connections or never responds; once /up is 200, an urgent request is served."""
     if silent:
         discovery.listen()
-    found = firsts(begin(True, asked, discovery))
-    assert all(took < READY_S for took, _ in found) and [status for _, status in found] == [200] * ROUTERS
+    found = first_results(begin(True, asked, discovery))
+    assert (
+        all(took < READY_TIMEOUT_S for took, _ in found)
+        and [status for _, status in found] == [200] * ROUTERS
+    )
 
 
 @pytest.mark.parametrize("asked", [True, False])
-def test_without_a_known_list_it_is_asked_for_at_once_and_up_says_no_till_it_is_there(
+def test_without_a_known_list_up_is_503_until_discovery_gives_one(
     begin: Callable[..., list[Router]], discovery: Discovery, asked: bool
 ) -> None:
     routers = begin(False, asked, discovery)
@@ -109,6 +112,6 @@
         assert one.refused
     discovery.answers = True
     discovery.listen()
-    back = time.monotonic()
-    assert [status for _, status in firsts(routers)] == [200] * ROUTERS
-    assert time.monotonic() - back < READY_S
+    available_at = time.monotonic()
+    assert [status for _, status in first_results(routers)] == [200] * ROUTERS
+    assert time.monotonic() - available_at < READY_TIMEOUT_S
--- a/tests/test_slow_start_load.py
+++ b/tests/test_slow_start_load.py
@@ -1,8 +1,8 @@
-"""All routers together stay within the budget of engines that have just started, whatever comes.
+"""Tests that all routers together stay within the budget of engines that have just started.
 
-The real decisions in virtual time (`lab/slow_start_load.py`): 1 to 36 routers under drawn settings and
-traffic, among them bursts, clients that come again, engines that hang or leave, and probes that tell no load.
-What each start was sent within any span of the settings' time must stay within N + 2 x root of N + 2 requests
+The real decisions in virtual time (`lab/slow_start_load.py`): 1 to 36 routers under random settings and
+traffic, with bursts, clients that retry, engines that hang or are removed, and probes without a load report.
+The work sent to each start within any span of `tip_after_ms` must stay within N + 2 x root of N + 2 requests
 of mean work, for an N under 30 N + 3 x root of N + 3.
 """
 
@@ -16,8 +16,9 @@
 from spoolbarrow.lab.cold import bears
 from spoolbarrow.lab.slow_start_load import Burst, Case, play
 
-# Seeds of `drawn` at which engines fell while the chance to be sent somewhere was that of each request asked.
-FELL = {
+# Seeds of `random_case` at which engines crashed while the chance to be sent to an engine in slow start was
+# drawn for each client request.
+CRASH_SEEDS = {
     2033: "24 routers in three zones, half of the engines hung, the others gone",
     2050: "12 routers without probes",
     2079: "36 routers, one opening has much of the traffic, deadlines of 1.5 s",
@@ -44,8 +45,8 @@
     )
 
 
-def drawn(seed: int) -> Case:
-    """A case over the legal range, heavy on overload."""
+def random_case(seed: int) -> Case:
+    """A random case over the allowed range, with much overload."""
     rng = Random(seed)
     routers = rng.choice([1, 1, 3, 4, 6, 12, 24, 36])
     classes = _classes(rng)
@@ -92,25 +93,25 @@
 
 
 @pytest.mark.parametrize("budget, limit", [(9.0, 21.0), (25.0, 43.0), (36.0, 50.0), (100.0, 122.0)])
-def test_the_limit_is_the_stricter_terms_own(budget: float, limit: float) -> None:
+def test_the_limit_is_the_stricter_of_both_terms(budget: float, limit: float) -> None:
     assert bears(budget) == pytest.approx(limit)
 
 
-@pytest.mark.parametrize("seed", FELL, ids=FELL.values())
-def test_engines_that_once_fell_bear_what_all_routers_send(seed: int) -> None:
-    starts = play(drawn(seed))
+@pytest.mark.parametrize("seed", CRASH_SEEDS, ids=CRASH_SEEDS.values())
+def test_seeds_with_former_crashes_stay_within_the_budget(seed: int) -> None:
+    starts = play(random_case(seed))
     assert starts and max(start.worst for start in starts) <= 1.0
 
 
 @pytest.mark.parametrize("seed", range(3000, 3012))
-def test_drawn_fleets_stay_within_the_budget_of_engines_that_start(seed: int) -> None:
-    starts = play(drawn(seed))
+def test_random_fleets_stay_within_the_budget_of_starting_engines(seed: int) -> None:
+    starts = play(random_case(seed))
     assert starts and max(start.worst for start in starts) <= 1.0
 
 
 @pytest.mark.parametrize("routers", [1, 4, 30])
-def test_engines_that_start_are_used_all_the_same(routers: int) -> None:
-    """On a busy day without bursts they do half of what they can, while they grow."""
+def test_starting_engines_still_get_work(routers: int) -> None:
+    """Under high load without bursts, engines in slow start do at least half of the work that they can."""
     settings = Settings(
         nodes=routers,
         classes=(RequestClass(aim_ms=1200.0, deadline_ms=4000.0, worth=1.0),),
@@ -121,5 +122,5 @@
     )
     cases = [Case(settings=settings, seed=seed, engines=6, starting=4, load=1.2) for seed in range(6)]
     starts = [start for case in cases for start in play(case)]
-    able = cases[0].per_s * (1.0 + settings.cold_from) / 2.0 * settings.cold_ms / 1000.0
-    assert sum(start.work for start in starts) / len(starts) > 0.5 * able
+    capacity = cases[0].per_s * (1.0 + settings.cold_from) / 2.0 * settings.cold_ms / 1000.0
+    assert sum(start.work for start in starts) / len(starts) > 0.5 * capacity
