--- a/spoolbarrow/lab/failover_policy.py
+++ b/spoolbarrow/lab/failover_policy.py
@@ -42,9 +42,7 @@
         self._return_times: dict[str, float] = {}
         self._timer_set = False
         self._last_verdicts: dict[str, Verdict] = {}
-        self.changes: list[
-            tuple[float, str, ZoneState]
-        ] = []  # of the zones' verdicts: (time, zone, new state)
+        self.changes: list[tuple[float, str, ZoneState]] = []  # of verdicts: time, zone, new state
 
     def handle(self, now: float, events: list[i.Event]) -> list[i.Action]:
         """Return the actions for a batch of events."""
--- a/spoolbarrow/lab/simulate.py
+++ b/spoolbarrow/lab/simulate.py
@@ -79,13 +79,13 @@
         elapsed_s = perf_counter() - begin
         gc.set_threshold(*threshold)
         gc.unfreeze()
-        request_count = max(1, sum(node.taken for node in self.routers.all))
+        request_count = max(1, sum(router.taken for router in self.routers.all))
         report = build_report(self.scenario, self.clients.records, self.plans)
         report |= self.engines.figures(self.clients.records)
         report |= {
             "policy": self.policy,
             "seed": self.seed,
-            "probes_a_request": round(sum(node.probes for node in self.routers.all) / request_count, 4),
+            "probes_a_request": round(sum(router.probes for router in self.routers.all) / request_count, 4),
             "list_calls_failed": self.directory.failed,
             "rules_broken": dict(sorted(self.violations.items())),
             "run": {
--- a/spoolbarrow/lab/simulated_clients.py
+++ b/spoolbarrow/lab/simulated_clients.py
@@ -40,12 +40,12 @@
         """The planned request behind a request of a router."""
         return self.calls[request].record.planned
 
-    def router_died(self, node: RouterProcess) -> None:
+    def router_died(self, router: RouterProcess) -> None:
         """Let the load balancer notice a router's death after its delay."""
         notice = draw(self.sim.scenario.front.notice_s, self.rng) * 1000.0
         self.clock.at(self.clock.now + notice, self.update_live_routers)
 
-    def router_started(self, node: RouterProcess) -> None:
+    def router_started(self, router: RouterProcess) -> None:
         """Let the load balancer find a router that has started."""
         self.clock.at(self.clock.now + ROUTER_UP_DELAY_MS, self.update_live_routers)
 
@@ -66,8 +66,8 @@
         delay = self.sim.delay(s.net.client_ms)
         self.clock.at(now + call.patience, self._patience, call)
         if near:
-            node = self.sim.routers.all[near[int(self.rng.random() * len(near))]]
-            self.clock.at(now + delay, self.sim.routers.request_arrived, call, node, delay)
+            router = self.sim.routers.all[near[int(self.rng.random() * len(near))]]
+            self.clock.at(now + delay, self.sim.routers.request_arrived, call, router, delay)
         else:
             self.clock.at(now + delay, self.response_received, call, "failed", 0.0)
 
--- a/spoolbarrow/lab/simulated_engines.py
+++ b/spoolbarrow/lab/simulated_engines.py
@@ -49,79 +49,79 @@
 
     # --- attempts and probes on the network
 
-    def _one_way_delay(self, node: RouterProcess, machine: EngineProcess) -> float:
+    def _one_way_delay(self, router: RouterProcess, machine: EngineProcess) -> float:
         """The one-way delay from a router to an engine."""
         net = self.sim.scenario.net
-        return self.sim.delay(net.same_ms if node.zone == machine.spec.zone else net.cross_ms)
+        return self.sim.delay(net.same_ms if router.zone == machine.spec.zone else net.cross_ms)
 
-    def _blocked_until(self, node: RouterProcess, machine: EngineProcess) -> float:
+    def _blocked_until(self, router: RouterProcess, machine: EngineProcess) -> float:
         """The time until which nothing passes between the two."""
-        return max(machine.silent, machine.cut.get(node.number, -inf))
+        return max(machine.silent, machine.cut.get(router.number, -inf))
 
-    def _to_router(self, flight: Attempt, call: Callable[..., None], *args: Any) -> None:
+    def _to_router(self, attempt: Attempt, call: Callable[..., None], *args: Any) -> None:
         """Deliver an engine's message to the router; during a partition, at its end (retransmission)."""
-        machine = flight.machine
+        machine = attempt.machine
         assert machine is not None
-        begin = max(self.clock.now, self._blocked_until(flight.node, machine))
-        self.clock.at(begin + flight.delay, call, flight, *args)
+        begin = max(self.clock.now, self._blocked_until(attempt.node, machine))
+        self.clock.at(begin + attempt.delay, call, attempt, *args)
 
-    def send(self, flight: Attempt) -> None:
+    def send(self, attempt: Attempt) -> None:
         """Send an attempt from its router."""
-        machine, node, now, nodes = flight.machine, flight.node, self.clock.now, self.sim.routers
+        machine, router, now, routers = attempt.machine, attempt.node, self.clock.now, self.sim.routers
         timeout = self.sim.scenario.limits.connect_timeout_ms
         if machine is None:
-            return self.clock.at(now + 1.0, nodes.ended, flight, i.Outcome.UNREACHABLE)
-        flight.delay = delay = self._one_way_delay(node, machine)
-        held = self._blocked_until(node, machine) > now
+            return self.clock.at(now + 1.0, routers.ended, attempt, i.Outcome.UNREACHABLE)
+        attempt.delay = delay = self._one_way_delay(router, machine)
+        held = self._blocked_until(router, machine) > now
         if not machine.alive and not held:
-            return self.clock.at(now + 2.0 * delay, nodes.ended, flight, i.Outcome.UNREACHABLE)
-        idle = node.idle.get(machine, [])
+            return self.clock.at(now + 2.0 * delay, routers.ended, attempt, i.Outcome.UNREACHABLE)
+        idle = router.idle.get(machine, [])
         while idle and now - idle[-1] >= machine.spec.figures.idle_ms:
             machine.connections -= len(idle)
             idle.clear()
         if idle:
             idle.pop()
         elif held:
-            return self.clock.at(now + timeout, nodes.ended, flight, i.Outcome.UNREACHABLE)
+            return self.clock.at(now + timeout, routers.ended, attempt, i.Outcome.UNREACHABLE)
         elif machine.connections >= machine.cap and not self._close_idle(machine):
-            return self.clock.at(now + 2.0 * delay, nodes.ended, flight, i.Outcome.UNREACHABLE)
+            return self.clock.at(now + 2.0 * delay, routers.ended, attempt, i.Outcome.UNREACHABLE)
         else:
             machine.connections += 1
             machine.engine.add_overhead(now, machine.spec.figures.handshake_work_ms)
             now += machine.spec.figures.handshake_rtts * 2.0 * delay
-        flight.engine = machine.engine
-        self.clock.at(max(now, self._blocked_until(node, machine)) + delay, self._deliver, flight)
+        attempt.engine = machine.engine
+        self.clock.at(max(now, self._blocked_until(router, machine)) + delay, self._deliver, attempt)
 
     def _close_idle(self, machine: EngineProcess) -> bool:
         """Close connections that have been idle for too long; whether one more connection fits then."""
-        for node in self.sim.routers.all:
-            idle = node.idle.get(machine, [])
+        for router in self.sim.routers.all:
+            idle = router.idle.get(machine, [])
             young = [at for at in idle if self.clock.now - at < machine.spec.figures.idle_ms]
             machine.connections -= len(idle) - len(young)
             idle[:] = young
         return machine.connections < machine.cap
 
-    def _deliver(self, flight: Attempt) -> None:
-        machine, now, nodes = flight.machine, self.clock.now, self.sim.routers
-        if machine is None or flight.over:
+    def _deliver(self, attempt: Attempt) -> None:
+        machine, now, routers = attempt.machine, self.clock.now, self.sim.routers
+        if machine is None or attempt.over:
             return
-        if not machine.alive or machine.engine is not flight.engine:
-            return self._to_router(flight, nodes.ended, i.Outcome.RESET)
+        if not machine.alive or machine.engine is not attempt.engine:
+            return self._to_router(attempt, routers.ended, i.Outcome.RESET)
         if machine.state is not i.ReplicaState.SERVING:
-            return self._to_router(flight, nodes.ended, i.Outcome.FULL)
-        one = flight.open.call.record.planned
-        result = machine.engine.submit(now, work(flight.name, one))
+            return self._to_router(attempt, routers.ended, i.Outcome.FULL)
+        one = attempt.open.call.record.planned
+        result = machine.engine.submit(now, work(attempt.name, one))
         if result is SubmitResult.ACCEPTED:
-            machine.flights[flight.name] = flight
+            machine.flights[attempt.name] = attempt
             self._schedule_wake(machine)
         elif result is SubmitResult.CRASHED:
-            machine.flights[flight.name] = flight
+            machine.flights[attempt.name] = attempt
             self.falls += 1
             self.sim.record_violation("4: a cold engine fell over")
             self.crash(machine, machine.spec.figures.restart_ms)
         else:
             self._to_router(
-                flight, nodes.ended, i.Outcome.FULL if result is SubmitResult.FULL else i.Outcome.ERROR
+                attempt, routers.ended, i.Outcome.FULL if result is SubmitResult.FULL else i.Outcome.ERROR
             )
 
     def _schedule_wake(self, machine: EngineProcess) -> None:
@@ -137,74 +137,74 @@
         if not machine.alive:
             return
         for event in machine.engine.advance(self.clock.now):
-            flight = machine.flights.get(event.id)
-            if flight is None:
+            attempt = machine.flights.get(event.id)
+            if attempt is None:
                 continue
             if event.kind is EventKind.STARTED:
-                self._started(machine, flight, event.kept)
+                self._started(machine, attempt, event.kept)
             else:
                 del machine.flights[event.id]
-                read = flight.first_at + flight.trickle * flight.open.call.record.planned.answer
+                read = attempt.first_at + attempt.trickle * attempt.open.call.record.planned.answer
                 read = min(read, machine.trickle_end)
-                if flight.spoil:
-                    self._to_router(flight, self.sim.routers.ended, i.Outcome.UNREADABLE)
+                if attempt.spoil:
+                    self._to_router(attempt, self.sim.routers.ended, i.Outcome.UNREADABLE)
                 elif read > self.clock.now:
-                    ended = (flight, self.sim.routers.ended, i.Outcome.SERVED, event.kept)
+                    ended = (attempt, self.sim.routers.ended, i.Outcome.SERVED, event.kept)
                     self.clock.at(read, self._to_router, *ended)
                 else:
-                    self._to_router(flight, self.sim.routers.ended, i.Outcome.SERVED, event.kept)
+                    self._to_router(attempt, self.sim.routers.ended, i.Outcome.SERVED, event.kept)
         self._schedule_wake(machine)
 
-    def _started(self, machine: EngineProcess, flight: Attempt, kept: int) -> None:
-        nodes = self.sim.routers
+    def _started(self, machine: EngineProcess, attempt: Attempt, kept: int) -> None:
+        routers = self.sim.routers
         if machine.resets and self.rng.random() < machine.resets:
-            self.drop(flight)
-            return self._to_router(flight, nodes.ended, i.Outcome.RESET)
+            self.drop(attempt)
+            return self._to_router(attempt, routers.ended, i.Outcome.RESET)
         if machine.spoilt and self.rng.random() < machine.spoilt:
             if self.rng.random() < 0.5:
-                self.drop(flight)
-                return self._to_router(flight, nodes.ended, i.Outcome.UNREADABLE)
-            flight.spoil = True  # only a later event of the stream is malformed
-        flight.first_at, flight.trickle = self.clock.now, machine.trickle
-        self._to_router(flight, nodes.started)
+                self.drop(attempt)
+                return self._to_router(attempt, routers.ended, i.Outcome.UNREADABLE)
+            attempt.spoil = True  # only a later event of the stream is malformed
+        attempt.first_at, attempt.trickle = self.clock.now, machine.trickle
+        self._to_router(attempt, routers.started)
 
-    def drop(self, flight: Attempt) -> None:
+    def drop(self, attempt: Attempt) -> None:
         """Close the attempt's connection, by the router or by a fault."""
-        machine = flight.machine
-        if machine is not None and machine.flights.pop(flight.name, None) is not None:
-            machine.engine.cancel(self.clock.now, flight.name)
+        machine = attempt.machine
+        if machine is not None and machine.flights.pop(attempt.name, None) is not None:
+            machine.engine.cancel(self.clock.now, attempt.name)
             self._schedule_wake(machine)
 
-    def probe(self, node: RouterProcess, name: str) -> None:
+    def probe(self, router: RouterProcess, name: str) -> None:
         """Send a probe from its router."""
         machine, now = self.by_id.get(name), self.clock.now
         limit = self.sim.scenario.limits.probe_timeout_ms
         callback = self.sim.routers.probe_answered
         if machine is None:
-            return self.clock.at(now + 1.0, callback, node, node.life, name, i.Outcome.UNREACHABLE, 1.0)
-        delay = self._one_way_delay(node, machine)
-        if self._blocked_until(node, machine) > now:
-            return self.clock.at(now + limit, callback, node, node.life, name, i.Outcome.TIMEOUT, limit)
+            return self.clock.at(now + 1.0, callback, router, router.life, name, i.Outcome.UNREACHABLE, 1.0)
+        delay = self._one_way_delay(router, machine)
+        if self._blocked_until(router, machine) > now:
+            return self.clock.at(now + limit, callback, router, router.life, name, i.Outcome.TIMEOUT, limit)
         if not machine.alive:
             lag = 2.0 * delay
-            return self.clock.at(now + lag, callback, node, node.life, name, i.Outcome.UNREACHABLE, lag)
+            return self.clock.at(now + lag, callback, router, router.life, name, i.Outcome.UNREACHABLE, lag)
         engine = machine.engine
         engine.add_overhead(now, machine.spec.figures.probe_work_ms)
         wait = engine.probe_wait(now)
         lag = 2.0 * delay + wait
         if lag > limit:
-            return self.clock.at(now + limit, callback, node, node.life, name, i.Outcome.TIMEOUT, limit)
-        self.clock.at(now + delay + wait, self._probed, node, node.life, machine, lag, delay)
+            return self.clock.at(now + limit, callback, router, router.life, name, i.Outcome.TIMEOUT, limit)
+        self.clock.at(now + delay + wait, self._probed, router, router.life, machine, lag, delay)
 
     def _probed(
-        self, node: RouterProcess, life: int, machine: EngineProcess, lag: float, delay: float
+        self, router: RouterProcess, life: int, machine: EngineProcess, lag: float, delay: float
     ) -> None:
         now, callback = self.clock.now, self.sim.routers.probe_answered
         if not machine.alive:
-            return self.clock.at(now + delay, callback, node, life, machine.id, i.Outcome.RESET, lag)
+            return self.clock.at(now + delay, callback, router, life, machine.id, i.Outcome.RESET, lag)
         load = machine.engine.report(now)
         report = i.Report(load.memory_share, load.unread_tokens, -1.0, load.busy_share)
-        self.clock.at(now + delay, callback, node, life, machine.id, i.Outcome.SERVED, lag, report)
+        self.clock.at(now + delay, callback, router, life, machine.id, i.Outcome.SERVED, lag, report)
 
     # --- faults
 
@@ -247,12 +247,12 @@
         """End the process; its connections are reset."""
         machine.alive = False
         self.ended_engines.append(machine.engine)
-        for flight in list(machine.flights.values()):
-            self._to_router(flight, self.sim.routers.ended, i.Outcome.RESET)
+        for attempt in list(machine.flights.values()):
+            self._to_router(attempt, self.sim.routers.ended, i.Outcome.RESET)
         machine.flights.clear()
         machine.connections = 0
-        for node in self.sim.routers.all:
-            node.idle.pop(machine, None)
+        for router in self.sim.routers.all:
+            router.idle.pop(machine, None)
 
     def crash(self, machine: EngineProcess, down_ms: float) -> None:
         """Crash the process; it restarts later, in slow start."""
@@ -284,9 +284,9 @@
     def _vanish(self, machine: EngineProcess, until: float) -> None:
         machine.silent = until
         flights = list(machine.flights.values())
-        for flight in flights:
+        for attempt in flights:
             self.clock.at(
-                self.clock.now + STREAM_IDLE_TIMEOUT_MS, self.sim.routers.ended, flight, i.Outcome.TIMEOUT
+                self.clock.now + STREAM_IDLE_TIMEOUT_MS, self.sim.routers.ended, attempt, i.Outcome.TIMEOUT
             )
         machine.state = i.ReplicaState.GONE
         self._change(machine, silent=True)
--- a/spoolbarrow/lab/simulated_routers.py
+++ b/spoolbarrow/lab/simulated_routers.py
@@ -32,117 +32,117 @@
 
     def begin(self) -> None:
         """Start all routers, each with the present list."""
-        for node in self.all:
-            node.list = dict(self.sim.directory.shown)
-            self._start(node)
+        for router in self.all:
+            router.list = dict(self.sim.directory.shown)
+            self._start(router)
 
-    def _start(self, node: RouterProcess) -> None:
-        settings = self.sim.scenario.settings(node.number)
+    def _start(self, router: RouterProcess) -> None:
+        settings = self.sim.scenario.settings(router.number)
         make = POLICIES[self.sim.policy]
-        node.policy = make(settings, self.seeds.getrandbits(32), self.sim.engines)
-        node.away.clear()
-        self.process_events(node, [i.ReplicaList(i.ListKind.RESTORED, tuple(node.list.values()))])
+        router.policy = make(settings, self.seeds.getrandbits(32), self.sim.engines)
+        router.away.clear()
+        self.process_events(router, [i.ReplicaList(i.ListKind.RESTORED, tuple(router.list.values()))])
 
-    def kill(self, node: RouterProcess) -> None:
+    def kill(self, router: RouterProcess) -> None:
         """Kill a router's process: its connections break, and its state is lost except for the last list."""
-        if node.policy is None:
+        if router.policy is None:
             return
-        node.policy = None
-        node.life += 1
-        for machine, idle in node.idle.items():
+        router.policy = None
+        router.life += 1
+        for machine, idle in router.idle.items():
             machine.connections -= len(idle)
-        node.idle.clear()
-        for open in node.opens.values():
-            for flight in open.flights:
-                if not flight.over:
-                    flight.over = True
-                    self._hang_up(flight)
-                    if flight.machine is not None and flight.connected():
-                        flight.machine.connections -= 1
-            self.sim.clients.connection_lost(open.call)
-            del self.sim.clients.calls[open.id]
-        node.opens.clear()
-        self.sim.directory.leave(node.number)
-        self.sim.clients.router_died(node)
+        router.idle.clear()
+        for pending in router.opens.values():
+            for attempt in pending.flights:
+                if not attempt.over:
+                    attempt.over = True
+                    self._hang_up(attempt)
+                    if attempt.machine is not None and attempt.connected():
+                        attempt.machine.connections -= 1
+            self.sim.clients.connection_lost(pending.call)
+            del self.sim.clients.calls[pending.id]
+        router.opens.clear()
+        self.sim.directory.leave(router.number)
+        self.sim.clients.router_died(router)
 
-    def drain(self, node: RouterProcess, grace_ms: float) -> None:
+    def drain(self, router: RouterProcess, grace_ms: float) -> None:
         """Drain a router: the load balancer stops using it; requests left after the grace are cut off."""
-        node.draining = True
+        router.draining = True
         self.clock.at(self.clock.now + ROUTER_UP_DELAY_MS, self.sim.clients.update_live_routers)
-        self.clock.at(self.clock.now + grace_ms, self._replaced, node)
+        self.clock.at(self.clock.now + grace_ms, self._replaced, router)
 
-    def _replaced(self, node: RouterProcess) -> None:
-        self.kill(node)
-        self.restart(node)
+    def _replaced(self, router: RouterProcess) -> None:
+        self.kill(router)
+        self.restart(router)
 
-    def restart(self, node: RouterProcess) -> None:
+    def restart(self, router: RouterProcess) -> None:
         """Start a router again."""
-        node.draining = False
-        self._start(node)
-        self.sim.clients.router_started(node)
+        router.draining = False
+        self._start(router)
+        self.sim.clients.router_started(router)
 
-    def process_events(self, node: RouterProcess, events: list[i.Event]) -> None:
+    def process_events(self, router: RouterProcess, events: list[i.Event]) -> None:
         """Pass events to a router's policy and carry out its actions."""
-        decider, now = node.policy, self.clock.now
+        decider, now = router.policy, self.clock.now
         if decider is None:
             return
         begin = perf_counter_ns()
         actions = decider.handle(now, events)
-        node.cpu_ns += perf_counter_ns() - begin
+        router.cpu_ns += perf_counter_ns() - begin
         for action in actions:
             kind = type(action)
             if kind is i.SetTimer:
                 assert isinstance(action, i.SetTimer)
-                self.clock.at(now + action.in_ms, self._fire, node, node.life, action.token)
+                self.clock.at(now + action.in_ms, self._fire, router, router.life, action.token)
             elif kind is i.Send:
                 assert isinstance(action, i.Send)
-                self._send(node, action)
+                self._send(router, action)
             elif kind is i.Probe:
                 assert isinstance(action, i.Probe)
-                node.probes += 1
-                self.sim.engines.probe(node, action.replica)
+                router.probes += 1
+                self.sim.engines.probe(router, action.replica)
             elif kind is i.Cancel:
                 assert isinstance(action, i.Cancel)
-                self._cancel(node, action)
+                self._cancel(router, action)
             elif kind is i.Refuse or kind is i.Fail:
                 assert isinstance(action, (i.Refuse, i.Fail))
-                self._answer(node, action)
+                self._answer(router, action)
             else:
-                change = self.sim.directory.call(now, node.number)
-                self.clock.at(change.at, self.list_received, change, node.life)
+                change = self.sim.directory.call(now, router.number)
+                self.clock.at(change.at, self.list_received, change, router.life)
 
-    def _fire(self, node: RouterProcess, life: int, token: str) -> None:
-        if node.life == life:
-            self.process_events(node, [i.TimerFired(token)])
+    def _fire(self, router: RouterProcess, life: int, token: str) -> None:
+        if router.life == life:
+            self.process_events(router, [i.TimerFired(token)])
 
     def list_received(self, change: Told, life: int = -1) -> None:
         """Deliver a list or an update from discovery to a router."""
-        node = self.all[change.caller]
-        if node.policy is None or (life >= 0 and life != node.life):
+        router = self.all[change.caller]
+        if router.policy is None or (life >= 0 and life != router.life):
             return
         kind, entries = change.kind, change.entries
         if kind is i.ListKind.WHOLE:
-            if node.number not in self.sim.directory.watches:
+            if router.number not in self.sim.directory.watches:
                 kind = i.ListKind.FAILED  # discovery went down while the call waited
             else:
                 entries = self.sim.directory.whole()
-                for gone in set(node.list) - {e.replica for e in entries}:
-                    del node.list[gone]
-                    node.away.setdefault(gone, self.clock.now)
+                for gone in set(router.list) - {e.replica for e in entries}:
+                    del router.list[gone]
+                    router.away.setdefault(gone, self.clock.now)
         for entry in entries:
             if entry.state is i.ReplicaState.SERVING:
-                node.away.pop(entry.replica, None)
+                router.away.pop(entry.replica, None)
             else:
-                node.away.setdefault(entry.replica, self.clock.now)
+                router.away.setdefault(entry.replica, self.clock.now)
             if entry.state is i.ReplicaState.GONE:
-                node.list.pop(entry.replica, None)
+                router.list.pop(entry.replica, None)
             else:
-                node.list[entry.replica] = entry
-        self.process_events(node, [i.ReplicaList(kind, entries)])
+                router.list[entry.replica] = entry
+        self.process_events(router, [i.ReplicaList(kind, entries)])
 
-    def request_arrived(self, call: ClientTry, node: RouterProcess, client_ms: float) -> None:
+    def request_arrived(self, call: ClientTry, router: RouterProcess, client_ms: float) -> None:
         """Receive a complete request."""
-        if node.policy is None:
+        if router.policy is None:
             return self.clock.at(
                 self.clock.now + client_ms, self.sim.clients.response_received, call, "failed", 0.0
             )
@@ -150,128 +150,130 @@
             return
         one, now = call.record.planned, self.clock.now
         budget = max(1.0, call.patience - (now - call.sent_at) - client_ms - DEADLINE_MARGIN_MS)
-        node.taken += 1
-        name = f"{one.session:x}.{call.record.tries}.{node.number}.{node.taken}"
-        call.node = node
-        open = call.open = node.opens[name] = PendingRequest(name, call, now + budget)
+        router.taken += 1
+        name = f"{one.session:x}.{call.record.tries}.{router.number}.{router.taken}"
+        call.node = router
+        pending = call.open = router.opens[name] = PendingRequest(name, call, now + budget)
         self.sim.clients.calls[name] = call
-        self.clock.at(open.deadline, self._deadline, node, node.life, open)
+        self.clock.at(pending.deadline, self._deadline, router, router.life, pending)
         most = list(self.sim.scenario.classes.values())[one.cls].max_answer or one.answer
         event = i.RequestArrived(
             name, one.cls, budget, one.tenant, one.prompt, one.shared, most, one.session, one.prefix
         )
-        self.process_events(node, [event])
+        self.process_events(router, [event])
 
-    def _send(self, node: RouterProcess, action: i.Send) -> None:
-        open, now = node.opens.get(action.request), self.clock.now
-        if open is None or open.done or open.claimed is not None:
+    def _send(self, router: RouterProcess, action: i.Send) -> None:
+        pending, now = router.opens.get(action.request), self.clock.now
+        if pending is None or pending.done or pending.claimed is not None:
             return self.sim.record_violation("1: sent after the answer")
-        since = node.away.get(action.replica)
+        since = router.away.get(action.replica)
         if since is not None and now - since > self.sim.scenario.limits.drain_grace_ms:
             self.sim.record_violation("3: sent to what drains or is gone")
         machine = self.sim.engines.by_id.get(action.replica)
-        flight = Attempt(node, open, len(open.flights), machine, now)
-        open.flights.append(flight)
-        open.call.record.attempts += 1
-        self.sim.engines.send(flight)
+        attempt = Attempt(router, pending, len(pending.flights), machine, now)
+        pending.flights.append(attempt)
+        pending.call.record.attempts += 1
+        self.sim.engines.send(attempt)
 
-    def started(self, flight: Attempt) -> None:
+    def started(self, attempt: Attempt) -> None:
         """Receive an attempt's first token."""
-        open, node = flight.open, flight.node
-        if flight.over:
+        pending, router = attempt.open, attempt.node
+        if attempt.over:
             return
-        if open.done or open.claimed is not None:
-            self._hang_up(flight)
-            return self._end(flight, i.Outcome.CANCELLED, 0)
-        open.claimed, flight.started = flight, True
-        self.sim.clients.first_token(open.call)
-        lag = self.clock.now - flight.sent_at
-        assert flight.machine is not None
-        self.process_events(node, [i.StreamStarted(open.id, flight.number, flight.machine.id, lag)])
+        if pending.done or pending.claimed is not None:
+            self._hang_up(attempt)
+            return self._end(attempt, i.Outcome.CANCELLED, 0)
+        pending.claimed, attempt.started = attempt, True
+        self.sim.clients.first_token(pending.call)
+        lag = self.clock.now - attempt.sent_at
+        assert attempt.machine is not None
+        self.process_events(router, [i.StreamStarted(pending.id, attempt.number, attempt.machine.id, lag)])
 
-    def ended(self, flight: Attempt, outcome: i.Outcome, kept: int = 0) -> None:
+    def ended(self, attempt: Attempt, outcome: i.Outcome, kept: int = 0) -> None:
         """Receive an attempt's outcome."""
-        if flight.over:
+        if attempt.over:
             return
         if outcome is i.Outcome.TIMEOUT:
-            self._hang_up(flight)
-        self._end(flight, outcome, kept)
+            self._hang_up(attempt)
+        self._end(attempt, outcome, kept)
 
-    def _end(self, flight: Attempt, outcome: i.Outcome, kept: int) -> None:
-        open, node, machine = flight.open, flight.node, flight.machine
-        flight.over = True
-        if machine is not None and flight.connected():
-            idle = node.idle.setdefault(machine, [])
+    def _end(self, attempt: Attempt, outcome: i.Outcome, kept: int) -> None:
+        pending, router, machine = attempt.open, attempt.node, attempt.machine
+        attempt.over = True
+        if machine is not None and attempt.connected():
+            idle = router.idle.setdefault(machine, [])
             usable = outcome in (i.Outcome.SERVED, i.Outcome.FULL, i.Outcome.ERROR)
             if usable and len(idle) < self.sim.scenario.limits.idle_connections:
                 idle.append(self.clock.now)
             else:
                 machine.connections -= 1
-        closed = open.done
-        if flight.started:
-            closed = open.done = True
+        closed = pending.done
+        if attempt.started:
+            closed = pending.done = True
             whole = outcome is i.Outcome.SERVED
-            self.sim.clients.ended(open.call, whole, open.call.record.planned.prompt - kept)
-        if open.done and all(f.over for f in open.flights):
-            self._forget(node, open)
+            self.sim.clients.ended(pending.call, whole, pending.call.record.planned.prompt - kept)
+        if pending.done and all(f.over for f in pending.flights):
+            self._forget(router, pending)
         name = machine.id if machine is not None else ""
-        lag = self.clock.now - flight.sent_at
-        self.process_events(node, [i.AttemptEnded(open.id, flight.number, name, outcome, closed, lag, kept)])
+        lag = self.clock.now - attempt.sent_at
+        self.process_events(
+            router, [i.AttemptEnded(pending.id, attempt.number, name, outcome, closed, lag, kept)]
+        )
 
-    def _forget(self, node: RouterProcess, open: PendingRequest) -> None:
-        if node.opens.pop(open.id, None) is not None:
-            del self.sim.clients.calls[open.id]
+    def _forget(self, router: RouterProcess, pending: PendingRequest) -> None:
+        if router.opens.pop(pending.id, None) is not None:
+            del self.sim.clients.calls[pending.id]
 
-    def _hang_up(self, flight: Attempt) -> None:
-        machine = flight.machine
+    def _hang_up(self, attempt: Attempt) -> None:
+        machine = attempt.machine
         if machine is not None:
-            delay = flight.delay
-            self.clock.at(self.clock.now + delay, self.sim.engines.drop, flight)
+            delay = attempt.delay
+            self.clock.at(self.clock.now + delay, self.sim.engines.drop, attempt)
 
-    def _cancel(self, node: RouterProcess, action: i.Cancel) -> None:
-        open = node.opens.get(action.request)
-        flight = open.flights[action.attempt] if open is not None else None
-        if flight is not None and not flight.over and not flight.started:
-            self._hang_up(flight)
-            self.clock.at(self.clock.now, self.ended, flight, i.Outcome.CANCELLED)
+    def _cancel(self, router: RouterProcess, action: i.Cancel) -> None:
+        pending = router.opens.get(action.request)
+        attempt = pending.flights[action.attempt] if pending is not None else None
+        if attempt is not None and not attempt.over and not attempt.started:
+            self._hang_up(attempt)
+            self.clock.at(self.clock.now, self.ended, attempt, i.Outcome.CANCELLED)
 
-    def _answer(self, node: RouterProcess, action: i.Refuse | i.Fail) -> None:
-        open = node.opens.get(action.request)
-        if open is None or open.done:
+    def _answer(self, router: RouterProcess, action: i.Refuse | i.Fail) -> None:
+        pending = router.opens.get(action.request)
+        if pending is None or pending.done:
             return self.sim.record_violation("1: answered twice")
-        open.done = True
+        pending.done = True
         refused = isinstance(action, i.Refuse)
         pause = action.retry_after_ms if isinstance(action, i.Refuse) else 0.0
-        self.sim.clients.send_response(open.call, "refused" if refused else "failed", pause)
-        if all(f.over for f in open.flights):
-            self._forget(node, open)
+        self.sim.clients.send_response(pending.call, "refused" if refused else "failed", pause)
+        if all(f.over for f in pending.flights):
+            self._forget(router, pending)
 
-    def _deadline(self, node: RouterProcess, life: int, open: PendingRequest) -> None:
-        if node.life != life or node.opens.get(open.id) is not open or open.claimed is not None:
+    def _deadline(self, router: RouterProcess, life: int, pending: PendingRequest) -> None:
+        if router.life != life or router.opens.get(pending.id) is not pending or pending.claimed is not None:
             return
-        for flight in open.flights:
-            self.ended(flight, i.Outcome.TIMEOUT)
-        if not open.done:
+        for attempt in pending.flights:
+            self.ended(attempt, i.Outcome.TIMEOUT)
+        if not pending.done:
             self.sim.record_violation("1: no answer by the deadline")
-            self.client_disconnected(open.call)
+            self.client_disconnected(pending.call)
 
     def client_disconnected(self, call: ClientTry) -> None:
         """A client closed its connection."""
-        node, open = call.node, call.open
-        if node is None or open is None or open.done or node.opens.get(open.id) is not open:
+        router, pending = call.node, call.open
+        if router is None or pending is None or pending.done or router.opens.get(pending.id) is not pending:
             return
-        open.done = True
-        for flight in open.flights:
-            if not flight.over and flight.started:
-                self._hang_up(flight)
-                self.clock.at(self.clock.now, self.ended, flight, i.Outcome.CANCELLED)
-        self.process_events(node, [i.RequestGone(open.id)])
-        if all(f.over for f in open.flights):
-            self._forget(node, open)
+        pending.done = True
+        for attempt in pending.flights:
+            if not attempt.over and attempt.started:
+                self._hang_up(attempt)
+                self.clock.at(self.clock.now, self.ended, attempt, i.Outcome.CANCELLED)
+        self.process_events(router, [i.RequestGone(pending.id)])
+        if all(f.over for f in pending.flights):
+            self._forget(router, pending)
 
     def probe_answered(
         self,
-        node: RouterProcess,
+        router: RouterProcess,
         life: int,
         name: str,
         outcome: i.Outcome,
@@ -279,5 +281,5 @@
         report: i.Report | None = None,
     ) -> None:
         """Receive a probe's response."""
-        if node.life == life:
-            self.process_events(node, [i.ProbeAnswered(name, outcome, lag, report)])
+        if router.life == life:
+            self.process_events(router, [i.ProbeAnswered(name, outcome, lag, report)])
--- a/spoolbarrow/lab/simulation_state.py
+++ b/spoolbarrow/lab/simulation_state.py
@@ -63,14 +63,14 @@
 
     def __init__(
         self,
-        node: RouterProcess,
-        open: PendingRequest,
+        router: RouterProcess,
+        pending: PendingRequest,
         number: int,
         machine: EngineProcess | None,
         now: float,
     ) -> None:
-        self.node, self.open, self.number, self.machine = node, open, number, machine
-        self.name = f"{open.id}#{number}"
+        self.node, self.open, self.number, self.machine = router, pending, number, machine
+        self.name = f"{pending.id}#{number}"
         self.sent_at = now
         self.delay = 0.0
         self.over = self.started = self.spoil = False
@@ -127,13 +127,13 @@
 
     by_id: dict[str, EngineProcess]
 
-    def send(self, flight: Attempt) -> None:
+    def send(self, attempt: Attempt) -> None:
         """Send an attempt from its router."""
 
-    def drop(self, flight: Attempt) -> None:
+    def drop(self, attempt: Attempt) -> None:
         """Close the attempt's connection, by the router or by a fault."""
 
-    def probe(self, node: RouterProcess, name: str) -> None:
+    def probe(self, router: RouterProcess, name: str) -> None:
         """Send a probe from its router."""
 
 
@@ -145,15 +145,15 @@
     def list_received(self, change: Told, life: int = -1) -> None:
         """Deliver a list or an update from discovery to a router."""
 
-    def started(self, flight: Attempt) -> None:
+    def started(self, attempt: Attempt) -> None:
         """Receive an attempt's first token."""
 
-    def ended(self, flight: Attempt, outcome: i.Outcome, kept: int = 0) -> None:
+    def ended(self, attempt: Attempt, outcome: i.Outcome, kept: int = 0) -> None:
         """Receive an attempt's outcome."""
 
     def probe_answered(
         self,
-        node: RouterProcess,
+        router: RouterProcess,
         life: int,
         name: str,
         outcome: i.Outcome,
@@ -162,7 +162,7 @@
     ) -> None:
         """Receive a probe's response."""
 
-    def request_arrived(self, call: ClientTry, node: RouterProcess, client_ms: float) -> None:
+    def request_arrived(self, call: ClientTry, router: RouterProcess, client_ms: float) -> None:
         """Receive a complete request."""
 
     def client_disconnected(self, call: ClientTry) -> None:
@@ -177,10 +177,10 @@
     def planned_request(self, request: str) -> PlannedRequest:
         """The planned request behind a request of a router."""
 
-    def router_died(self, node: RouterProcess) -> None:
+    def router_died(self, router: RouterProcess) -> None:
         """Let the load balancer notice a router's death after its delay."""
 
-    def router_started(self, node: RouterProcess) -> None:
+    def router_started(self, router: RouterProcess) -> None:
         """Let the load balancer find a router that has started."""
 
     def update_live_routers(self) -> None:
