--- a/benchmarks/agreement.py
+++ b/benchmarks/agreement.py
@@ -75,9 +75,9 @@
 
 def change_list(made: Cluster, turn: int) -> float:
     """One engine leaves or comes back: the contradiction, s."""
-    made.out = set() if turn % 2 else {turn % 4}
-    made.list_again()
-    return acted(made, "list", made.listing)
+    made.unlisted = set() if turn % 2 else {turn % 4}
+    made.publish_list()
+    return acted(made, "list", made.list_version)
 
 
 def summed(found: list[float]) -> dict[str, Any]:
@@ -95,7 +95,7 @@
     arguments = argparse.ArgumentParser(description=(__doc__ or "").splitlines()[0])
     arguments.add_argument("--short", action="store_true", help="ends within 45 s")
     many = 8 if arguments.parse_args().short else 100
-    cluster.LIFE_S = 600.0
+    cluster.STANDIN_LIFETIME_S = 600.0
     zones, routers = {"a": 4, "b": 4}, ["a", "a", "a", "b", "b"]
     with tempfile.TemporaryDirectory() as directory:
         with cluster.cluster(Path(directory), zones, routers, text(1)) as made:
@@ -104,18 +104,18 @@
                 changed = [change_files(made, 2 + n) for n in range(many)]
                 found = {"files": [seconds for seconds, _ in changed]}
                 found["list"] = [change_list(made, n) for n in range(many)]
-                gate = [len(made.names) * len(made.ports)]  # before the first router's discovery
+                gate = [len(made.engine_names) * len(made.ports)]  # before the first router's discovery
                 made.fault(f"delay {LATE_MS:g}", gate)
                 found["list_late"] = [change_list(made, n) for n in range(many // 2)]
                 made.fault("pass", gate)
                 cut = []
                 for n in range(1 if many < 50 else 5):
                     made.fault("drop", gate)
-                    made.out = set() if made.out else {n % 4}
-                    made.list_again()
+                    made.unlisted = set() if made.unlisted else {n % 4}
+                    made.publish_list()
                     time.sleep(CUT_S)
                     made.fault("pass", gate)
-                    cut.append(acted(made, "list", made.listing) - CUT_S)
+                    cut.append(acted(made, "list", made.list_version) - CUT_S)
             finally:
                 load.stop()
     answers: Counter[int] = load.statuses()
--- a/benchmarks/cold_start.py
+++ b/benchmarks/cold_start.py
@@ -27,15 +27,15 @@
 
 from spoolbarrow.lab import cluster  # noqa: E402
 from spoolbarrow.lab.cluster import Cluster  # noqa: E402
-from spoolbarrow.lab.cold import Figures  # noqa: E402
+from spoolbarrow.lab.cold_engine import ColdEngineParameters  # noqa: E402
 from spoolbarrow.lab.process import end_all_at_sigterm  # noqa: E402
-from spoolbarrow.lab.script import SCRIPTS, play, shape  # noqa: E402
+from spoolbarrow.lab.fault_script import SCRIPTS, run_script, cluster_options  # noqa: E402
 
 RATES, KNOWN = (5.0, 10.0, 20.0), ("none", "old")
 TIMEOUT_S = 3.0
 A_ROUTER = 4  # routers for each engine
 PAUSE_S = 1.0  # of a router's client between requests
-COLD_S = int(Figures().cold_ms / 1000)  # until a cold engine is warm
+COLD_S = int(ColdEngineParameters().cold_ms / 1000)  # until a cold engine is warm
 KINDS = ("handshakes", "probes", "work")
 GOALS = {  # at most
     "calls_a_router": 1.1,
@@ -54,12 +54,12 @@
     """One start: its figures, each goal's among them."""
     script, engines = SCRIPTS[name], max(2, routers // A_ROUTER)
     with tempfile.TemporaryDirectory() as folder:
-        options = shape(script, engines, rate, routers, known) | {"timeout_s": TIMEOUT_S, "tree": tree}
+        options = cluster_options(script, engines, rate, routers, known) | {"timeout_s": TIMEOUT_S, "tree": tree}
         made = Cluster(Path(folder), {"a": engines}, ["a"] * routers, **options)
         try:
             made.prepare()
             least_s = COLD_S + 1 if script.cold else 0
-            found = play(made, script, pause_s=PAUSE_S, steady_s=steady_s, least_s=least_s)
+            found = run_script(made, script, pause_s=PAUSE_S, steady_s=steady_s, least_s=least_s)
         finally:
             made.end(kill=True)
     told = figures(found, name, routers, rate)
@@ -122,7 +122,7 @@
     asked = arguments.parse_args()
     routers = asked.routers or (24 if asked.short else 200)
     end_all_at_sigterm()
-    cluster.LIFE_S = 600.0
+    cluster.STANDIN_LIFETIME_S = 600.0
     steady_s = 3 if asked.short else 15
     rates, lists = RATES[:1] if asked.short else RATES, (asked.known,) if asked.known else KNOWN
     cases = [("calm", rate, known) for rate in rates for known in lists]
--- a/benchmarks/door.py
+++ b/benchmarks/door.py
@@ -30,7 +30,7 @@
 from spoolbarrow import interface as i  # noqa: E402
 from spoolbarrow.admission import controller as d  # noqa: E402
 from spoolbarrow.lab import policies  # noqa: E402
-from spoolbarrow.lab.doored import Doored  # noqa: E402
+from spoolbarrow.lab.admission_policy import AdmissionPolicy  # noqa: E402
 from spoolbarrow.lab.run_report import percentile  # noqa: E402
 from spoolbarrow.lab.scenario import convert, load_raw  # noqa: E402
 from spoolbarrow.lab.simulate import Simulation  # noqa: E402
@@ -97,7 +97,7 @@
     return (perf_counter_ns() - begin - inside) / 20_000
 
 
-class Watched(Doored):
+class Watched(AdmissionPolicy):
     """A door that is watched: promises and what became of them, and where time goes."""
 
     all: ClassVar[list[Watched]] = []
--- a/benchmarks/failover.py
+++ b/benchmarks/failover.py
@@ -91,8 +91,8 @@
 
 def answered(load: Load, begin: float, end: float, routers: list[int]) -> dict[str, Any]:
     """Answers that ended in a span, by routers."""
-    found = [one for one in list(load.answers) if begin <= one.at < end and one.router in routers]
-    whole = [one.ms for one in found if one.status == 200]
+    found = [one for one in list(load.answers) if begin <= one.ended_at < end and one.router in routers]
+    whole = [one.duration_ms for one in found if one.status == 200]
     return {
         "answers": len(found),
         "refused": sum(one.status == 503 for one in found),
@@ -191,7 +191,7 @@
     arguments.add_argument("--short", action="store_true", help="ends within 45 s")
     short = arguments.parse_args().short
     calm_s, faults = (3.0, [("drop", "a")]) if short else (20.0, [(m, z) for m in LOST for z in "abc"])
-    cluster.LIFE_S = 600.0
+    cluster.STANDIN_LIFETIME_S = 600.0
     with tempfile.TemporaryDirectory() as directory, ExitStack() as stack:
         both = Both(stack, Path(directory))
         time.sleep(2.0)  # until each router has heard from its engines
--- a/benchmarks/follow.py
+++ b/benchmarks/follow.py
@@ -24,7 +24,7 @@
 sys.path[:0] = [str(ROOT)]
 
 from spoolbarrow.lab.cluster import Cluster, Load, Process  # noqa: E402
-from spoolbarrow.lab.followed import until  # noqa: E402
+from spoolbarrow.lab.store_following_cluster import poll_until  # noqa: E402
 from spoolbarrow.lab.lease_histories import InvariantViolated, play  # noqa: E402
 from tests.test_fleet_follow import ALL, NAMES, OPERATOR, TTL_S, Fleet  # noqa: E402
 
@@ -48,7 +48,7 @@
         ]
         return [its[0] for its in found] if all(found) else []
 
-    at: list[float] = until(times)
+    at: list[float] = poll_until(times)
     return max(0.0, max(at) - begun) / PERIOD_S
 
 
@@ -59,26 +59,26 @@
 
 def holder_lost(made: Fleet) -> tuple[float, int]:
     """From a holder's death until all others act on another's decision; how many acted on none meanwhile."""
-    holder = made.holder()
+    holder = made.lease_holder()
     left = [n for n in ALL if n != holder]
     before = fallbacks(made, left)
     begun = time.monotonic()
     made.kill_router(holder)
-    made.wait_called([f"r{n}" for n in left], left)
+    made.wait_for_roll([f"r{n}" for n in left], left)
     took, gaps = time.monotonic() - begun, fallbacks(made, left) - before
     made.restart_router(holder)
-    made.wait_called(NAMES)
+    made.wait_for_roll(NAMES)
     return took / TTL_S, gaps
 
 
 def cut_off(made: Fleet) -> float:
     """From the cut of all routers from the store until none acts on a decision."""
     begun = time.monotonic()
-    made.to_store("drop")
-    until(lambda: all(made.part(n)["routers"] is None for n in ALL))
+    made.set_store_fault("drop")
+    poll_until(lambda: all(made.part_status(n)["routers"] is None for n in ALL))
     took = time.monotonic() - begun
-    made.to_store("pass")
-    made.wait_called(NAMES)
+    made.set_store_fault("pass")
+    made.wait_for_roll(NAMES)
     return took / TTL_S
 
 
@@ -111,7 +111,7 @@
         made = Fleet(Path(folder))
         try:
             made.start()
-            made.wait_called(NAMES)
+            made.wait_for_roll(NAMES)
             result["memory_more_mb"] = round((memory_kb(made.routers) - without) / 1024, 2)
             load = Load(made, pause_s=0.02)
             try:
@@ -123,7 +123,7 @@
             finally:
                 load.stop()
             result["lost_elsewhere"] = sum(
-                one.status in (0, 1) and one.router not in made.ended for one in load.answers
+                one.status in (0, 1) and one.router not in made.killed_routers for one in load.answers
             )
         finally:
             made.end()
--- a/benchmarks/lab.py
+++ b/benchmarks/lab.py
@@ -88,10 +88,10 @@
 
 def both(name: str, seed: int, length_s: float, lead_s: float) -> dict[str, float]:
     """One day in the simulator and on sockets."""
-    from spoolbarrow.lab import sockets
+    from spoolbarrow.lab import socket_run
 
     scenario = day(length_s=length_s, lead_s=lead_s, troubles=DAYS[name])
-    real = sockets.play(scenario, seed, processes=2)
+    real = socket_run.run_on_sockets(scenario, seed, processes=2)
     # The same day falls out differently each time: the simulator's mean is held against what sockets gave.
     models = [simulate(scenario, "spoolbarrow", seed, replay) for replay in range(REPLAYS)]
     first = "first_token_ms_p50"
--- a/benchmarks/list_pacing.py
+++ b/benchmarks/list_pacing.py
@@ -1,4 +1,4 @@
-"""Ways for a fleet to call its list service (`spoolbarrow/lab/callers.py`), as tables.
+"""Ways for a fleet to call its list service (`spoolbarrow/lab/list_call_simulation.py`), as tables.
 
     python benchmarks/list_pacing.py [--short]
 
@@ -16,7 +16,7 @@
 ROOT = Path(__file__).resolve().parent.parent
 sys.path[:0] = [str(ROOT)]
 
-from spoolbarrow.lab.callers import CASES, RATES, WAYS, Result, play  # noqa: E402
+from spoolbarrow.lab.list_call_simulation import CASES, RATES_PER_S, STRATEGIES, Result, simulate  # noqa: E402
 
 
 def main() -> None:
@@ -28,10 +28,10 @@
     for routers in (200,) if short else (10, 100, 200, 400):
         for title, known, down in CASES:
             print(f"\n{routers} routers, {title}\n\n| way | 5 a second | 10 | 20 |\n{'| --- ' * 4}|")
-            for name, make in WAYS.items():
+            for name, make in STRATEGIES.items():
                 cells = []
-                for rate in RATES:
-                    cells.append(cell([play(make, routers, rate, known, down, seed) for seed in seeds]))
+                for rate in RATES_PER_S:
+                    cells.append(cell([simulate(make, routers, rate, known, down, seed) for seed in seeds]))
                 print(f"| {name} | {' | '.join(cells)} |")
 
 
--- a/benchmarks/standin.py
+++ b/benchmarks/standin.py
@@ -13,7 +13,7 @@
 import orjson
 from gevent import socket
 
-from spoolbarrow.lab.standin import converse
+from spoolbarrow.lab.standin import serve_connection
 from spoolbarrow.net import tcpinfo
 from spoolbarrow.net.http1 import ResponseParser
 
@@ -39,7 +39,7 @@
 def serve(listener: Any, answer: Any) -> None:
     """Accept for ever."""
     while True:
-        gevent.spawn(converse, listener.accept()[0], answer)
+        gevent.spawn(serve_connection, listener.accept()[0], answer)
 
 
 def engines(first_ms: float, events: int, gap_ms: float, number: int) -> None:
--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -2,7 +2,7 @@
 
     python benchmarks/store.py [--short]
 
-Histories of three and five members in virtual time (`spoolbarrow/lab/quorum.py`), one by seed. A bug that no
+Histories of three and five members in virtual time (`spoolbarrow/lab/raft_histories.py`), one by seed. A bug that no
 history finds is left to the scripted dialogues of the tests. Then three member processes on loopback, and one
 alone, take changes of 200 bytes from eight writers until so many keys are kept.
 """
@@ -28,7 +28,7 @@
 from spoolbarrow.cli.errors import NoAnswer  # noqa: E402
 from spoolbarrow.cli.http_client import request_json  # noqa: E402
 from spoolbarrow.lab.cluster import LISTEN, Process, free_ports  # noqa: E402
-from spoolbarrow.lab.quorum import MUTANTS, Play, survives  # noqa: E402
+from spoolbarrow.lab.raft_histories import MUTANTS, History, find_violation  # noqa: E402
 
 SIZES = (3, 5)
 FOUND_BY_PLAY = 7  # of the bugs, at least
@@ -111,7 +111,7 @@
 def first_found(mutant: Any, seeds: int) -> int:
     """The first seed that finds a bug; -1 where none does."""
     for seed in range(seeds):
-        if any(survives(seed, size, mutant) for size in SIZES):
+        if any(find_violation(seed, size, mutant) for size in SIZES):
             return seed
     return -1
 
@@ -124,7 +124,7 @@
     begun, broken, applied, leaders = time.perf_counter(), [], [], []
     for seed in range(seeds):
         for size in SIZES:
-            play = Play(seed, size)
+            play = History(seed, size)
             try:
                 play.run()
             except AssertionError as error:
--- a/benchmarks/told.py
+++ b/benchmarks/told.py
@@ -3,8 +3,8 @@
     python benchmarks/told.py [--short] [--before TREE]
 
 Real routers (1 and 40; 12 in the short form) with clients, and an engine that drains while the service fails
-in each way of `lab/told.py`: seconds from when a new call could be answered to a router's last request
-there. Then 1, 40 and 200 routers in virtual time (`lab/callers.py`), at services of several rates: seconds to
+in each way of `lab/drain_propagation.py`: seconds from when a new call could be answered to a router's last request
+there. Then 1, 40 and 200 routers in virtual time (`lab/list_call_simulation.py`), at services of several rates: seconds to
 when the last of them hears, calls a router, and the least rate at which all hear within the clock. With TREE,
 the program of another checkout plays the real routers. `holds`: all within 6 s and a drain's grace, and in
 virtual time half a second sooner at FITS calls a second.
@@ -25,10 +25,10 @@
 
 from spoolbarrow.fleet.pacing import LIST_DEADLINE_MS  # noqa: E402
 from spoolbarrow.lab import cluster  # noqa: E402
-from spoolbarrow.lab.callers import BEGINNINGS, heard  # noqa: E402
+from spoolbarrow.lab.list_call_simulation import START_CONDITIONS, simulate_notifications  # noqa: E402
 from spoolbarrow.lab.cluster import Cluster, Load  # noqa: E402
 from spoolbarrow.lab.process import end_all_at_sigterm  # noqa: E402
-from spoolbarrow.lab.told import CASES, play, take_back  # noqa: E402
+from spoolbarrow.lab.drain_propagation import FAILURE_CASES, measure_drain_delays, undo_drain  # noqa: E402
 
 BOUND_S = LIST_DEADLINE_MS / 1000 + 0.25  # and a drain's grace
 FITS_S = LIST_DEADLINE_MS / 1000 - 0.5
@@ -56,15 +56,15 @@
         try:
             made.start()
             load = Load(made, 1, 0.1 if routers < 20 else 0.5)
-            some = [name for name in CASES if name not in OF_ALL]
+            some = [name for name in FAILURE_CASES if name not in OF_ALL]
             rounds: list[dict[str, Sequence[int]]] = [{name: range(routers)} for name in OF_ALL]
             if together:
                 rounds.append({name: range(n, routers, len(some)) for n, name in enumerate(some)})
             else:
                 rounds += [{name: range(routers)} for name in some]
             for groups in rounds:
-                found |= play(made, groups, 0, down_s)
-                take_back(made, 0)
+                found |= measure_drain_delays(made, groups, 0, down_s)
+                undo_drain(made, 0)
             load.stop()
         finally:
             made.end(kill=True)
@@ -79,9 +79,9 @@
     least: dict[str, float] = {}
     for rate in RATES:
         row = table[str(rate)] = {}
-        for beginning in BEGINNINGS:
-            plays = [heard(beginning, routers, rate, seed) for seed in range(seeds)]
-            last = max(max(one.told) for one in plays) / 1000
+        for beginning in START_CONDITIONS:
+            plays = [simulate_notifications(beginning, routers, rate, seed) for seed in range(seeds)]
+            last = max(max(one.notified_after_ms) for one in plays) / 1000
             row[beginning] = [round(last, 2), round(sum(one.calls for one in plays) / seeds / routers, 2)]
             if last <= FITS_S:
                 least.setdefault(beginning, rate)
@@ -97,7 +97,7 @@
     arguments.add_argument("--before", type=Path, help="a checkout whose program plays the real routers")
     given = arguments.parse_args()
     short: bool = given.short
-    cluster.LIFE_S = 600.0
+    cluster.STANDIN_LIFETIME_S = 600.0
     fleets = {routers: virtual(routers, 3 if short else 20) for routers in FITS}
     processes = (
         {12: real(12, 3.0, True, given.before)}
@@ -108,7 +108,7 @@
     fits = all(
         fleet["fits_from"].get(beginning, 1e9) <= FITS[routers]
         for routers, fleet in fleets.items()
-        for beginning in BEGINNINGS
+        for beginning in START_CONDITIONS
     )
     return {
         "name": "told",
--- a/spoolbarrow/cli/lab.py
+++ b/spoolbarrow/cli/lab.py
@@ -93,13 +93,13 @@
         report = play(loaded, "spoolbarrow", seed)
     else:
         try:
-            from spoolbarrow.lab import sockets
+            from spoolbarrow.lab import socket_run
         except ImportError as error:
             raise MissingPackage("lab", error) from error
         if keep is not None:
             keep.mkdir(parents=True, exist_ok=True)
         try:
-            report = sockets.play(loaded, seed, processes, show_progress, keep)
+            report = socket_run.run_on_sockets(loaded, seed, processes, show_progress, keep)
         except OSError as error:
             raise LabRunFailed("", str(error)) from error
     print_report(report, as_json)
--- a/spoolbarrow/lab/doored.py
+++ b/spoolbarrow/lab/admission_policy.py
@@ -13,7 +13,7 @@
 CLIENTS = 40  # of a tenant
 
 
-def who(event: i.RequestArrived) -> Caller:
+def caller_of(event: i.RequestArrived) -> Caller:
     """Who asks, in the lab."""
     return Caller(
         _client(event.tenant * CLIENTS + event.session % CLIENTS), event.session ^ event.prompt_tokens
@@ -25,9 +25,9 @@
     return Random(number).getrandbits(64)
 
 
-class Doored(AdmissionGate):
+class AdmissionPolicy(AdmissionGate):
     """A router with a door."""
 
     def __init__(self, settings: i.Settings, seed: int) -> None:
         told = d.Settings(weights=tenant_weights(settings), max_retry_after_ms=settings.max_retry_after_ms)
-        super().__init__(Router(settings, seed), told, seed, who)
+        super().__init__(Router(settings, seed), told, seed, caller_of)
--- a/spoolbarrow/lab/cluster.py
+++ b/spoolbarrow/lab/cluster.py
@@ -22,23 +22,23 @@
 
 import msgspec
 
-from spoolbarrow.lab.asked import BROKEN as BROKEN
-from spoolbarrow.lab.asked import Answer as Answer
-from spoolbarrow.lab.asked import Load as Load
-from spoolbarrow.lab.asked import call as call
-from spoolbarrow.lab.cold import Figures
+from spoolbarrow.lab.cluster_clients import TRUNCATED as TRUNCATED
+from spoolbarrow.lab.cluster_clients import Answer as Answer
+from spoolbarrow.lab.cluster_clients import Load as Load
+from spoolbarrow.lab.cluster_clients import send_request as send_request
+from spoolbarrow.lab.cold_engine import ColdEngineParameters
 from spoolbarrow.lab.line_commands import CommandFailed
-from spoolbarrow.lab.loopback import address
-from spoolbarrow.lab.members import Members
+from spoolbarrow.lab.loopback import router_address
+from spoolbarrow.lab.store_members import StoreMembers
 from spoolbarrow.lab.process import LISTEN as LISTEN
 from spoolbarrow.lab.process import Process as Process
 from spoolbarrow.lab.process import free_ports as free_ports
 
 HOST = "127.0.0.1"
-LIFE_S = 150.0  # of every stand-in that a cluster starts
-LOOK_S = 0.02
-WAIT_S = 60.0  # for processes to come up: hundreds at once on a busy machine
-KNOWN = ("none", "empty", "old")  # lists that routers may begin with
+STANDIN_LIFETIME_S = 150.0  # of every stand-in that a cluster starts
+POLL_INTERVAL_S = 0.02
+START_TIMEOUT_S = 60.0  # for processes to come up: hundreds at once on a busy machine
+INITIAL_LISTS = ("none", "empty", "old")  # lists that routers may begin with
 
 
 def _has_engine(router: Process) -> bool:
@@ -69,7 +69,7 @@
         at_once: bool = False,
         members: bool = False,
         known: str = "none",
-        figures: Figures | None = None,
+        figures: ColdEngineParameters | None = None,
         rate: float = 0.0,
         line_ms: float = 0.0,
         timeout_s: float = 3.0,
@@ -78,27 +78,27 @@
         engines: str = "standin",
         tree: Path | None = None,
     ) -> None:
-        if known not in KNOWN:
-            raise CommandFailed("known", f"one of {', '.join(KNOWN)}")
+        if known not in INITIAL_LISTS:
+            raise CommandFailed("known", f"one of {', '.join(INITIAL_LISTS)}")
         self.folder, self.zones, self.zone_of, self._operator = folder, list(zones), list(routers), operator
         self._gated, self._control, self._at_once, self._with_members = gates, control, at_once, members
         self._known, self._figures, self._settings = known, figures, dict(settings or {})
         self._limits, self._standin, self._tree = dict(limits or {}), engines, tree
         self.rate, self._service = rate, (rate, line_ms, timeout_s)
-        self.names = [f"e{n}" for n in range(sum(zones.values()))]
+        self.engine_names = [f"e{n}" for n in range(sum(zones.values()))]
         self.of_zone: dict[str, list[int]] = {}
         for zone, count in zones.items():
             first = sum(len(found) for found in self.of_zone.values())
             self.of_zone[zone] = list(range(first, first + count))
-        self.out: set[int] = set()  # engines that the service does not list
+        self.unlisted: set[int] = set()  # engines that the service does not list
         self.draining: set[int] = set()  # of those listed, engines that want nothing new
-        self.since = [0.0] * len(self.names)  # when engines were started, Unix ms; 0: long ago
-        self.ended: set[int] = set()  # routers that were killed at some time
-        self.started: list[Process] = []
+        self.since = [0.0] * len(self.engine_names)  # when engines were started, Unix ms; 0: long ago
+        self.killed_routers: set[int] = set()  # routers that were killed at some time
+        self.processes: list[Process] = []
         self.routers: list[Process] = []
-        self.members: Members | None = None
-        self.listing = 0  # version of the service's list
-        self.begun = self.begun_at = 0.0  # when the routers were begun: Unix s, monotonic s
+        self.members: StoreMembers | None = None
+        self.list_version = 0  # version of the service's list
+        self.begun_unix_s = self.begun_monotonic_s = 0.0  # when the routers were begun: Unix s, monotonic s
 
     def start(self, wait: bool = True) -> None:
         """Start everything; returns when every router has a list, or without `wait` when they have begun."""
@@ -111,31 +111,31 @@
         """Start all but the routers."""
         count = len(self.zone_of)
         figures = [] if self._figures is None else [msgspec.json.encode(self._figures).decode()]
-        life = str(LIFE_S)
+        life = str(STANDIN_LIFETIME_S)
         self.engines = self._start(
-            "-m", f"spoolbarrow.lab.{self._standin}", life, str(len(self.names)), *figures, stdin=True
+            "-m", f"spoolbarrow.lab.{self._standin}", life, str(len(self.engine_names)), *figures, stdin=True
         )
         self.service = self._start(
-            "-m", "spoolbarrow.lab.listing", life, *map(str, self._service), stdin=True
+            "-m", "spoolbarrow.lab.list_service", life, *map(str, self._service), stdin=True
         )
-        self._engine_ports = self.engines.first_said().split()
-        told = self.service.first_said()
+        self._engine_ports = self.engines.first_output_line().split()
+        told = self.service.first_output_line()
         # After those of the stand-ins: these can then be nobody else's.
         free = free_ports(2 * count)
         self.ports, self.controls = free[::2], free[1::2]
         if self._gated:
-            gates = [f"{address(n)}:{port}" for n in range(count) for port in self._engine_ports]
-            gates += [f"{address(n)}:{told}" for n in range(count)]
-            self.proxy = self._start("-m", "spoolbarrow.lab.proxy", str(LIFE_S), *gates, stdin=True)
-            self.fronts = self.proxy.first_said().split()
-            self._discovery = [f"{HOST}:{port}" for port in self.fronts[count * len(self.names) :]]
+            gates = [f"{router_address(n)}:{port}" for n in range(count) for port in self._engine_ports]
+            gates += [f"{router_address(n)}:{told}" for n in range(count)]
+            self.proxy = self._start("-m", "spoolbarrow.lab.fault_proxy", str(STANDIN_LIFETIME_S), *gates, stdin=True)
+            self.proxy_ports = self.proxy.first_output_line().split()
+            self._discovery = [f"{HOST}:{port}" for port in self.proxy_ports[count * len(self.engine_names) :]]
         else:
-            self._discovery = [f"{address(n)}:{told}" for n in range(count)]
+            self._discovery = [f"{router_address(n)}:{told}" for n in range(count)]
         if self._with_members:
-            self.members = Members(self.folder, count, LIFE_S, self._start)
+            self.members = StoreMembers(self.folder, count, STANDIN_LIFETIME_S, self._start)
         if self._known != "none":
-            self._tell([] if self._known == "empty" else range(len(self.names)))
-        self.list_again()
+            self._tell([] if self._known == "empty" else range(len(self.engine_names)))
+        self.publish_list()
 
     def begin(self, before: Callable[[], object] = lambda: None) -> None:
         """Start the routers, at once where that is wanted; `before` is called just before they begin."""
@@ -155,7 +155,7 @@
         if self._at_once:
             self.release(numbers, before=ready)
 
-    def wait_listed(self, numbers: Iterable[int], seconds: float = WAIT_S) -> None:
+    def wait_listed(self, numbers: Iterable[int], seconds: float = START_TIMEOUT_S) -> None:
         """Until each of these routers has an engine in service."""
         for number in numbers:
             router = self.routers[number]
@@ -165,7 +165,7 @@
         self, *argv: str, stdin: bool = False, env: dict[str, str] | None = None, cwd: Path | None = None
     ) -> Process:
         made = Process(*argv, stdin=stdin, env=env, cwd=cwd)
-        self.started.append(made)
+        self.processes.append(made)
         return made
 
     def config(self, number: int) -> dict[str, Any]:
@@ -211,7 +211,7 @@
         if self._control:
             made["control"] = f"{LISTEN}:{self.controls[number]}"
         if self._known != "none":
-            engines = range(len(self.names)) if self._known == "old" else []
+            engines = range(len(self.engine_names)) if self._known == "old" else []
             made["known"] = {
                 "index": 1,
                 "snapshot": True,
@@ -224,8 +224,8 @@
 
     def _address(self, router: int, engine: int) -> str:
         if self._gated:
-            return f"{HOST}:{self.fronts[router * len(self.names) + engine]}"
-        return f"{address(router)}:{self._engine_ports[engine]}"
+            return f"{HOST}:{self.proxy_ports[router * len(self.engine_names) + engine]}"
+        return f"{router_address(router)}:{self._engine_ports[engine]}"
 
     def start_router(self, number: int, held: bool = False) -> Process:
         """One process of a router; `held`: it waits for `release` before it reads its configuration."""
@@ -244,7 +244,7 @@
         return self._start("-m", "spoolbarrow", env={**env, "TMPDIR": str(scratch)}, cwd=self._tree)
 
     def release(
-        self, numbers: Iterable[int], seconds: float = WAIT_S, before: Callable[[], object] = lambda: None
+        self, numbers: Iterable[int], seconds: float = START_TIMEOUT_S, before: Callable[[], object] = lambda: None
     ) -> None:
         """Let routers that were held begin, all in one instant; AssertionError where one never comes up.
 
@@ -259,7 +259,7 @@
                     break
                 except OSError:  # it is not there yet to read
                     assert time.monotonic() < end, f"router {number} never came up"
-                    time.sleep(LOOK_S)
+                    time.sleep(POLL_INTERVAL_S)
         texts = [json.dumps(self.config(number)).encode() for _, number, _ in opened]
         before()
         for (file, _, pipe), text in zip(opened, texts, strict=True):
@@ -272,7 +272,7 @@
 
     def kill_router(self, number: int) -> None:
         """End a router's process without warning: what its clients get meanwhile is no test of it."""
-        self.ended.add(number)
+        self.killed_routers.add(number)
         self.routers[number].kill()
 
     def restart_routers(self, numbers: Iterable[int]) -> None:
@@ -293,20 +293,20 @@
             fresh.write_text(json.dumps(self.config(number)))
             fresh.replace(file)
 
-    def hang_up(self, numbers: Iterable[int]) -> None:
+    def send_sighup(self, numbers: Iterable[int]) -> None:
         """SIGHUP to routers: they read their files again."""
         for number in numbers:
             self.routers[number].popen.send_signal(signal.SIGHUP)
 
-    def list_again(self) -> None:
+    def publish_list(self) -> None:
         """The service lists all engines but those in `out`, in a new version."""
-        self._tell([n for n in range(len(self.names)) if n not in self.out])
+        self._tell([n for n in range(len(self.engine_names)) if n not in self.unlisted])
 
     def _lines(self, engines: Iterable[int]) -> list[dict[str, Any]]:
         zone = {n: name for name, found in self.of_zone.items() for n in found}
         return [
             {
-                "name": self.names[n],
+                "name": self.engine_names[n],
                 "zone": zone[n],
                 "type": "m",
                 "since_ms": self.since[n],
@@ -316,7 +316,7 @@
         ]
 
     def _tell(self, engines: Iterable[int]) -> None:
-        self.listing += 1
+        self.list_version += 1
         chosen = list(engines)
         lines = [
             {**line, "addresses": [self._address(router, n) for router in range(len(self.ports))]}
@@ -325,55 +325,55 @@
             for n, line in zip(chosen, self._lines(chosen), strict=True)
         ]
         file = self.folder / "list.json"
-        file.write_text(json.dumps({"index": self.listing, "endpoints": lines}))
-        self.service.tell(f"list {file}")
+        file.write_text(json.dumps({"index": self.list_version, "endpoints": lines}))
+        self.service.send_command(f"list {file}")
 
     def restart_engines(self, engines: Iterable[int]) -> None:
         """These engines are new processes, with nothing kept and cold where they can be; and listed so."""
         chosen = list(engines)
-        since = float(self.engines.tell(f"{','.join(map(str, chosen))} restart"))
+        since = float(self.engines.send_command(f"{','.join(map(str, chosen))} restart"))
         for n in chosen:
             self.since[n] = since
-        self.list_again()
+        self.publish_list()
 
     def gates(self, engines: Iterable[int], routers: Iterable[int] | None = None) -> list[int]:
         """The gates between these routers (all, where none are named) and these engines."""
         numbers = range(len(self.ports)) if routers is None else routers
         chosen = list(engines)
-        return [number * len(self.names) + n for number in numbers for n in chosen]
+        return [number * len(self.engine_names) + n for number in numbers for n in chosen]
 
     def fault(self, mode: str, gates: Iterable[int]) -> None:
         """Have the proxy do so at these gates from now on: `reset`, `delay 250`, `pass` ..."""
-        self.proxy.tell(f"{','.join(map(str, gates))} {mode}")
+        self.proxy.send_command(f"{','.join(map(str, gates))} {mode}")
 
     def counts(self) -> list[dict[str, Any]]:
-        """What each engine has been sent: `asked` by router (`r0` ...), `probes`, more (`Standin.told`)."""
-        told: list[dict[str, Any]] = self.engines.ask("counts")
+        """What each engine has been sent: `asked` by router (`r0` ...), `probes`, more (`StandinEngine.report_counts`)."""
+        told: list[dict[str, Any]] = self.engines.send_query("counts")
         return told
 
-    def served_lists(self) -> dict[str, Any]:
+    def list_service_counts(self) -> dict[str, Any]:
         """What the list service counted."""
-        told: dict[str, Any] = self.service.ask("counts")
+        told: dict[str, Any] = self.service.send_query("counts")
         return told
 
     def mark_begin(self) -> None:
         """Routers begin now, or what they do is counted from now on."""
-        self.begun, self.begun_at = time.time(), time.monotonic()
-        self.mark()
+        self.begun_unix_s, self.begun_monotonic_s = time.time(), time.monotonic()
+        self.reset_counters()
 
-    def mark(self) -> None:
+    def reset_counters(self) -> None:
         """Stand-ins count seconds from now on."""
-        self.engines.tell("mark")
-        self.service.tell("mark")
+        self.engines.send_command("mark")
+        self.service.send_command("mark")
 
-    def knowing(self) -> list[int]:
+    def up_to_date_routers(self) -> list[int]:
         """Routers whose watch is open and has told them the newest list."""
-        told = self.served_lists()["known"]
-        return [n for n in range(len(self.ports)) if told.get(f"r{n}") == self.listing]
+        told = self.list_service_counts()["known"]
+        return [n for n in range(len(self.ports)) if told.get(f"r{n}") == self.list_version]
 
     def control(self, number: int, path: str, method: str = "GET") -> Any:
         """A call to a router's control listener: the answer's JSON."""
-        status, raw = call(self.controls[number], f"{method} /v1/{path} HTTP/1.1\r\n\r\n".encode())
+        status, raw = send_request(self.controls[number], f"{method} /v1/{path} HTTP/1.1\r\n\r\n".encode())
         if status != 200:
             raise OSError(f"{path}: {status}")
         return json.loads(raw.partition(b"\r\n\r\n")[2])
@@ -391,10 +391,10 @@
         """End all processes; `kill`: without the grace that routers take."""
         if self.members is not None:
             self.members.end()
-        for process in self.started:
+        for process in self.processes:
             if process.popen.poll() is None:
                 process.popen.kill() if kill else process.popen.terminate()  # all at once
-        for process in self.started:
+        for process in self.processes:
             process.end()
 
 
--- a/spoolbarrow/lab/asked.py
+++ b/spoolbarrow/lab/cluster_clients.py
@@ -11,7 +11,7 @@
 from spoolbarrow.lab.process import LISTEN
 from spoolbarrow.net.http1 import HttpError, ResponseParser
 
-BROKEN = 1  # in place of a status: the answer began, and ended without its last chunk
+TRUNCATED = 1  # in place of a status: the answer began, and ended without its last chunk
 MOST_ASKED = 200_000  # requests of one load
 
 
@@ -21,7 +21,7 @@
     ports: list[int]  # of its routers
 
 
-def call(port: int, text: bytes, seconds: float = 10.0) -> tuple[int, bytes]:
+def send_request(port: int, text: bytes, seconds: float = 10.0) -> tuple[int, bytes]:
     """One request to a router's port, on a connection of its own: the answer's status, or BROKEN, and bytes.
 
     OSError or HttpError where none comes.
@@ -40,17 +40,17 @@
         except (ConnectionError, HttpError):
             if not parser.head_complete:
                 raise
-            return BROKEN, raw
+            return TRUNCATED, raw
     return parser.status, raw
 
 
 class Answer(NamedTuple):
     """What a client got: `status` 0 where nothing came, BROKEN where the end did not."""
 
-    at: float  # monotonic s, of its end
+    ended_at: float  # monotonic s, of its end
     router: int
     status: int
-    ms: float  # since it was asked
+    duration_ms: float  # since it was asked
 
 
 class Load:
@@ -89,7 +89,7 @@
             ).encode()
             begun = time.monotonic()
             try:
-                status, raw = call(port, head + body)
+                status, raw = send_request(port, head + body)
             except (OSError, HttpError):
                 status, raw = 0, b""
             now = time.monotonic()
--- a/spoolbarrow/lab/told.py
+++ b/spoolbarrow/lab/drain_propagation.py
@@ -18,14 +18,14 @@
 
 
 class Case(NamedTuple):
-    """Orders for the list service (`lab/listing.py`); `{}` stands for the routers."""
+    """Orders for the list service (`lab/list_service.py`); `{}` stands for the routers."""
 
     begin: tuple[str, ...]
     back: tuple[str, ...] = ("{} pass",)
     at_once: bool = False  # the service can be called again as soon as the engine drains
 
 
-CASES = {
+FAILURE_CASES = {
     "watches fall silent": Case(("{} hang",), at_once=True),
     "watches and calls are silent": Case(("{} hang",)),
     "resets": Case(("{} cut",)),
@@ -36,7 +36,7 @@
 }
 
 
-def play(
+def measure_drain_delays(
     made: Cluster, groups: Mapping[str, Sequence[int]], engine: int, down_s: float
 ) -> dict[str, list[float]]:
     """Seconds from reachable to each router's last request to the engine, 0 where it is before that.
@@ -47,26 +47,26 @@
 
     def order(name: str, orders: Sequence[str]) -> None:
         for text in orders:
-            made.service.tell(text.format(",".join(map(str, groups[name]))))
+            made.service.send_command(text.format(",".join(map(str, groups[name]))))
 
     reachable: dict[str, float] = {}
     for name in groups:
-        if not CASES[name].at_once:
-            order(name, CASES[name].begin)
+        if not FAILURE_CASES[name].at_once:
+            order(name, FAILURE_CASES[name].begin)
     time.sleep(down_s / 2)
     for name in groups:
-        if CASES[name].at_once:
-            order(name, CASES[name].begin)
+        if FAILURE_CASES[name].at_once:
+            order(name, FAILURE_CASES[name].begin)
     made.draining.add(engine)
-    made.list_again()
+    made.publish_list()
     for name in groups:
-        if CASES[name].at_once:
-            order(name, CASES[name].back)
+        if FAILURE_CASES[name].at_once:
+            order(name, FAILURE_CASES[name].back)
             reachable[name] = time.time()
     time.sleep(down_s / 2)
     for name in groups:
-        if not CASES[name].at_once:
-            order(name, CASES[name].back)
+        if not FAILURE_CASES[name].at_once:
+            order(name, FAILURE_CASES[name].back)
             reachable[name] = time.time()
     for numbers in groups.values():
         for n in numbers:
@@ -80,12 +80,12 @@
 
 
 def _knows(made: Cluster, router: int) -> bool:
-    return any(told["index"] >= made.listing for told in made.routers[router].events("destinations"))
+    return any(told["index"] >= made.list_version for told in made.routers[router].events("destinations"))
 
 
-def take_back(made: Cluster, engine: int) -> None:
+def undo_drain(made: Cluster, engine: int) -> None:
     """The engine serves again, and all routers know."""
     made.draining.discard(engine)
-    made.list_again()
+    made.publish_list()
     for n, router in enumerate(made.routers):
         router.wait_for(lambda n=n: _knows(made, n), LATEST_S)  # type: ignore[misc]
--- a/spoolbarrow/lab/emulator.py
+++ b/spoolbarrow/lab/emulator.py
@@ -19,10 +19,10 @@
 from gevent.queue import Empty, Queue
 
 from spoolbarrow import interface as i
-from spoolbarrow.lab.directory import Directory, Told
-from spoolbarrow.lab.fleet import NOBODY, ROUTERS, Planned, fleet, plan, stream
+from spoolbarrow.lab.simulated_discovery import SimulatedDiscovery, Notification
+from spoolbarrow.lab.fleet import GLOBAL_TROUBLES, ROUTER_TROUBLES, PlannedTrouble, fleet, plan, random_stream
 from spoolbarrow.lab.scenario import Scenario
-from spoolbarrow.lab.wire import HOST, PLAIN, Clock, WireEngine, chunk, listen
+from spoolbarrow.lab.wire_engine import HOST, PLAIN_RESPONSE, Clock, WireEngine, chunk, listen
 from spoolbarrow.net.http1 import RequestParser
 from spoolbarrow.wire import STATES
 
@@ -42,13 +42,13 @@
     first_port: int = 0  # of the first engine's listeners; 0: free ones
 
 
-def planned_troubles(scenario: Scenario, seed: int) -> list[Planned]:
+def planned_troubles(scenario: Scenario, seed: int) -> list[PlannedTrouble]:
     """The day's troubles, their times counted from the beginning of the lead."""
     return [
         msgspec.structs.replace(
             one, trouble=msgspec.structs.replace(one.trouble, begin_s=one.trouble.begin_s + scenario.lead_s)
         )
-        for one in plan(scenario, stream(seed, "troubles"))
+        for one in plan(scenario, random_stream(seed, "troubles"))
     ]
 
 
@@ -62,11 +62,11 @@
         sys.stdout.buffer.write(msgspec.json.encode(change) + b"\n")
         sys.stdout.buffer.flush()
 
-    specs = fleet(job.scenario, stream(job.seed, "fleet"))
+    specs = fleet(job.scenario, random_stream(job.seed, "fleet"))
     routers, port = job.scenario.routers, job.first_port
     mine = {
         n: WireEngine(
-            spec, routers, clock, stream(job.seed, f"engine {n}"), tell, port and port + n * routers
+            spec, routers, clock, random_stream(job.seed, f"engine {n}"), tell, port and port + n * routers
         )
         for n, spec in enumerate(specs)
         if n % job.workers == job.worker
@@ -76,7 +76,7 @@
     if begun:
         clock.begun = float(begun)
         for planned in planned_troubles(job.scenario, job.seed):
-            if planned.trouble.name not in (*NOBODY, *ROUTERS):
+            if planned.trouble.name not in (*GLOBAL_TROUBLES, *ROUTER_TROUBLES):
                 for n in planned.victims:
                     if n in mine:
                         mine[n].plan(planned)
@@ -93,12 +93,12 @@
         self, scenario: Scenario, clock: Clock, ports: dict[int, list[int]], seed: int, first_port: int = 0
     ) -> None:
         self.scenario, self.clock = scenario, clock
-        specs = fleet(scenario, stream(seed, "fleet"))
+        specs = fleet(scenario, random_stream(seed, "fleet"))
         self.kinds = list(scenario.kinds)
         self.ports = {spec.id: ports[n] for n, spec in enumerate(specs)}
         self.specs = {spec.id: spec for spec in specs}
         entries = [i.ReplicaEntry(s.id, s.zone, s.kind, s.cell) for s in specs]
-        self.directory = Directory(scenario.discovery, entries, stream(seed, "discovery"))
+        self.directory = SimulatedDiscovery(scenario.discovery, entries, random_stream(seed, "discovery"))
         self.index = 1
         self.unix_ms = 0.0  # of the day's beginning
         self.withdrawn: dict[tuple[str, int], float] = {}  # when each router was told that an engine drains
@@ -113,7 +113,7 @@
         for one in self.listeners:
             one.close()
 
-    def begin(self, troubles: list[Planned]) -> None:
+    def begin(self, troubles: list[PlannedTrouble]) -> None:
         """Schedule what hits discovery."""
         self.unix_ms = time.time() * 1000.0 - self.clock.now()
         for planned in troubles:
@@ -133,7 +133,7 @@
         state = STATES[change["status"]]
         started = self.unix_ms + change["started_at"] if state is i.ReplicaState.SERVING else 0.0
         entry = i.ReplicaEntry(name, spec.zone, spec.kind, spec.cell, state, 1.0, started)
-        at = self.directory.changed(self.clock.now(), entry, change["silent"])
+        at = self.directory.record_change(self.clock.now(), entry, change["silent"])
         self.clock.later(at, self._notice)
 
     def lines(self, entries: tuple[i.ReplicaEntry, ...], whole: bool, caller: int) -> bytes:
@@ -154,12 +154,12 @@
         return msgspec.json.encode({"index": self.index, "snapshot": whole, "endpoints": told}) + b"\n"
 
     def _notice(self) -> None:
-        told = self.directory.due(self.clock.now())
+        told = self.directory.deliver_due(self.clock.now())
         self.index += 1
         for one in told:
             self.clock.later(one.at, self._push, one)
 
-    def _push(self, told: Told) -> None:
+    def _push(self, told: Notification) -> None:
         line = self.lines(told.entries, False, told.caller)
         for entry in told.entries:
             if entry.state is i.ReplicaState.SERVING:
@@ -170,7 +170,7 @@
             queue.put(line)
 
     def _down(self, until: float) -> None:
-        self.directory.down(self.clock.now(), until)
+        self.directory.fail_until(self.clock.now(), until)
         for queues in self.watchers.values():
             for queue in queues:
                 queue.put(None)
@@ -194,14 +194,14 @@
             sock.close()
 
     def _tell(self, sock: Any, caller: int, target: bytes) -> None:
-        told = self.directory.call(self.clock.now(), caller)
+        told = self.directory.request_list(self.clock.now(), caller)
         gevent.sleep(max(0.0, (told.at - self.clock.now()) / 1000.0))
         if told.kind is i.ListKind.FAILED:
-            sock.sendall(PLAIN % (b"503 Service Unavailable", b"", 0, b""))
+            sock.sendall(PLAIN_RESPONSE % (b"503 Service Unavailable", b"", 0, b""))
             return
-        whole = self.lines(self.directory.whole(), True, caller)
+        whole = self.lines(self.directory.full_list(), True, caller)
         if b"stream=1" not in target:
-            sock.sendall(PLAIN % (b"200 OK", b"", len(whole), whole))
+            sock.sendall(PLAIN_RESPONSE % (b"200 OK", b"", len(whole), whole))
             return
         queue: Queue[bytes | None] = Queue()
         self.watchers[caller].append(queue)
--- a/spoolbarrow/lab/proxy.py
+++ b/spoolbarrow/lab/fault_proxy.py
@@ -1,6 +1,6 @@
 """A fault proxy on loopback: between routers and engines, it passes, drops, resets, delays or slows bytes.
 
-    python -m spoolbarrow.lab.proxy SECONDS [HOST:]PORT...     prints one listening port a target, then obeys
+    python -m spoolbarrow.lab.fault_proxy SECONDS [HOST:]PORT...     prints one listening port a target, then obeys
 
 Each target gets a listener of its own on 127.0.0.1. Lines on standard input set the fault of listeners, by
 index (`0,3,4`, or `*` for all): `pass`, `drop` (connections are taken and nothing passes either way),
@@ -41,7 +41,7 @@
     sock.close()
 
 
-class Gate:
+class ProxyListener:
     """One listener before one target, and its fault."""
 
     def __init__(self, target: tuple[str, int]) -> None:
@@ -119,7 +119,7 @@
         sink.sendall(data)
 
 
-def obey(gates: list[Gate], line: str) -> str:
+def handle_command(gates: list[ProxyListener], line: str) -> str:
     """Carry out one line of standard input; its answer."""
     words = line.split()
     if len(words) not in (2, 3) or words[1] not in MODES:
@@ -144,13 +144,13 @@
 
 def main(argv: list[str]) -> None:
     """Serve the listeners, obey standard input, end in time."""
-    loopback.most_files()
+    loopback.raise_descriptor_limit()
     seconds, targets = float(argv[0]), [target.rpartition(":") for target in argv[1:]]
-    gates = [Gate((host or HOST, int(port))) for host, _, port in targets]
+    gates = [ProxyListener((host or HOST, int(port))) for host, _, port in targets]
     for gate in gates:
         gevent.spawn(gate.serve)
     print(" ".join(str(gate.port) for gate in gates), flush=True)
-    serve_commands(seconds, partial(obey, gates))
+    serve_commands(seconds, partial(handle_command, gates))
 
 
 if __name__ == "__main__":
--- a/spoolbarrow/lab/script.py
+++ b/spoolbarrow/lab/fault_script.py
@@ -1,6 +1,6 @@
 """Fault scripts: named faults of a fleet's start, played on processes, and what each process saw.
 
-    python -m spoolbarrow.lab.script NAME [--routers N] [--engines N] [--rate R] [--known LIST] [--pace X]
+    python -m spoolbarrow.lab.fault_script NAME [--routers N] [--engines N] [--rate R] [--known LIST] [--pace X]
 
 A script is a table of steps: at what event or second, what fault. `play` is the one function that plays it,
 for tests, benchmarks and this command. By default the service's rate is such that it can answer all routers
@@ -22,8 +22,8 @@
 from pathlib import Path
 from typing import Any, NamedTuple
 
-from spoolbarrow.lab.cluster import KNOWN, Cluster, Load
-from spoolbarrow.lab.cold import Figures
+from spoolbarrow.lab.cluster import INITIAL_LISTS, Cluster, Load
+from spoolbarrow.lab.cold_engine import ColdEngineParameters
 from spoolbarrow.lab.line_commands import CommandFailed
 from spoolbarrow.lab.process import end_all_at_sigterm
 
@@ -39,7 +39,7 @@
 class Step(NamedTuple):
     """One fault, begun or ended."""
 
-    do: str  # of VERBS
+    action: str  # of VERBS
     at: float = 0.0  # s after the step before it, or after `event`; BEFORE: before the routers begin
     value: float = 0.0
     event: str = ""  # of EVENTS, waited for first
@@ -58,16 +58,16 @@
 
 
 def _all(mode: str) -> Callable[[Cluster, float], object]:
-    return lambda made, _: made.service.tell(f"* {mode}")
+    return lambda made, _: made.service.send_command(f"* {mode}")
 
 
 def _service(word: str) -> Callable[[Cluster, float], object]:
-    return lambda made, _: made.service.tell(word)
+    return lambda made, _: made.service.send_command(word)
 
 
 def _cut(made: Cluster, share: float) -> None:
     chosen = range(ceil(share * len(made.ports)))
-    made.service.tell(f"{','.join(map(str, chosen))} cut")
+    made.service.send_command(f"{','.join(map(str, chosen))} cut")
 
 
 def _crash(made: Cluster, router: float) -> None:
@@ -76,20 +76,20 @@
 
 
 def _lose_engines(made: Cluster, share: float) -> None:
-    made.out = set(range(ceil(share * len(made.names))))
-    made.engines.tell(f"{','.join(map(str, sorted(made.out)))} down")
-    made.list_again()
+    made.unlisted = set(range(ceil(share * len(made.engine_names))))
+    made.engines.send_command(f"{','.join(map(str, sorted(made.unlisted)))} down")
+    made.publish_list()
 
 
 def _leave(made: Cluster, engine: float) -> None:
-    made.out.add(int(engine))
-    made.list_again()
+    made.unlisted.add(int(engine))
+    made.publish_list()
 
 
 def _hang_up(made: Cluster, _: float) -> None:
     # What the lines of the old list mean has changed with that, so that all ask for the whole list anew.
     made.configure({"Skus": ["m", "n"]})
-    made.hang_up(range(len(made.ports)))
+    made.send_sighup(range(len(made.ports)))
 
 
 def _members(act: str) -> Callable[[Cluster, float], object]:
@@ -101,11 +101,11 @@
     return play
 
 
-VERBS: dict[str, Callable[[Cluster, float], object]] = {
+ACTIONS: dict[str, Callable[[Cluster, float], object]] = {
     "down": _service("down"),
     "up": _service("up"),
     "restart": _service("restart"),
-    "fail": lambda made, share: made.service.tell(f"fail {share}"),
+    "fail": lambda made, share: made.service.send_command(f"fail {share}"),
     "mute": _all("mute"),
     "half": _all("half"),
     "pass": _all("pass"),
@@ -115,18 +115,18 @@
     "hang-up": _hang_up,
     "lose-engines": _lose_engines,
     "leave": _leave,
-    "chill": lambda made, _: made.restart_engines(range(len(made.names))),
+    "chill": lambda made, _: made.restart_engines(range(len(made.engine_names))),
     "stop-members": _members("stop"),
     "wake-members": _members("wake"),
 }
 EVENTS: dict[str, Callable[[Cluster, Load], bool]] = {
-    "known": lambda made, _: len(made.knowing()) == len(made.ports),
+    "known": lambda made, _: len(made.up_to_date_routers()) == len(made.ports),
     "served": lambda made, load: (
         len({one.router for one in list(load.answers) if one.status == 200}) == len(made.ports)
     ),
     "reloaded": lambda made, _: all(router.events("reloaded") for router in made.routers),
-    "asked": lambda made, _: len(made.served_lists()["calls"]) == len(made.ports),
-    "queue": lambda made, _: made.served_lists()["queued"] >= FULL,
+    "asked": lambda made, _: len(made.list_service_counts()["calls"]) == len(made.ports),
+    "queue": lambda made, _: made.list_service_counts()["queued"] >= FULL,
 }
 SCRIPTS: dict[str, Script] = {
     "calm": Script("nothing fails", ()),
@@ -179,28 +179,28 @@
 }
 
 
-def follows(made: Cluster, router: int) -> str:
+def follower_config(made: Cluster, router: int) -> str:
     """The operator's file of a router that follows the cluster's store; empty where there is none."""
     if made.members is None:
         return ""
     return f"[fleet]\nmembers = {json.dumps(made.members.fronts[router])}\nperiod_ms = 200\n"
 
 
-def shape(script: Script, engines: int, rate: float, routers: int, known: str = "") -> dict[str, Any]:
+def cluster_options(script: Script, engines: int, rate: float, routers: int, known: str = "") -> dict[str, Any]:
     """What a cluster needs for a script, as options of `Cluster`; a rate of 0: by WORK_S."""
     return {
-        "operator": follows,
+        "operator": follower_config,
         "gates": False,
         "control": False,
         "at_once": True,
         "known": known or script.known,
         "members": script.members,
         "rate": rate or routers / WORK_S,
-        "figures": Figures(per_s=max(4.0, 4.0 * routers / engines)) if script.cold else None,
+        "figures": ColdEngineParameters(per_s=max(4.0, 4.0 * routers / engines)) if script.cold else None,
     }
 
 
-def play(
+def run_script(
     made: Cluster,
     script: Script,
     pace: float = 1.0,
@@ -218,9 +218,9 @@
     """
     first = [step for step in script.steps if step.at == BEFORE]
     if begin:
-        made.begin(lambda: [VERBS[step.do](made, step.value) for step in first])
+        made.begin(lambda: [ACTIONS[step.action](made, step.value) for step in first])
     elif first:
-        raise CommandFailed(first[0].do, "this fault lies before the routers' begin: play it with `begin`")
+        raise CommandFailed(first[0].action, "this fault lies before the routers' begin: play it with `begin`")
     else:
         made.mark_begin()
     load = Load(made, pause_s=pause_s)
@@ -231,22 +231,22 @@
                 if step.event and not _until(partial(EVENTS[step.event], made, load), EVENT_S):
                     missed.append(step.event)
                 time.sleep(step.at * pace)
-                VERBS[step.do](made, step.value)
+                ACTIONS[step.action](made, step.value)
         last = time.time()
         need = len(made.ports) / made.rate if made.rate else 0.0
         _until(lambda: all(EVENTS[name](made, load) for name in script.until), script.within_s + need)
-        known = made.knowing()
+        known = made.up_to_date_routers()
         ended = time.time()
-        time.sleep(max(steady_s, least_s - (time.time() - made.begun)))
+        time.sleep(max(steady_s, least_s - (time.time() - made.begun_unix_s)))
     finally:
         load.stop()
-    return told(made, load, steady_s) | {
+    return collect_results(made, load, steady_s) | {
         "about": script.about,
         "routers": len(made.ports),
         "rate": made.rate,
         "events_missed": missed,
         "unknowing": sorted(set(range(len(made.ports))) - set(known)),
-        "known_s": round(ended - made.begun, 2),
+        "known_s": round(ended - made.begun_unix_s, 2),
         "known_after_last_step_s": round(ended - last, 2),
     }
 
@@ -261,17 +261,17 @@
     return True
 
 
-def told(made: Cluster, load: Load, steady_s: int = 0) -> dict[str, Any]:
+def collect_results(made: Cluster, load: Load, steady_s: int = 0) -> dict[str, Any]:
     """What each process saw since the routers began, the last `steady_s` of which are steady.
 
     `unexpected` counts those of processes that were killed as well.
     """
-    service = made.served_lists()
-    begun = made.begun_at
+    service = made.list_service_counts()
+    begun = made.begun_monotonic_s
     routers = {}
     for n, process in enumerate(made.routers):
         answers = [one for one in list(load.answers) if one.router == n]
-        served = [one.at - begun for one in answers if one.status == 200]
+        served = [one.ended_at - begun for one in answers if one.status == 200]
         early = next((at for at, one in enumerate(answers) if one.status), len(answers))  # it did not listen
         answers, broken = answers[early:], process.events("watch_broken")
         routers[f"r{n}"] = {
@@ -284,19 +284,19 @@
             "unexpected": len(process.events("unexpected")),
             "serving": max([0, *[one["serving"] for one in process.events("destinations")[-1:]]]),
             "first_served_s": _rounded(min(served, default=None)),
-            "slowest_refused_ms": max([0, *(round(one.ms) for one in answers if one.status == 503)]),
+            "slowest_refused_ms": max([0, *(round(one.duration_ms) for one in answers if one.status == 503)]),
             "early": early,
             "answers": dict(Counter(str(one.status) for one in answers)),
         }
-    goodput: Counter[int] = Counter(int(one.at - begun) for one in list(load.answers) if one.status == 200)
+    goodput: Counter[int] = Counter(int(one.ended_at - begun) for one in list(load.answers) if one.status == 200)
     by_second = [goodput[second] for second in range(max(goodput, default=-1) + 1)]
     return {
         "goodput": by_second,
         "retry_after_missing": load.retry_after_missing,
-        "unexpected": sum(len(process.events("unexpected")) for process in made.started),
-        "service": of_service(service),
+        "unexpected": sum(len(process.events("unexpected")) for process in made.processes),
+        "service": service_results(service),
         "of_routers": routers,
-        "of_engines": of_engines(made, steady_s),
+        "of_engines": engine_results(made, steady_s),
     }
 
 
@@ -304,7 +304,7 @@
     return None if value is None else round(value, 2)
 
 
-def of_service(service: dict[str, Any]) -> dict[str, Any]:
+def service_results(service: dict[str, Any]) -> dict[str, Any]:
     """The list service's account."""
     calls, failed = sum(service["calls"].values()), sum(service["failed"].values())
     seconds = service["seconds"].get("calls", {})
@@ -321,11 +321,11 @@
     }
 
 
-def of_engines(made: Cluster, steady_s: int = 0) -> dict[str, Any]:
+def engine_results(made: Cluster, steady_s: int = 0) -> dict[str, Any]:
     """What each engine was sent: in all, in its busiest second, and in each of the `steady_s` last ones."""
     found = {}
-    ended = int(time.monotonic() - made.begun_at)
-    for name, one in zip(made.names, made.counts(), strict=True):
+    ended = int(time.monotonic() - made.begun_monotonic_s)
+    for name, one in zip(made.engine_names, made.counts(), strict=True):
         found[name] = {key: one[key] for key in ("falls", "fallen", "refused", "full")}
         for kind in ("handshakes", "probes", "work"):
             its = one["seconds"].get(kind, {})
@@ -340,7 +340,7 @@
     return found
 
 
-def well(found: dict[str, Any]) -> bool:
+def passed(found: dict[str, Any]) -> bool:
     """Whether all know, nothing fell, and nothing happened that nothing foresaw."""
     return (
         not found["unknowing"]
@@ -349,7 +349,7 @@
     )
 
 
-def page(name: str, found: dict[str, Any]) -> str:
+def format_results(name: str, found: dict[str, Any]) -> str:
     """For people: the service, each router, each engine."""
     service = found["service"]
     lines = [
@@ -380,12 +380,12 @@
     """Play one script; the exit status."""
     names = ", ".join(SCRIPTS)
     about = f"NAME: one of {names}."
-    arguments = argparse.ArgumentParser(prog="python -m spoolbarrow.lab.script", description=about)
+    arguments = argparse.ArgumentParser(prog="python -m spoolbarrow.lab.fault_script", description=about)
     arguments.add_argument("name", choices=SCRIPTS, metavar="NAME")
     arguments.add_argument("--routers", type=int, default=16)
     arguments.add_argument("--engines", type=int, default=0, help="0: one for each two routers")
     arguments.add_argument("--rate", type=float, default=0.0, help="calls a second; 0: routers in 4 s")
-    arguments.add_argument("--known", choices=KNOWN, default="", help="else as the script says")
+    arguments.add_argument("--known", choices=INITIAL_LISTS, default="", help="else as the script says")
     arguments.add_argument("--pace", type=float, default=1.0, help="times of steps are multiplied with it")
     arguments.add_argument("--json", action="store_true")
     asked = arguments.parse_args(argv)
@@ -399,15 +399,15 @@
             Path(folder),
             {"a": engines},
             ["a"] * asked.routers,
-            **shape(script, engines, asked.rate, asked.routers, asked.known),
+            **cluster_options(script, engines, asked.rate, asked.routers, asked.known),
         )
         try:
             made.prepare()
-            found = play(made, script, asked.pace)
+            found = run_script(made, script, asked.pace)
         finally:
             made.end(kill=True)
-    print(json.dumps(found) if asked.json else page(asked.name, found))
-    return 0 if well(found) else 1
+    print(json.dumps(found) if asked.json else format_results(asked.name, found))
+    return 0 if passed(found) else 1
 
 
 if __name__ == "__main__":
--- a/spoolbarrow/lab/fleet.py
+++ b/spoolbarrow/lab/fleet.py
@@ -12,7 +12,7 @@
 from spoolbarrow.lab.scenario import Scenario, Trouble
 
 CELL = 8  # engines that are close to each other
-USUAL = {
+DEFAULT_TROUBLE_SIZES = {
     "pauses": 300.0,
     "slow": 4.0,
     "connection_cap": 4.0,
@@ -22,17 +22,17 @@
     "trickle": 200.0,
     "router_restart": 3.7,
 }
-ROUTERS = ("router_death", "router_restart")  # troubles that hit routers
-NOBODY = ("burst", "discovery_down", "discovery_stale")  # or no single machine
+ROUTER_TROUBLES = ("router_death", "router_restart")  # troubles that hit routers
+GLOBAL_TROUBLES = ("burst", "discovery_down", "discovery_stale")  # or no single machine
 PAUSE_EVERY_MS = 1500.0
 
 
-def stream(seed: int, name: str) -> Random:
+def random_stream(seed: int, name: str) -> Random:
     """Random numbers of one concern, the same whatever others draw."""
     return Random(f"{seed}:{name}")
 
 
-class Spec(Struct, frozen=True):
+class EngineSpec(Struct, frozen=True):
     """An engine of the fleet."""
 
     id: str
@@ -43,7 +43,7 @@
     weight: float = 1.0  # that the list tells
 
 
-class Planned(Struct, frozen=True):
+class PlannedTrouble(Struct, frozen=True):
     """A trouble with all that was left open decided."""
 
     trouble: Trouble
@@ -52,7 +52,7 @@
     size: float
 
 
-def fleet(scenario: Scenario, rng: Random) -> list[Spec]:
+def fleet(scenario: Scenario, rng: Random) -> list[EngineSpec]:
     """Engines of each kind by its share, zone by zone in turn."""
     names = list(scenario.kinds)
     total = sum(kind.share for kind in scenario.kinds.values())
@@ -63,7 +63,7 @@
     which = [n for n, count in enumerate(counts) for _ in range(count)]
     rng.shuffle(which)
     specs = [
-        Spec(
+        EngineSpec(
             f"e{rng.getrandbits(32):08x}{n:04x}",
             n % scenario.zones,
             kind,
@@ -77,12 +77,12 @@
     return [replace(s, weight=_rough(s, scenario.discovery.weight_noise)) for s in specs]
 
 
-def _rough(spec: Spec, noise: float) -> float:
+def _rough(spec: EngineSpec, noise: float) -> float:
     """An engine's size, more or less, as the list tells it."""
     return spec.figures.speed * max(0.2, 1.0 + noise * Random(spec.id).gauss(0.0, 1.0))
 
 
-def plan(scenario: Scenario, rng: Random) -> list[Planned]:
+def plan(scenario: Scenario, rng: Random) -> list[PlannedTrouble]:
     """The scenario's troubles and those drawn at random, with their victims."""
     drawn = scenario.drawn
     troubles = list(scenario.troubles)
@@ -94,8 +94,8 @@
     return [_planned(scenario, trouble, rng) for trouble in troubles]
 
 
-def moves(
-    planned: Planned, figures: EngineParameters, rng: Random, begin: float
+def engine_actions(
+    planned: PlannedTrouble, figures: EngineParameters, rng: Random, begin: float
 ) -> list[tuple[float, str, tuple[Any, ...]]]:
     """What happens to one engine that a trouble hits: when, ms, which move, and with what.
 
@@ -128,13 +128,13 @@
     return [(begin, "put", (name, size)), (end, "put", (name, 0.0))]
 
 
-def _planned(scenario: Scenario, trouble: Trouble, rng: Random) -> Planned:
-    size = trouble.size or USUAL.get(trouble.name, 0.0)
-    if trouble.name in NOBODY:
-        return Planned(trouble, (), (), size)
-    of = scenario.routers if trouble.name in ROUTERS else scenario.engines
+def _planned(scenario: Scenario, trouble: Trouble, rng: Random) -> PlannedTrouble:
+    size = trouble.size or DEFAULT_TROUBLE_SIZES.get(trouble.name, 0.0)
+    if trouble.name in GLOBAL_TROUBLES:
+        return PlannedTrouble(trouble, (), (), size)
+    of = scenario.routers if trouble.name in ROUTER_TROUBLES else scenario.engines
     among: range | list[int] = range(of)
-    if trouble.zone >= 0 and trouble.name not in ROUTERS:
+    if trouble.zone >= 0 and trouble.name not in ROUTER_TROUBLES:
         among = [n for n in among if n % scenario.zones == trouble.zone]
     hit = max(1, min(len(among), round(trouble.part * len(among))))
     victims = tuple(sorted(rng.sample(among, hit)))
@@ -142,4 +142,4 @@
     if trouble.name == "partition":
         many = max(1, round(trouble.size * scenario.routers))
         cut = tuple(rng.sample(range(scenario.routers), many))
-    return Planned(trouble, victims, cut, size)
+    return PlannedTrouble(trouble, victims, cut, size)
--- a/spoolbarrow/lab/callers.py
+++ b/spoolbarrow/lab/list_call_simulation.py
@@ -18,18 +18,18 @@
 from spoolbarrow.fleet.pacing import QUEUED_CALL_MS, Pacing, hung_retry_ms, silent_retry_ms
 from spoolbarrow.interface import RequestClass, Settings
 
-TIMEOUT = 3000.0
+TIMEOUT_MS = 3000.0
 WHOLE = 2.0  # turns of the service for a whole list; changes since a known version take one
 START_MS = 300.0  # processes that start together are up within this
 MUST_ASK_MS = 10_000.0
-RATES = (5.0, 10.0, 20.0)  # calls a second
+RATES_PER_S = (5.0, 10.0, 20.0)  # calls a second
 CASES = (("start, known list", True, 0.0), ("start, no list", False, 0.0), ("back after 25 s", True, 25.0))
 MOST_CALLS = 2  # of one router open at once, as of `net/discovery_client.py`
 BASE_MS = 1000.0  # of a back-off
 CLASSES = (RequestClass(aim_ms=1000.0, deadline_ms=5000.0, worth=1.0),)
 
 
-class Way(Protocol):
+class PacingStrategy(Protocol):
     """One router's part; times in ms."""
 
     def first_call_ms(self) -> float:
@@ -48,7 +48,7 @@
         """To the next call while one has no answer; `full`: the one before was refused after a wait."""
 
 
-class Fixed:
+class FixedBackoff:
     """A spread of the first call, then a back-off that doubles from 1 s to `most`, evenly or decorrelated."""
 
     def __init__(self, spread: float, rng: Random, most: float = 8000.0, decorrelated: bool = False) -> None:
@@ -81,7 +81,7 @@
         return inf
 
 
-class Paced(Pacing):
+class ProgramPacing(Pacing):
     """The program's own."""
 
     def hangs(self, full: bool) -> float:
@@ -89,24 +89,24 @@
         return hung_retry_ms(self.settings, self._rng, full)
 
 
-def paced(nodes: int, node: int, must_ask: float, rate: float, rng: Random) -> Paced:
+def paced(nodes: int, node: int, must_ask: float, rate: float, rng: Random) -> ProgramPacing:
     """The program's own, of a router that was told so much."""
     settings = Settings(nodes=nodes, classes=CLASSES, node=node, must_ask_ms=must_ask, list_rate=rate)
-    return Paced(settings, rng)
+    return ProgramPacing(settings, rng)
 
 
-Make = Callable[[int, int, float, Random], Way]  # routers, this one's number, true rate, chance
-WAYS: dict[str, Make] = {
-    "before: 40 ms a router, 3 s at most; back-off 1 to 8 s": lambda n, me, rate, rng: Fixed(
+Make = Callable[[int, int, float, Random], PacingStrategy]  # routers, this one's number, true rate, chance
+STRATEGIES: dict[str, Make] = {
+    "before: 40 ms a router, 3 s at most; back-off 1 to 8 s": lambda n, me, rate, rng: FixedBackoff(
         min(3000.0, 40.0 * n), rng
     ),
-    "decorrelated jitter, 0.5 to 28 s": lambda n, me, rate, rng: Fixed(
+    "decorrelated jitter, 0.5 to 28 s": lambda n, me, rate, rng: FixedBackoff(
         min(3000.0, 40.0 * n), rng, most=28_000.0, decorrelated=True
     ),
-    "a spread that suits 5 a second (15 calls in 3 s)": lambda n, me, rate, rng: Fixed(
-        n * TIMEOUT / 15.0, rng
+    "a spread that suits 5 a second (15 calls in 3 s)": lambda n, me, rate, rng: FixedBackoff(
+        n * TIMEOUT_MS / 15.0, rng
     ),
-    "a spread within the time for asking (6 s)": lambda n, me, rate, rng: Fixed(min(6000.0, 200.0 * n), rng),
+    "a spread within the time for asking (6 s)": lambda n, me, rate, rng: FixedBackoff(min(6000.0, 200.0 * n), rng),
     "places at the rate told, no time for asking": lambda n, me, rate, rng: paced(n, me, 0.0, rate, rng),
     "chosen, the rate told: within the clock": lambda n, me, rate, rng: paced(n, me, MUST_ASK_MS, rate, rng),
     "chosen, no rate told: within the clock": lambda n, me, rate, rng: paced(n, me, MUST_ASK_MS, 0.0, rng),
@@ -124,21 +124,21 @@
     last: float  # when all had it, likewise
 
 
-def play(make: Make, routers: int, rate: float, known: bool, down: float, seed: int) -> Result:
+def simulate(make: Make, routers: int, rate: float, known: bool, down: float, seed: int) -> Result:
     """All start at once; where the service was then `down` s long, what counts begins with that."""
     rng = Random(seed)
     turn = (1.0 if known else WHOLE) * 1000.0 / rate
     ways = [make(routers, me, 1000.0 / turn, Random(rng.getrandbits(32))) for me in range(routers)]
-    found = Callers(ways, turn, rng)
+    found = CallSimulation(ways, turn, rng)
     found.run([START_MS * rng.random() + way.first_call_ms() for way in ways])
     if down:
-        found = Callers(ways, turn, rng, down * 1000.0, "refuses")
+        found = CallSimulation(ways, turn, rng, down * 1000.0, "refuses")
         found.run([way.watch_ended_ms() for way in ways])
-    least, waits = routers * turn, found.told
+    least, waits = routers * turn, found.notified_after_ms
     return Result(
         found.calls / routers,
         found.failed / found.calls,
-        found.longest / TIMEOUT,
+        found.longest / TIMEOUT_MS,
         max(found.seconds.values()),
         median(waits) / least * 2.0,
         max(waits) / least,
@@ -146,14 +146,14 @@
 
 
 Fault = Literal["refuses", "hangs", "half"]  # calls fail at once; get no answer, ever; half an answer
-Beginning = Literal["starts", "reset", "silent", "silent at once", Fault]
-BEGINNINGS: tuple[Beginning, ...] = (*get_args(Beginning)[:4], *get_args(Fault))
+StartCondition = Literal["starts", "reset", "silent", "silent at once", Fault]
+START_CONDITIONS: tuple[StartCondition, ...] = (*get_args(StartCondition)[:4], *get_args(Fault))
 DOWN_MS = 20_000.0  # before the service is back
-ALIVE_MS = 2000.0  # between the words of a watch
+KEEPALIVE_MS = 2000.0  # between the words of a watch
 
 
-def heard(beginning: Beginning, routers: int, rate: float, seed: int) -> Callers:
-    """How long after the service could be reached each router hears of what changed: `told`, ms.
+def simulate_notifications(beginning: StartCondition, routers: int, rate: float, seed: int) -> CallSimulation:
+    """How long after the service could be reached each router hears of what changed: `notified_after_ms`.
 
     All start; or all watches are reset, or fall silent while new calls are answered (at once: their last
     words came in one instant); or the service is back after it refused, hung or answered half.
@@ -161,19 +161,19 @@
     rng, options = Random(seed), Options()
     ways = [paced(routers, me, MUST_ASK_MS, 0.0, Random(rng.getrandbits(32))) for me in range(routers)]
     if beginning in get_args(Fault):
-        found = Callers(ways, 1000.0 / rate, rng, DOWN_MS, beginning)  # type: ignore[arg-type]
+        found = CallSimulation(ways, 1000.0 / rate, rng, DOWN_MS, beginning)  # type: ignore[arg-type]
         found.run([way.watch_ended_ms() for way in ways])
         return found
     first = []
     for way in ways:
-        last = 0.0 if beginning == "silent at once" else -ALIVE_MS * rng.random()
+        last = 0.0 if beginning == "silent at once" else -KEEPALIVE_MS * rng.random()
         silent = last + options.watch_silence_ms + silent_retry_ms(0, rng)
         first.append(
             {"starts": way.first_call_ms, "reset": way.watch_ended_ms}.get(
                 beginning, lambda silent=silent: silent
             )()
         )
-    found = Callers(ways, 1000.0 / rate, rng)
+    found = CallSimulation(ways, 1000.0 / rate, rng)
     found.run(first)
     return found
 
@@ -187,11 +187,11 @@
         self.round = 0  # calls begun together with one that was answered, or until none was open
 
 
-class Callers:
+class CallSimulation:
     """Calls of many routers, each from its first until it has the list; the service is back at `down`."""
 
     def __init__(
-        self, ways: Sequence[Way], turn: float, rng: Random, down: float = 0.0, fault: Fault = "refuses"
+        self, ways: Sequence[PacingStrategy], turn: float, rng: Random, down: float = 0.0, fault: Fault = "refuses"
     ) -> None:
         self._ways, self._turn, self._rng, self._down, self._fault = ways, turn, rng, down, fault
         self._options = Options()
@@ -201,7 +201,7 @@
         self.calls = self.failed = 0  # since the service was back
         self.longest = 0.0  # wait, ms
         self.seconds = Counter[int]()
-        self.told = [inf] * len(ways)  # after the service was back, ms
+        self.notified_after_ms = [inf] * len(ways)  # after the service was back, ms
 
     def run(self, first: list[float]) -> None:
         """Until all have the list; `first`: when each calls first."""
@@ -210,12 +210,12 @@
         while self._events:
             now, me, number, what = heappop(self._events)
             one = self._askers[me]
-            if self.told[me] < inf or number != one.round:
+            if self.notified_after_ms[me] < inf or number != one.round:
                 continue
             if what == "due":
                 self._due(now, me)
             elif what == "answered":
-                self.told[me] = now - self._down
+                self.notified_after_ms[me] = now - self._down
                 self._ways[me].call_answered()
             else:
                 self._ended(now, me, what)
@@ -241,10 +241,10 @@
         self.calls += 1
         self.seconds[int(now / 1000.0)] += 1
         wait = max(0.0, self._free - now)
-        self.longest = max(self.longest, min(wait, TIMEOUT))
-        if wait > TIMEOUT:
+        self.longest = max(self.longest, min(wait, TIMEOUT_MS))
+        if wait > TIMEOUT_MS:
             self.failed += 1
-            return self._push(now + TIMEOUT, me, "failed")
+            return self._push(now + TIMEOUT_MS, me, "failed")
         self._free = max(self._free, now) + self._turn
         # Answered at the end of its turn, though the program gives up one that takes over 0.2 s after 3 s.
         self._push(self._free, me, "answered")
--- a/spoolbarrow/lab/listing.py
+++ b/spoolbarrow/lab/list_service.py
@@ -1,12 +1,12 @@
 """A stand-in list service: it works calls off in turn, at a rate, and can fail in every way a service does.
 
-    python -m spoolbarrow.lab.listing SECONDS RATE LINE_MS TIMEOUT_S     prints its port, then obeys
+    python -m spoolbarrow.lab.list_service SECONDS RATE LINE_MS TIMEOUT_S     prints its port, then obeys
 
 It speaks `GET /discovery/hosts` and `GET /discovery/hosts?stream=1&index=N`, both of which are calls: RATE a
 second (0: any number), and LINE_MS more for each line told. A call whose turn has not come after TIMEOUT_S
 gets 503; one whose caller has left is worked off all the same, since the service does not know. A watch then
 stays open, says an empty line every 2 s, and tells changes (which cost nothing). Router `n` calls at
-`loopback.address(n)`.
+`loopback.router_address(n)`.
 
 Lines on standard input: `list FILE` (JSON: `index`, and `endpoints`, whose address may be `@:PORT`, at the
 caller's own loopback address, or `addresses`, one for each router); `rate RATE [LINE_MS]`; `fail SHARE` of
@@ -35,8 +35,8 @@
 
 from spoolbarrow.lab import loopback
 from spoolbarrow.lab.line_commands import CommandFailed, serve_commands
-from spoolbarrow.lab.standin import MOST_SECONDS, Door, converse
-from spoolbarrow.lab.wire import PLAIN, chunk
+from spoolbarrow.lab.standin import MAX_COUNTED_SECONDS, FaultListener, serve_connection
+from spoolbarrow.lab.wire_engine import PLAIN_RESPONSE, chunk
 
 ALIVE_S = 2.0  # between empty lines
 MOST_QUEUED = 4096  # calls; one more gets 503 at once
@@ -46,7 +46,7 @@
 MODES = ("pass", "mute", "deaf", "half", "cut", "full", "hang", "stuck")
 KINDS = ("calls", "failed", "lines")  # that are counted by router and by second
 WATCHED = b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n"
-FULL = PLAIN % (b"503 Service Unavailable", b"", 0, b"")
+FULL = PLAIN_RESPONSE % (b"503 Service Unavailable", b"", 0, b"")
 
 Line = dict[str, Any]
 
@@ -65,7 +65,7 @@
         self.done = Event()  # it has left the queue
 
 
-class Done(NamedTuple):
+class FinishedCall(NamedTuple):
     """A call has left the queue: in its turn, where it is `served`, else by the time-out."""
 
     at: float
@@ -96,15 +96,15 @@
         self.longest = max(self.longest, len(self))
         return True
 
-    def advance(self, now: float) -> list[Done]:
+    def advance(self, now: float) -> list[FinishedCall]:
         """What has left the queue by now, in order."""
-        found: list[Done] = []
+        found: list[FinishedCall] = []
         while True:
             if self._working is not None:
                 if self._ends > now:
                     break
                 self._working.served = True
-                found.append(Done(self._ends, self._working))
+                found.append(FinishedCall(self._ends, self._working))
                 self._free, self._working = self._ends, None
             if not self._waiting:
                 break
@@ -122,8 +122,8 @@
             self._expire(self._waiting[0].came + self.timeout_s, found)
         return sorted(found, key=lambda one: one.at)
 
-    def _expire(self, at: float, found: list[Done]) -> None:
-        found.append(Done(at, self._waiting.popleft()))
+    def _expire(self, at: float, found: list[FinishedCall]) -> None:
+        found.append(FinishedCall(at, self._waiting.popleft()))
 
     def next_at(self) -> float | None:
         """When `advance` will next find something; None: not before another call comes."""
@@ -148,7 +148,7 @@
         self._changes: deque[tuple[int, dict[str, Line]]] = deque(maxlen=HISTORY)  # version: what it changed
         self._oldest = 0  # whose successors' changes are all known
 
-    def tell(self, index: int, lines: list[Line]) -> None:
+    def publish(self, index: int, lines: list[Line]) -> None:
         """The list is now this, in a higher version."""
         new = {line["name"]: line for line in lines}
         changed = {name: line for name, line in new.items() if self.lines.get(name) != line}
@@ -174,7 +174,7 @@
         return False, list(found.values())
 
 
-class Share:
+class FailureShare:
     """A share of calls that fails, drawn by a seed."""
 
     def __init__(self, seed: int = 1) -> None:
@@ -197,7 +197,7 @@
         self.reset = 0
 
     def _second(self, now: float) -> int:
-        return min(int(now - self.begun), MOST_SECONDS)
+        return min(int(now - self.begun), MAX_COUNTED_SECONDS)
 
     def count(self, kind: str, router: str, now: float, many: int = 1) -> None:
         """Calls came or failed, or lines were told."""
@@ -213,29 +213,29 @@
 # What speaks
 
 
-def told_to(router: str, line: Line) -> Line:
+def line_for_router(router: str, line: Line) -> Line:
     """A line as this router is told it."""
     number = int(router[1:] or 0)
     told = {key: value for key, value in line.items() if key != "addresses"}
     if "addresses" in line:
         return told | {"address": line["addresses"][number]}
-    return told | {"address": line["address"].replace("@", loopback.address(number), 1)}
+    return told | {"address": line["address"].replace("@", loopback.router_address(number), 1)}
 
 
-class Service:
+class ListService:
     """The service on its socket."""
 
     def __init__(self, rate: float, line_s: float, timeout_s: float) -> None:
         self.queue = Queue(rate, line_s, timeout_s)
-        self.versions, self.share = Versions(), Share()
+        self.versions, self.share = Versions(), FailureShare()
         self.counts = Counts(time.monotonic())
         self.modes: dict[str, str] = defaultdict(lambda: "pass")
         self.resets = False
         self.watches: dict[Any, tuple[str, int]] = {}  # by connection: whose, and the version it was told
         self._changed = Event()  # set, and replaced, with each change of the list or of a mode
         self._woken = Event()
-        self.door = Door(
-            lambda sock, router: converse(sock, lambda sock, message: self._answer(sock, message, router)),
+        self.door = FaultListener(
+            lambda sock, router: serve_connection(sock, lambda sock, message: self._answer(sock, message, router)),
             self._admits,
         )
         gevent.spawn(self._work)
@@ -286,7 +286,7 @@
         if watch:
             self._watch(sock, router, text, index)
             return
-        head = PLAIN % (b"200 OK", b"Content-Type: application/json\r\n", len(text), b"")
+        head = PLAIN_RESPONSE % (b"200 OK", b"Content-Type: application/json\r\n", len(text), b"")
         if self.modes[router] in ("half", "stuck"):
             sock.sendall(head + text[: len(text) // 2])
             self._stop_there(router)
@@ -314,7 +314,7 @@
         told = {
             "index": self.versions.index,
             "snapshot": whole,
-            "endpoints": [told_to(router, line) for line in lines],
+            "endpoints": [line_for_router(router, line) for line in lines],
         }
         return json.dumps(told).encode(), self.versions.index
 
@@ -348,7 +348,7 @@
         self.watches.pop(sock, None)
         sock.close()
 
-    def news(self) -> None:
+    def notify_change(self) -> None:
         """The list or a mode has changed."""
         self._changed.set()
         self._changed = Event()
@@ -358,9 +358,9 @@
         for call in self.queue.lose():
             call.done.set()
         self.door.reset()
-        self.news()  # whoever waits finds its connection gone
+        self.notify_change()  # whoever waits finds its connection gone
 
-    def told(self) -> dict[str, Any]:
+    def report_counts(self) -> dict[str, Any]:
         """The counts."""
         counts = self.counts
         return {
@@ -386,7 +386,7 @@
         """Carry out one line of standard input; its answer."""
         word, *rest = line.split()
         if word == "counts":
-            return json.dumps(self.told())
+            return json.dumps(self.report_counts())
         orders: dict[str, Callable[..., None]] = {"list": self._list, "rate": self._rate, "fail": self._fail}
         try:
             if word in orders:
@@ -401,8 +401,8 @@
 
     def _list(self, file: str) -> None:
         told = json.loads(Path(file).read_bytes())
-        self.versions.tell(told["index"], told["endpoints"])
-        self.news()
+        self.versions.publish(told["index"], told["endpoints"])
+        self.notify_change()
 
     def _rate(self, rate: str, line_ms: str = "0") -> None:
         self.queue.rate, self.queue.line_s = float(rate), float(line_ms) / 1000.0
@@ -416,9 +416,9 @@
         self.resets = word == "reset"
         self.lose()
         if word == "down":
-            self.door.shut()
+            self.door.close()
         else:
-            self.door.unlock()
+            self.door.reopen()
 
     def _mode(self, named: str, mode: str) -> None:
         if mode not in MODES:
@@ -431,13 +431,13 @@
             for router in set(self.door.open.values()):
                 if self.modes[router] == "cut":
                     self.door.reset(router)
-        self.news()
+        self.notify_change()
 
 
 def main(argv: list[str]) -> None:
     """Serve, and obey."""
-    loopback.most_files()
-    made = Service(float(argv[1]), float(argv[2]) / 1000.0, float(argv[3]))
+    loopback.raise_descriptor_limit()
+    made = ListService(float(argv[1]), float(argv[2]) / 1000.0, float(argv[3]))
     print(made.door.port, flush=True)
     serve_commands(float(argv[0]), made.obey)
 
--- a/spoolbarrow/lab/load.py
+++ b/spoolbarrow/lab/load.py
@@ -22,7 +22,7 @@
 from hdrh.histogram import HdrHistogram
 
 from spoolbarrow.lab.arrivals import PlannedRequest, draw_requests
-from spoolbarrow.lab.fleet import plan, stream
+from spoolbarrow.lab.fleet import plan, random_stream
 from spoolbarrow.lab.kinds import draw
 from spoolbarrow.lab.run_report import Record
 from spoolbarrow.lab.scenario import Scenario
@@ -71,8 +71,8 @@
 
 def records(scenario: Scenario, seed: int) -> list[Record]:
     """The day's requests, the same in every process."""
-    troubles = [planned.trouble for planned in plan(scenario, stream(seed, "troubles"))]
-    return [Record(one) for one in draw_requests(scenario, troubles, stream(seed, "arrivals"))]
+    troubles = [planned.trouble for planned in plan(scenario, random_stream(seed, "troubles"))]
+    return [Record(one) for one in draw_requests(scenario, troubles, random_stream(seed, "arrivals"))]
 
 
 class Player:
@@ -80,7 +80,7 @@
 
     def __init__(self, job: Job) -> None:
         self.job, self.scenario = job, job.scenario
-        self.rng = stream(job.seed, f"clients {job.worker}")
+        self.rng = random_stream(job.seed, f"clients {job.worker}")
         self.classes = list(self.scenario.classes)
         self.shapes = list(self.scenario.classes.values())
         self.tenants = list(self.scenario.tenants)
--- a/spoolbarrow/lab/loopback.py
+++ b/spoolbarrow/lab/loopback.py
@@ -1,6 +1,6 @@
 """Loopback addresses of the stand-ins: each router calls at an address of its own, which tells who calls.
 
-A stand-in listens on one port at all loopback addresses. Router `n` is told `address(n)` as its host, so the
+A stand-in listens on one port at all loopback addresses. Router `n` is told `router_address(n)` as its host, so the
 address that a connection came to names the router: hundreds of routers need no listener, and no gate of the
 proxy, for each pair. Ports lie below those that the kernel hands out by itself, so that a port which a router
 was promised (`process.free_ports`) is never taken by one of these listeners.
@@ -24,7 +24,7 @@
 _RANGE = Path("/proc/sys/net/ipv4/ip_local_port_range")
 
 
-def address(router: int) -> str:
+def router_address(router: int) -> str:
     """Where this router reaches stand-ins."""
     return f"127.{FIRST + (router >> 16)}.{router >> 8 & 255}.{router & 255}"
 
@@ -55,7 +55,7 @@
     raise OSError("no port is free")
 
 
-def most_files() -> None:
+def raise_descriptor_limit() -> None:
     """Take all the descriptors that the machine allows: hundreds of routers hold connections."""
     _, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     with suppress(ValueError, OSError):
--- a/spoolbarrow/lab/policies.py
+++ b/spoolbarrow/lab/policies.py
@@ -264,9 +264,9 @@
 
 def doored(settings: Settings, seed: int, truth: EngineOracle) -> RoutingPolicy:
     """The project's decisions behind its door."""
-    from spoolbarrow.lab.doored import Doored
+    from spoolbarrow.lab.admission_policy import AdmissionPolicy
 
-    return Doored(settings, seed)
+    return AdmissionPolicy(settings, seed)
 
 
 def zoned(settings: Settings, seed: int, truth: EngineOracle) -> RoutingPolicy:
--- a/spoolbarrow/lab/process.py
+++ b/spoolbarrow/lab/process.py
@@ -69,11 +69,11 @@
             stdout=subprocess.PIPE,
             stderr=subprocess.PIPE,
         )
-        self.lines: list[str] = []  # of standard error: the log
-        self.said: list[str] = []  # of standard output
+        self.log_lines: list[str] = []  # of standard error: the log
+        self.output_lines: list[str] = []  # of standard output
         self._heard = threading.Condition()
         self._telling = threading.Lock()
-        for stream, into in ((self.popen.stdout, self.said), (self.popen.stderr, self.lines)):
+        for stream, into in ((self.popen.stdout, self.output_lines), (self.popen.stderr, self.log_lines)):
             assert stream is not None
             _reader.watch(stream, self._taker(into))
 
@@ -99,35 +99,35 @@
                     self._heard.wait(LOOK_S)  # what it said last may still be on its way
                     if true():
                         return
-                    raise AssertionError(f"never came true; last lines: {self.lines[-5:]}")
+                    raise AssertionError(f"never came true; last lines: {self.log_lines[-5:]}")
                 self._heard.wait(min(left, LOOK_S))
 
-    def first_said(self) -> str:
+    def first_output_line(self) -> str:
         """The first line of standard output."""
-        self.wait_for(lambda: bool(self.said))
-        return self.said[0]
+        self.wait_for(lambda: bool(self.output_lines))
+        return self.output_lines[0]
 
-    def tell(self, line: str) -> str:
+    def send_command(self, line: str) -> str:
         """A line to standard input; the next line of output. CommandFailed where it is not obeyed."""
         assert self.popen.stdin is not None
         with self._telling:
-            count = len(self.said)
+            count = len(self.output_lines)
             self.popen.stdin.write(line.encode() + b"\n")
             self.popen.stdin.flush()
-            self.wait_for(lambda: len(self.said) > count)
-            said = self.said[count]
+            self.wait_for(lambda: len(self.output_lines) > count)
+            said = self.output_lines[count]
         if said.startswith("error"):
             raise CommandFailed(line, said)
         return said
 
-    def ask(self, line: str) -> Any:
+    def send_query(self, line: str) -> Any:
         """The same, its answer as JSON."""
-        return json.loads(self.tell(line))
+        return json.loads(self.send_command(line))
 
     def events(self, name: str) -> list[dict[str, Any]]:
         """Log lines of one event, as JSON."""
         with self._heard:
-            lines = list(self.lines)
+            lines = list(self.log_lines)
         marked = [line for line in lines if f'"{name}"' in line]
         return [one for line in marked if (one := json.loads(line)).get("event") == name]
 
--- a/spoolbarrow/lab/quorum.py
+++ b/spoolbarrow/lab/raft_histories.py
@@ -4,7 +4,7 @@
 crash between any two writes and come back with what their disks hold or with an older copy of it (fewer than
 a majority at once), clocks leap. At every step it is held: one leader a term; nobody applies another entry
 at an index than the others did, or leaves one out; what was applied anywhere is never lost; at the end, logs
-match where terms do. Once the faults end, a new entry must be committed everywhere, in bounded time. `Broken`
+match where terms do. Once the faults end, a new entry must be committed everywhere, in bounded time. `InvariantViolation`
 tells which of these does not hold.
 """
 
@@ -36,7 +36,7 @@
 TICK_MS = 20.0
 FAULTS_MS = 6000.0  # faults begin and end within it
 HEALED_MS = 6000.0  # in which a new entry must be everywhere
-KEPT = 12  # entries that a member keeps before it compacts
+COMPACT_AFTER_ENTRIES = 12  # entries that a member keeps before it compacts
 CHANCES = {"crash_in_save": (0.01, 0.2), "crash_voting": (0.3, 0.9), "crash_leading": (0.02, 0.2)}
 FAULTS = ("net", "net", "cut", "one way", "crash", "leap", "all", "old", "old", *CHANCES)
 # From a member's end to its beginning with an older file: what its last process sent has arrived by then.
@@ -44,25 +44,25 @@
 SPREADS = (0.05, 1.0)  # of elections: at once, or one after the other
 
 
-class Aim(Struct, frozen=True):
+class FaultMix(Struct, frozen=True):
     """What a history tries: which faults, and how often a client asks for an entry, as a mean."""
 
     faults: tuple[str, ...] = FAULTS
     propose_ms: float = 20.0
 
 
-ANY = Aim()
+ANY_FAULTS = FaultMix()
 # What lies on some members only when its leader goes: entries of older terms that get a majority late (figure
 # 8), and logs that differ over many entries, mended by answers that come twice and overtake each other.
-LEADERS = Aim(("leader apart", "leader dies"), 120.0)
-OLDER = Aim(("old", "crash", "crash", "cut"))
+LEADER_FAULTS = FaultMix(("leader apart", "leader dies"), 120.0)
+OLD_FILE_FAULTS = FaultMix(("old", "crash", "crash", "cut"))
 
 
-class Broken(AssertionError):
+class InvariantViolation(AssertionError):
     """Something that must always hold does not."""
 
 
-class Net(Struct):
+class NetworkConditions(Struct):
     """How bad the network is now."""
 
     lost: float = 0.0
@@ -93,23 +93,23 @@
         """What the disk holds."""
         return Saved(self.hard, self.snapshot, tuple(self.entries), self.lives)
 
-    def lay_back(self, saved: Saved) -> None:
+    def restore_file(self, saved: Saved) -> None:
         """An older file stands in its place."""
         self.hard, self.snapshot, self.lives = saved.hard_state, saved.snapshot, saved.incarnations
         self.entries, self.old = list(saved.entries), True
 
 
-class Play:
+class History:
     """One history by its seed. `make` builds members: a mutant, to see that it is found."""
 
-    def __init__(self, seed: int, size: int = 3, make: Callable[..., Raft] = Raft, aim: Aim = ANY) -> None:
+    def __init__(self, seed: int, size: int = 3, make: Callable[..., Raft] = Raft, aim: FaultMix = ANY_FAULTS) -> None:
         self.rng, self.make, self.aim = Random(seed), make, aim
         # Small batches, so that a log is mended in many steps.
         self.settings = Settings(batch_entries=2, election_jitter=SPREADS[seed % len(SPREADS)])
         self.names = [f"m{n}" for n in range(size)]
         self.members = {name: Member(name) for name in self.names}
         self.now = 0.0
-        self.net = Net()
+        self.net = NetworkConditions()
         self.cut: set[tuple[str, str]] = set()  # nothing passes from the first to the second
         self.events: list[tuple[float, int, Callable[..., object], tuple[object, ...]]] = []
         self.count = 0
@@ -126,7 +126,7 @@
         heappush(self.events, (when, self.count, call, args))
 
     def run(self) -> None:
-        """The whole history; Broken where something does not hold."""
+        """The whole history; InvariantViolation where something does not hold."""
         for name in self.names:
             self.start(name)
         for _ in range(self.rng.randint(8, 30)):
@@ -141,10 +141,10 @@
         self._play(FAULTS_MS + HEALED_MS / 2)
         before = self.last()
         if not self.propose():
-            raise Broken("no leader once the faults have ended")
+            raise InvariantViolation("no leader once the faults have ended")
         self._play(FAULTS_MS + HEALED_MS)
         if any(member.applied <= before for member in self.members.values()):
-            raise Broken("what was proposed once the faults had ended is not everywhere")
+            raise InvariantViolation("what was proposed once the faults had ended is not everywhere")
         self._match()
 
     def last(self) -> int:
@@ -170,7 +170,7 @@
         try:
             member.raft = self.make(name, self.names, self.now + member.leap, rng, saved, self.settings)
         except ValueError as error:
-            raise Broken(f"what {name} saved is no log: {error}") from error
+            raise InvariantViolation(f"what {name} saved is no log: {error}") from error
         self._load(member, member.snapshot)
         self.at(self.now, self.tick, name, member.life)
 
@@ -197,7 +197,7 @@
         kept = [saved for saved in member.kept if saved.incarnations.get(name, 0) < known]
         if kept and sum(one.old for one in others) + 1 < quorum:
             self.restored += 1
-            member.lay_back(self.rng.choice(kept))
+            member.restore_file(self.rng.choice(kept))
         self.start(name)
 
     def tick(self, name: str, life: int) -> None:
@@ -243,12 +243,12 @@
             if chance and self.rng.random() < chance:
                 return self.crash(member.name)
         if raft.role is Role.LEADER and self.leaders.setdefault(raft.term, member.name) != member.name:
-            raise Broken(f"two leaders in term {raft.term}")
+            raise InvariantViolation(f"two leaders in term {raft.term}")
         if ready.snapshot is not None and ready.snapshot.index > member.applied:
             self._load(member, ready.snapshot)
         for entry in ready.committed:
             self._apply(member, entry)
-        if member.applied - raft.snapshot.index > KEPT:
+        if member.applied - raft.snapshot.index > COMPACT_AFTER_ENTRIES:
             state = json.dumps(member.state).encode()
             self.do(member, raft.compact(member.applied, state))
 
@@ -271,10 +271,10 @@
 
     def _apply(self, member: Member, entry: Entry) -> None:
         if entry.index != member.applied + 1:
-            raise Broken(f"{member.name} applies {entry.index} after {member.applied}")
+            raise InvariantViolation(f"{member.name} applies {entry.index} after {member.applied}")
         first = self.applied.setdefault(entry.index, entry)
         if first != entry:
-            raise Broken(f"{member.name} applies {entry} where {first} was applied")
+            raise InvariantViolation(f"{member.name} applies {entry} where {first} was applied")
         member.applied = entry.index
         if entry.data:
             member.state.append(entry.data.decode())
@@ -284,7 +284,7 @@
         member.state = json.loads(snapshot.data) if snapshot.data else []
         wanted = [e.data.decode() for i in range(1, snapshot.index + 1) if (e := self.applied[i]).data]
         if member.state != wanted:
-            raise Broken(f"{member.name} loads another state at {snapshot.index} than was applied")
+            raise InvariantViolation(f"{member.name} loads another state at {snapshot.index} than was applied")
 
     # The network and its faults
 
@@ -304,7 +304,7 @@
         end = self.now + rng.uniform(100.0, 2000.0)
         if kind == "net":
             late = rng.choice((10.0, 100.0, 500.0))
-            self.net = Net(rng.uniform(0.0, 0.4), rng.uniform(0.0, 0.3), (1.0, late))
+            self.net = NetworkConditions(rng.uniform(0.0, 0.4), rng.uniform(0.0, 0.3), (1.0, late))
             self.at(end, self.calm)
         elif kind in ("cut", "one way"):
             apart = set(rng.sample(self.names, rng.randint(1, len(self.names) // 2)))
@@ -319,7 +319,7 @@
             self.crash(rng.choice(self.names))
         elif kind in ("leader apart", "leader dies"):
             leads = [name for name, one in self.members.items() if one.raft and one.raft.role is Role.LEADER]
-            self.net = Net(rng.uniform(0.0, 0.5), rng.uniform(0.3, 0.9), (1.0, rng.choice((30.0, 100.0))))
+            self.net = NetworkConditions(rng.uniform(0.0, 0.5), rng.uniform(0.3, 0.9), (1.0, rng.choice((30.0, 100.0))))
             self.at(end, self.calm)
             if leads and kind == "leader dies":
                 self.crash(leads[-1])
@@ -343,7 +343,7 @@
 
     def calm(self) -> None:
         """The network is well."""
-        self.net = Net()
+        self.net = NetworkConditions()
 
     def heal(self) -> None:
         """Faults end."""
@@ -364,13 +364,13 @@
                 same = [index for index in both if one[index].term == other[index].term]
                 for index in both:
                     if same and index <= same[0] and one[index] != other[index]:
-                        raise Broken(f"logs that agree at {same[0]} differ at {index}")
+                        raise InvariantViolation(f"logs that agree at {same[0]} differ at {index}")
 
 
-def survives(seed: int, size: int = 3, make: Callable[..., Raft] = Raft, aim: Aim = ANY) -> str:
+def find_violation(seed: int, size: int = 3, make: Callable[..., Raft] = Raft, aim: FaultMix = ANY_FAULTS) -> str:
     """Play one seed: empty where all holds, else what does not."""
     try:
-        Play(seed, size, make, aim).run()
+        History(seed, size, make, aim).run()
     except AssertionError as error:
         return str(error) or type(error).__name__
     return ""
--- a/spoolbarrow/lab/random_scenarios.py
+++ b/spoolbarrow/lab/random_scenarios.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 from spoolbarrow.lab.arrivals import PlannedRequest, draw_requests
-from spoolbarrow.lab.fleet import Spec, fleet, stream
+from spoolbarrow.lab.fleet import EngineSpec, fleet, random_stream
 from spoolbarrow.lab.scenario import Scenario, convert
 
 # By whether openings are many: slots, memory in tokens, step in ms, ms for a stream, ms for 1,000 tokens of
@@ -95,7 +95,7 @@
     seed: int, many: bool, routers: int, engines: int, load: float, length_s: float
 ) -> Scenario:
     """A deployment and its day: `load` is the share of what the engines bear."""
-    rng = stream(seed, "site")
+    rng = random_stream(seed, "site")
     shares = [rng.uniform(0.2, 0.5) for _ in range(KINDS)]
     parts = [rng.uniform(0.2, 0.45) for _ in range(CLASSES)]
     raw: dict[str, Any] = {
@@ -125,11 +125,11 @@
     In a steady batch a step of T ms reads T x rate x new tokens and makes a token for each of the
     rate x answer x T that run, so T = step / (1 - rate x cost), where cost is what a request adds to steps.
     """
-    day = draw_requests(scenario, (), stream(seed, "arrivals"))
-    return _mean_rate(day, fleet(scenario, stream(seed, "fleet")), scenario)
+    day = draw_requests(scenario, (), random_stream(seed, "arrivals"))
+    return _mean_rate(day, fleet(scenario, random_stream(seed, "fleet")), scenario)
 
 
-def _mean_rate(day: Iterable[PlannedRequest], specs: list[Spec], scenario: Scenario) -> float:
+def _mean_rate(day: Iterable[PlannedRequest], specs: list[EngineSpec], scenario: Scenario) -> float:
     ended: dict[int, int] = {}
     count = new = answer = context = pairs = 0.0
     for one in day:
--- a/spoolbarrow/lab/recorded_clients.py
+++ b/spoolbarrow/lab/recorded_clients.py
@@ -2,7 +2,7 @@
 
     python -m spoolbarrow.lab.recorded_clients SECONDS PLAN     begins when told, then obeys
 
-PLAN (JSON, `Plan`) says how many clients each router has, what they ask and how they behave (`HABITS`). Lines
+PLAN (JSON, `ClientPlan`) says how many clients each router has, what they ask and how they behave (`BEHAVIORS`). Lines
 on standard input: `begin`; `away ROUTERS` (no new connections go there) and `back ROUTERS`; `asked`, answered
 with the number of requests; `stop`, answered with every connection in JSON once each request under way has
 its answer, or DONE_S have passed. Times are `time.monotonic` when the kernel had the bytes, or was handed
@@ -29,8 +29,8 @@
 from spoolbarrow.lab import loopback
 from spoolbarrow.lab.line_commands import serve_commands
 from spoolbarrow.lab.recorded_engines import received_at
-from spoolbarrow.lab.standin import EVENTS, reset
-from spoolbarrow.lab.wire import chunk
+from spoolbarrow.lab.standin import EVENTS_PER_ANSWER, reset_connection
+from spoolbarrow.lab.wire_engine import chunk
 from spoolbarrow.net import tcpinfo
 
 CONNECT_S = 5.0
@@ -38,13 +38,13 @@
 GO_AHEAD = 100  # a status: the body may come
 SLACK_S = 2.0  # beyond a request's time, and between a stream's bytes, until a client gives up
 MOST_SMALL = 700  # bytes of a request that is written byte by byte
-LARGE = 150_000
+LARGE_BODY_BYTES = 150_000
 SLOW_READ, SLOW_PAUSE_S = 256, 0.01
 RESET_S, RESET_LOOK_S = 1.0, 0.02  # for a reset to come behind an end, and between looks for it
 END_LOOK_S = 0.1  # between looks at whether to stop, of a client that waits for the other side's end
 RETRY_S = 0.05  # before a client tries to connect again
-HOT = "5c0f6e1a2b3d4c59"  # what prompts that begin alike begin with
-HABITS = (
+SHARED_PREFIX = "5c0f6e1a2b3d4c59"  # what prompts that begin alike begin with
+BEHAVIORS = (
     "keeps",  # its connection, and pauses between requests
     "eager",  # the same, and asks again in the instant in which an answer has ended
     "renews",  # a connection for each request
@@ -62,26 +62,26 @@
     "stops",  # in the middle of a request
 )
 # Of runs with drains alone: what is drawn for others stays as it is.
-DRAIN_HABITS = (
+DRAIN_BEHAVIORS = (
     "ahead",  # one request more on its way than is answered
     "silent",  # connects and says nothing
     "halts",  # in the middle of a request, and stays
 )
 
 
-class Kind(Struct, frozen=True):
+class RequestKind(Struct, frozen=True):
     """One class that is asked for."""
 
     name: str
     left_ms: int
 
 
-class Plan(Struct, frozen=True):
+class ClientPlan(Struct, frozen=True):
     """What clients do."""
 
     ports: list[int]  # of the routers
     host: str
-    kinds: list[Kind]
+    kinds: list[RequestKind]
     accounts: list[str]
     habits: list[str]  # of each router's clients
     pause_s: float = 0.1  # at most, between a client's requests
@@ -132,7 +132,7 @@
         return bool(self._rest)
 
 
-class Visit:
+class ClientConnection:
     """One connection of a client."""
 
     def __init__(self, sock: Any, router: str, slow: bool) -> None:
@@ -263,7 +263,7 @@
             with suppress(OSError):
                 self.sock.shutdown(plain.SHUT_WR)
         elif way == "resets":
-            reset(self.sock)
+            reset_connection(self.sock)
         else:
             self.sock.close()
         if gone:
@@ -286,7 +286,7 @@
 class Client:
     """One client of one router."""
 
-    def __init__(self, crowd: Crowd, router: int, number: int, habit: str) -> None:
+    def __init__(self, crowd: ClientGroup, router: int, number: int, habit: str) -> None:
         self.crowd, self.router, self.habit = crowd, router, habit
         self.name = f"r{router}-{number}"
         self.rng = Random(f"{crowd.plan.seed} {self.name}")
@@ -311,12 +311,12 @@
                 gevent.sleep(RETRY_S)
                 continue
             sock.setsockopt(plain.IPPROTO_TCP, plain.TCP_NODELAY, 1)
-            visit = Visit(sock, f"r{self.router}", self.habit == "slow")
+            visit = ClientConnection(sock, f"r{self.router}", self.habit == "slow")
             self.crowd.visits.append(visit.told)
             self._stay(visit)
             visit.finish()
 
-    def _stay(self, visit: Visit) -> None:
+    def _stay(self, visit: ClientConnection) -> None:
         while visit.lasts and visit.stands() and not self.crowd.stopping.is_set():
             self._turn(visit)
             if self.habit == "ahead" and visit.lasts:
@@ -328,12 +328,12 @@
                 break
         self._read(visit, 0)
 
-    def _read(self, visit: Visit, left: int) -> None:
+    def _read(self, visit: ClientConnection, left: int) -> None:
         """Read answers until so many requests have none yet, or no more will come."""
         while len(visit.unanswered) > left and not visit.told.keys() & {"ended", "closed_at"}:
             visit.read(visit.unanswered.pop(0))
 
-    def _say_nothing(self, visit: Visit) -> None:
+    def _say_nothing(self, visit: ClientConnection) -> None:
         """Nothing, or half a request; then wait for the other side's end."""
         if self.habit == "halts":
             _, raw = self._request()
@@ -341,7 +341,7 @@
                 visit.sock.sendall(raw[: self.rng.randrange(1, len(raw))])
         visit.await_end(self.crowd.stopping)
 
-    def _turn(self, visit: Visit) -> None:
+    def _turn(self, visit: ClientConnection) -> None:
         if self.habit in ("silent", "halts"):
             return self._say_nothing(visit)
         many = self.rng.randint(2, 6) if self.habit == "pipelines" else 1
@@ -367,7 +367,7 @@
         visit.unanswered += asked
         self._read(visit, 1 if self.habit == "ahead" else 0)
 
-    def _send(self, visit: Visit, raw: bytes, asked: list[dict[str, Any]]) -> None:
+    def _send(self, visit: ClientConnection, raw: bytes, asked: list[dict[str, Any]]) -> None:
         visit.sock.settimeout(CONNECT_S)
         if self.habit == "stops" and self.rng.random() < 0.5:
             visit.sock.sendall(raw[: self.rng.randrange(1, len(raw))])
@@ -388,7 +388,7 @@
                 visit.requests += asked
                 visit.sock.sendall(raw)
 
-    def _send_head(self, visit: Visit, raw: bytes) -> bytes:
+    def _send_head(self, visit: ClientConnection, raw: bytes) -> bytes:
         """The head first; what is left to send."""
         head, end, body = raw.partition(b"\r\n\r\n")
         visit.sock.sendall(head + end)
@@ -408,13 +408,13 @@
         prompt = max(1, round(plan.mean_prompt * rng.lognormvariate(0.0, plan.spread)))
         told = {"model": "chat", "stream": True, "q": id}
         if self.habit == "large":
-            told["fill"] = "x" * LARGE
+            told["fill"] = "x" * LARGE_BODY_BYTES
         body = json.dumps(told).encode()
         length = f"Content-Length: {len(body)}"
         if self.habit == "chunked":
             length = "Transfer-Encoding: chunked"
         left = kind.left_ms
-        prefix = f"prefix={HOT},prefix_len={prompt // 2}," if rng.random() < plan.hot else ""
+        prefix = f"prefix={SHARED_PREFIX},prefix_len={prompt // 2}," if rng.random() < plan.hot else ""
         gap = f",lab_gap={rng.choice(plan.gaps_ms):g}" if plan.gaps_ms else ""
         head = (
             f"POST /v1/chat/completions HTTP/1.1\r\nHost: api\r\nX-Correlation-Id: {id}\r\n"
@@ -436,16 +436,16 @@
             "first_at": 0.0,
             "answered_at": 0.0,
             "words": [],
-            "length": EVENTS,
+            "length": EVENTS_PER_ANSWER,
         }
         framed = chunk(body[:9]) + chunk(body[9:]) + b"0\r\n\r\n" if self.habit == "chunked" else body
         return asked, head.encode("latin-1") + b"\r\n" + framed
 
 
-class Crowd:
+class ClientGroup:
     """All clients."""
 
-    def __init__(self, plan: Plan) -> None:
+    def __init__(self, plan: ClientPlan) -> None:
         self.plan = plan
         self.visits: list[dict[str, Any]] = []
         self.away: set[int] = set()
@@ -477,8 +477,8 @@
 
 def main(argv: list[str]) -> None:
     """Ask, and obey."""
-    loopback.most_files()
-    crowd = Crowd(msgspec.json.decode(argv[1], type=Plan))
+    loopback.raise_descriptor_limit()
+    crowd = ClientGroup(msgspec.json.decode(argv[1], type=ClientPlan))
     serve_commands(float(argv[0]), crowd.obey)
 
 
--- a/spoolbarrow/lab/run_report.py
+++ b/spoolbarrow/lab/run_report.py
@@ -9,7 +9,7 @@
 from msgspec import Struct
 
 from spoolbarrow.lab.arrivals import PlannedRequest
-from spoolbarrow.lab.fleet import Planned
+from spoolbarrow.lab.fleet import PlannedTrouble
 from spoolbarrow.lab.scenario import Scenario
 
 WINDOW_S = 5.0
@@ -123,7 +123,7 @@
     ]
 
 
-def build_report(scenario: Scenario, records: list[Record], troubles: list[Planned]) -> dict[str, Any]:
+def build_report(scenario: Scenario, records: list[Record], troubles: list[PlannedTrouble]) -> dict[str, Any]:
     """The figures of a day that its records hold."""
     lead = scenario.lead_ms()
     records = [record for record in records if record.planned.at_ms >= lead]
--- a/spoolbarrow/lab/simulate.py
+++ b/spoolbarrow/lab/simulate.py
@@ -13,8 +13,8 @@
 from time import perf_counter
 from typing import Any
 
-from spoolbarrow.lab.directory import Directory
-from spoolbarrow.lab.fleet import Planned, plan, stream
+from spoolbarrow.lab.simulated_discovery import SimulatedDiscovery
+from spoolbarrow.lab.fleet import PlannedTrouble, plan, random_stream
 from spoolbarrow.lab.kinds import draw
 from spoolbarrow.lab.run_report import build_report
 from spoolbarrow.lab.scenario import Scenario
@@ -38,7 +38,7 @@
         self.plans = plan(scenario, self.stream("troubles"))
         self.broken: dict[str, int] = {}
         self.engines = Machines(self)
-        self.directory = Directory(
+        self.directory = SimulatedDiscovery(
             scenario.discovery, [m.entry() for m in self.engines.by_id.values()], self.stream("discovery")
         )
         self.routers = Nodes(self)
@@ -47,7 +47,7 @@
     def stream(self, name: str) -> Random:
         """Random numbers of one concern, the same whatever the others draw."""
         again = f"{name} {self.replay}" if self.replay and name not in DAY else name
-        return stream(self.seed, again)
+        return random_stream(self.seed, again)
 
     def delay(self, low_high: Any) -> float:
         """A one-way delay, with jitter."""
@@ -96,7 +96,7 @@
 
     # --- troubles
 
-    def _schedule(self, planned: Planned) -> None:
+    def _schedule(self, planned: PlannedTrouble) -> None:
         t = planned.trouble
         begin = self.scenario.lead_ms() + t.begin_s * 1000.0
         end = begin + t.length_s * 1000.0
@@ -120,7 +120,7 @@
                 machines.trouble(machines.first[number], planned, begin, end)
 
     def _down(self, until: float) -> None:
-        for told in self.directory.down(self.clock.now, until):
+        for told in self.directory.fail_until(self.clock.now, until):
             self.clock.at(told.at, self.routers.told, told)
 
     def _stale(self, behind_ms: float) -> None:
--- a/spoolbarrow/lab/directory.py
+++ b/spoolbarrow/lab/simulated_discovery.py
@@ -12,7 +12,7 @@
 from spoolbarrow.lab.scenario import Discovery
 
 
-class Told(NamedTuple):
+class Notification(NamedTuple):
     """What a caller is told, and when."""
 
     at: float
@@ -21,44 +21,44 @@
     entries: tuple[ReplicaEntry, ...]
 
 
-class Directory:
-    """The service: `changed` is what is true, `call` and `due` what callers hear of it."""
+class SimulatedDiscovery:
+    """The service: `record_change` is what is true, `request_list` and `deliver_due` what callers hear of it."""
 
     def __init__(self, shape: Discovery, entries: list[ReplicaEntry], rng: Random) -> None:
         self.shape = shape
         self.rng = rng
-        self.shown = {entry.replica: entry for entry in entries}  # as the service knows it
-        self.coming: deque[tuple[float, ReplicaEntry]] = deque()  # changes it has not noticed yet, in order
+        self.listed = {entry.replica: entry for entry in entries}  # as the service knows it
+        self.pending_changes: deque[tuple[float, ReplicaEntry]] = deque()  # changes it has not noticed yet, in order
         self.watches: set[int] = set()
         self.busy_until = 0.0
         self.down_until = -inf
         self.behind_ms = 0.0  # staleness, a trouble
         self.calls = self.failed = 0
 
-    def changed(self, now: float, entry: ReplicaEntry, silent: bool = False) -> float:
-        """An engine's state is now this; when the service will notice, `due` must be called."""
+    def record_change(self, now: float, entry: ReplicaEntry, silent: bool = False) -> float:
+        """An engine's state is now this; when the service will notice, `deliver_due` must be called."""
         seconds = draw(self.shape.silent_notice_s if silent else self.shape.notice_s, self.rng)
         at = now + seconds * 1000.0 + self.behind_ms
-        if self.coming:
-            at = max(at, self.coming[-1][0])
-        self.coming.append((at, entry))
+        if self.pending_changes:
+            at = max(at, self.pending_changes[-1][0])
+        self.pending_changes.append((at, entry))
         return at
 
-    def due(self, now: float) -> list[Told]:
+    def deliver_due(self, now: float) -> list[Notification]:
         """Notice what is due, and tell those who watch."""
         news: dict[str, ReplicaEntry] = {}
-        while self.coming and self.coming[0][0] <= now:
-            entry = self.coming.popleft()[1]
+        while self.pending_changes and self.pending_changes[0][0] <= now:
+            entry = self.pending_changes.popleft()[1]
             news[entry.replica] = entry
             if entry.state is ReplicaState.GONE:
-                self.shown.pop(entry.replica, None)
+                self.listed.pop(entry.replica, None)
             else:
-                self.shown[entry.replica] = entry
+                self.listed[entry.replica] = entry
         if not news or now < self.down_until:
             return []
         entries = tuple(news.values())
         return [
-            Told(
+            Notification(
                 now + draw(self.shape.spread_ms, self.rng) * self.rng.random(),
                 caller,
                 ListKind.CHANGES,
@@ -67,33 +67,33 @@
             for caller in sorted(self.watches)
         ]
 
-    def call(self, now: float, caller: int) -> Told:
+    def request_list(self, now: float, caller: int) -> Notification:
         """A router asks for the list and a watch on it; the watch begins when it is told."""
         self.calls += 1
         self.watches.discard(caller)
         if now < self.down_until:
             self.failed += 1
-            return Told(now + 1.0, caller, ListKind.FAILED, ())
+            return Notification(now + 1.0, caller, ListKind.FAILED, ())
         begin = max(now, self.busy_until)
         if begin - now > self.shape.timeout_ms:
             self.failed += 1
-            return Told(now + self.shape.timeout_ms, caller, ListKind.FAILED, ())
-        self.busy_until = begin + self.shape.call_ms + self.shape.line_ms * len(self.shown)
+            return Notification(now + self.shape.timeout_ms, caller, ListKind.FAILED, ())
+        self.busy_until = begin + self.shape.call_ms + self.shape.line_ms * len(self.listed)
         self.watches.add(caller)
-        return Told(self.busy_until, caller, ListKind.WHOLE, ())
+        return Notification(self.busy_until, caller, ListKind.WHOLE, ())
 
-    def whole(self) -> tuple[ReplicaEntry, ...]:
+    def full_list(self) -> tuple[ReplicaEntry, ...]:
         """The list as the service shows it now."""
-        return tuple(self.shown.values())
+        return tuple(self.listed.values())
 
-    def down(self, now: float, until: float) -> list[Told]:
+    def fail_until(self, now: float, until: float) -> list[Notification]:
         """The service goes down: calls fail and watches end."""
         self.down_until = until
         self.busy_until = min(self.busy_until, now)
-        cut = [Told(now, caller, ListKind.FAILED, ()) for caller in sorted(self.watches)]
+        cut = [Notification(now, caller, ListKind.FAILED, ()) for caller in sorted(self.watches)]
         self.watches.clear()
         return cut
 
-    def leave(self, caller: int) -> None:
+    def remove_caller(self, caller: int) -> None:
         """A router died."""
         self.watches.discard(caller)
--- a/spoolbarrow/lab/simulated_engines.py
+++ b/spoolbarrow/lab/simulated_engines.py
@@ -13,7 +13,7 @@
 from spoolbarrow import interface as i
 from spoolbarrow.lab.arrivals import PlannedRequest
 from spoolbarrow.lab.engine import Engine, EngineRequest, EventKind, SubmitResult
-from spoolbarrow.lab.fleet import Planned, Spec, fleet, moves
+from spoolbarrow.lab.fleet import PlannedTrouble, EngineSpec, fleet, engine_actions
 from spoolbarrow.lab.run_report import Record, work_report
 from spoolbarrow.lab.simulation_state import Flight, Machine, Node, SimulationContext
 
@@ -44,7 +44,7 @@
             "put": setattr,
         }
 
-    def _engine(self, spec: Spec, now: float, cold: bool) -> Engine:
+    def _engine(self, spec: EngineSpec, now: float, cold: bool) -> Engine:
         return Engine(spec.figures, Random(self.rng.random()), now, cold)
 
     # --- attempts and probes on the way
@@ -206,11 +206,11 @@
 
     # --- troubles
 
-    def trouble(self, machine: Machine, planned: Planned, begin: float, end: float) -> None:
+    def trouble(self, machine: Machine, planned: PlannedTrouble, begin: float, end: float) -> None:
         """Schedule what hits one engine."""
         # What is left of a trickling stream then comes at once.
         machine.trickle_end = end if planned.trouble.name == "trickle" else machine.trickle_end
-        for at, move, told in moves(planned, machine.spec.figures, self.rng, begin):
+        for at, move, told in engine_actions(planned, machine.spec.figures, self.rng, begin):
             self.clock.at(at, self.moves[move], machine, *told)
 
     def _stall(self, machine: Machine, until: float) -> None:
@@ -230,11 +230,11 @@
             machine.cut[number] = until
 
     def _change(self, machine: Machine, silent: bool = False) -> None:
-        at = self.sim.directory.changed(self.clock.now, machine.entry(), silent)
+        at = self.sim.directory.record_change(self.clock.now, machine.entry(), silent)
         self.clock.at(at, self._noticed)
 
     def _noticed(self) -> None:
-        for told in self.sim.directory.due(self.clock.now):
+        for told in self.sim.directory.deliver_due(self.clock.now):
             self.clock.at(told.at, self.sim.routers.told, told)
 
     def _drain(self, machine: Machine) -> None:
--- a/spoolbarrow/lab/simulated_routers.py
+++ b/spoolbarrow/lab/simulated_routers.py
@@ -8,7 +8,7 @@
 from time import perf_counter_ns
 
 from spoolbarrow import interface as i
-from spoolbarrow.lab.directory import Told
+from spoolbarrow.lab.simulated_discovery import Notification
 from spoolbarrow.lab.policies import POLICIES
 from spoolbarrow.lab.simulation_state import ROUTER_UP_DELAY_MS, Call, Flight, Node, Open, SimulationContext
 
@@ -26,7 +26,7 @@
     def begin(self) -> None:
         """Start all, each with the list as it is."""
         for node in self.all:
-            node.list = dict(self.sim.directory.shown)
+            node.list = dict(self.sim.directory.listed)
             self._start(node)
 
     def _start(self, node: Node) -> None:
@@ -55,7 +55,7 @@
             self.sim.clients.cut_off(open.call)
             del self.sim.clients.calls[open.id]
         node.opens.clear()
-        self.sim.directory.leave(node.number)
+        self.sim.directory.remove_caller(node.number)
         self.sim.clients.died(node)
 
     def drain(self, node: Node, grace_ms: float) -> None:
@@ -101,14 +101,14 @@
                 assert isinstance(action, (i.Refuse, i.Fail))
                 self._answer(node, action)
             else:
-                told = self.sim.directory.call(now, node.number)
+                told = self.sim.directory.request_list(now, node.number)
                 self.clock.at(told.at, self.told, told, node.life)
 
     def _fire(self, node: Node, life: int, token: str) -> None:
         if node.life == life:
             self.feed(node, [i.TimerFired(token)])
 
-    def told(self, told: Told, life: int = -1) -> None:
+    def told(self, told: Notification, life: int = -1) -> None:
         """Discovery speaks to a router."""
         node = self.all[told.caller]
         if node.policy is None or (life >= 0 and life != node.life):
@@ -118,7 +118,7 @@
             if node.number not in self.sim.directory.watches:
                 kind = i.ListKind.FAILED  # it went down while the call waited
             else:
-                entries = self.sim.directory.whole()
+                entries = self.sim.directory.full_list()
                 for gone in set(node.list) - {e.replica for e in entries}:
                     del node.list[gone]
                     node.away.setdefault(gone, self.clock.now)
--- a/spoolbarrow/lab/simulation_state.py
+++ b/spoolbarrow/lab/simulation_state.py
@@ -13,9 +13,9 @@
 
 from spoolbarrow import interface as i
 from spoolbarrow.lab.arrivals import PlannedRequest
-from spoolbarrow.lab.directory import Directory, Told
+from spoolbarrow.lab.simulated_discovery import SimulatedDiscovery, Notification
 from spoolbarrow.lab.engine import Engine
-from spoolbarrow.lab.fleet import Planned, Spec
+from spoolbarrow.lab.fleet import PlannedTrouble, EngineSpec
 from spoolbarrow.lab.policies import EngineOracle, RoutingPolicy
 from spoolbarrow.lab.run_report import Record
 from spoolbarrow.lab.scenario import Scenario
@@ -32,7 +32,7 @@
         "spoilt", "trickle", "trickle_end", "flights", "armed", "started_at",
     )  # fmt: skip
 
-    def __init__(self, spec: Spec, name: str, engine: Engine) -> None:
+    def __init__(self, spec: EngineSpec, name: str, engine: Engine) -> None:
         self.spec = spec
         self.id = name
         self.engine = engine
@@ -135,7 +135,7 @@
 
     all: list[Node]
 
-    def told(self, told: Told, life: int = -1) -> None:
+    def told(self, told: Notification, life: int = -1) -> None:
         """Discovery speaks to a router."""
 
     def started(self, flight: Flight) -> None:
@@ -195,8 +195,8 @@
     scenario: Scenario
     policy: str
     clock: Clock
-    plans: list[Planned]
-    directory: Directory
+    plans: list[PlannedTrouble]
+    directory: SimulatedDiscovery
 
     @property
     def engines(self) -> SimulatedEngines:
--- a/spoolbarrow/lab/slow_start_exposure.py
+++ b/spoolbarrow/lab/slow_start_exposure.py
@@ -13,7 +13,7 @@
 from typing import NamedTuple
 
 from spoolbarrow.interface import ListKind, ReplicaEntry, ReplicaList, RequestArrived, RequestClass, Settings
-from spoolbarrow.lab.cold import bears
+from spoolbarrow.lab.cold_engine import tolerated_requests
 from spoolbarrow.lab.scenario import ScenarioError
 from spoolbarrow.router import ClassStats, ReplicaPool, Request
 
@@ -176,7 +176,7 @@
                 sums[name] -= gone
                 told[name] -= gone * by_told
             budget = rule.overload_factor * grown * traffic.capacity * traffic.per_engine_s * span / 1000.0
-            share = sums[name] / bears(budget)
+            share = sums[name] / tolerated_requests(budget)
             if share > 1.0 >= worst[name]:  # the first fall
                 broke[name] = told[name] > TOLD * sums[name]
             worst[name] = max(worst[name], share)
--- a/spoolbarrow/lab/slow_start_load.py
+++ b/spoolbarrow/lab/slow_start_load.py
@@ -15,7 +15,7 @@
 from msgspec.structs import replace
 
 from spoolbarrow import interface as i
-from spoolbarrow.lab.cold import Cold, Figures, bears
+from spoolbarrow.lab.cold_engine import ColdEngine, ColdEngineParameters, tolerated_requests
 from spoolbarrow.lab.virtual_time import Clock
 from spoolbarrow.router import Router
 
@@ -100,10 +100,10 @@
 class Engine:
     """One engine: its work in turn, and what it took while it was cold."""
 
-    def __init__(self, name: str, kind: int, figures: Figures, started_at: float, cold: bool) -> None:
+    def __init__(self, name: str, kind: int, figures: ColdEngineParameters, started_at: float, cold: bool) -> None:
         self.name, self.kind, self.started_at = name, kind, started_at
         self.zone = 0
-        self.machine = Cold(figures, started_at, cold)
+        self.machine = ColdEngine(figures, started_at, cold)
         self.hung = False
         self.taken: deque[tuple[float, float]] = deque()
         self.span_work = self.work = self.worst = self.worst_budgets = self.worst_at = 0.0
@@ -117,9 +117,9 @@
         self.span_work, self.work = self.span_work + work, self.work + work
         while self.taken[0][0] <= now - figures.tip_after_ms:
             self.span_work -= self.taken.popleft()[1]
-        able = figures.per_s * self.machine.ramp(now) * figures.tip_after_ms / 1000.0
+        able = figures.per_s * self.machine.capacity_share(now) * figures.tip_after_ms / 1000.0
         budget = figures.overload_factor * able
-        share = self.span_work / bears(budget)
+        share = self.span_work / tolerated_requests(budget)
         if share > self.worst:
             self.worst, self.worst_at = share, now - self.started_at
             self.worst_budgets = self.span_work / budget
@@ -195,7 +195,7 @@
         if engine is None:
             return self.end(one, number, i.Outcome.UNREACHABLE)
         engine.arrives(now, one.asked.work)
-        done = engine.machine.take(now, one.asked.work)
+        done = engine.machine.accept(now, one.asked.work)
         if done is None:
             return self.end(one, number, i.Outcome.FULL)
         world.clock.at(done, self._started, one, number, engine)
@@ -221,7 +221,7 @@
         if engine is None or engine.hung:
             answer = i.ProbeAnswered(replica, i.Outcome.TIMEOUT, PROBE_TIMEOUT_MS)
             return world.clock.at(now + PROBE_TIMEOUT_MS, self.feed, answer)
-        waiting = engine.machine.waiting(now)
+        waiting = engine.machine.queue_length(now)
         memory = min(1.0, waiting / engine.machine.figures.waiting)
         unread = float(waiting * MEAN_PROMPT_TOKENS)
         report = i.Report(memory, unread) if world.case.reports else None
@@ -249,7 +249,7 @@
     def _engine(self, name: str, number: int, started_at: float, cold: bool) -> Engine:
         case, rule = self.case, self.case.settings
         kind = number % len(case.speeds)
-        figures = Figures(
+        figures = ColdEngineParameters(
             per_s=case.per_s * case.speeds[kind],
             cold_from=rule.cold_from,
             cold_ms=rule.cold_ms,
--- a/spoolbarrow/lab/sockets.py
+++ b/spoolbarrow/lab/socket_run.py
@@ -16,20 +16,20 @@
 from gevent import socket, subprocess
 
 from spoolbarrow.lab.emulator import Emulator, planned_troubles
-from spoolbarrow.lab.fleet import ROUTERS, plan, stream
+from spoolbarrow.lab.fleet import ROUTER_TROUBLES, plan, random_stream
 from spoolbarrow.lab.kinds import draw
 from spoolbarrow.lab.load import LoadGenerator
 from spoolbarrow.lab.run_report import build_report, work_report
 from spoolbarrow.lab.scenario import Scenario
 from spoolbarrow.lab.simulation_state import ROUTER_UP_DELAY_MS
-from spoolbarrow.lab.wire import HOST
+from spoolbarrow.lab.wire_engine import HOST
 from spoolbarrow.net import http1
 
 START_S = 20.0
 SLACK_MS = 50.0  # for what is on its way
 
 
-def configuration(scenario: Scenario, number: int, port: int, discovery: str, seed: int) -> dict[str, Any]:
+def router_config(scenario: Scenario, number: int, port: int, discovery: str, seed: int) -> dict[str, Any]:
     """A router's configuration file."""
     told, lim = scenario.settings(number), scenario.limits
     classes = [
@@ -83,7 +83,7 @@
         "name": f"n{number}",
         "listen": f"{HOST}:{port}",
         "discovery": discovery,
-        "seed": f"{stream(seed, f'router {number}').getrandbits(32):x}",
+        "seed": f"{random_stream(seed, f'router {number}').getrandbits(32):x}",
         "settings": settings,
     }
 
@@ -96,7 +96,7 @@
         return port
 
 
-class Routers:
+class RouterProcesses:
     """The real program, one process for each router."""
 
     def __init__(self, scenario: Scenario, seed: int, discovery: list[str], directory: Path) -> None:
@@ -104,7 +104,7 @@
         self.ports = [free_port() for _ in range(scenario.routers)]
         self.running: list[Any] = [None] * scenario.routers
         for n, port in enumerate(self.ports):
-            raw = configuration(scenario, n, port, discovery[n], seed)
+            raw = router_config(scenario, n, port, discovery[n], seed)
             (directory / f"router{n}.json").write_bytes(msgspec.json.encode(raw))
             self.start(n)
 
@@ -157,7 +157,7 @@
         return [one.returncode for one in self.running]
 
 
-def play(
+def run_on_sockets(
     scenario: Scenario,
     seed: int,
     processes: int = 2,
@@ -169,7 +169,7 @@
     The routers' configurations and logs go into `directory`, or are thrown away.
     """
     with tempfile.TemporaryDirectory() as scratch, Emulator(scenario, seed, processes) as fleet:
-        routers = Routers(scenario, seed, fleet.discovery.addresses, directory or Path(scratch))
+        routers = RouterProcesses(scenario, seed, fleet.discovery.addresses, directory or Path(scratch))
         try:
             routers.wait()
             targets = [(HOST, port) for port in routers.ports]
@@ -185,12 +185,12 @@
                 deaths.kill()
         finally:
             statuses = routers.stop()
-    plans = plan(scenario, stream(seed, "troubles"))
+    plans = plan(scenario, random_stream(seed, "troubles"))
     told = build_report(scenario, records, plans)
     engines = fleet.figures
     work = sum(one["work"] for one in engines)
     broken = {"a router crashed": sum(status != 0 for status in statuses)}
-    if not any(one.trouble.name in ROUTERS for one in plans):
+    if not any(one.trouble.name in ROUTER_TROUBLES for one in plans):
         # Where a router dies, what it had goes unanswered: that is the trouble, and breaks no rule.
         broken["1: no answer by the deadline"] = figures["unanswered"]
     broken["3: sent to what drains or is gone"] = fleet.late_sends(scenario.limits.drain_grace_ms + SLACK_MS)
@@ -207,9 +207,9 @@
     }
 
 
-def _deaths(scenario: Scenario, seed: int, fleet: Emulator, routers: Routers, load: LoadGenerator) -> None:
+def _deaths(scenario: Scenario, seed: int, fleet: Emulator, routers: RouterProcesses, load: LoadGenerator) -> None:
     """Kill and start routers as the day has it, and let the front notice late."""
-    rng = stream(seed, "front")
+    rng = random_stream(seed, "front")
     steps: list[tuple[float, str, int]] = []
     for planned in planned_troubles(scenario, seed):
         t = planned.trouble
@@ -223,7 +223,7 @@
                 when = t.begin_s + turn * (planned.size + t.length_s)
                 steps += [(when, "drain", n), (when + ROUTER_UP_DELAY_MS / 1000.0, "look", n)]
                 steps += [(when + planned.size, "kill", n), (when + planned.size, "start", n)]
-    front = Front(routers, load)
+    front = FrontBalancer(routers, load)
     for at_s, what, n in sorted(steps, key=lambda step: step[0]):
         gevent.sleep(max(0.0, at_s - fleet.clock.now() / 1000.0))
         if what == "drain":
@@ -239,10 +239,10 @@
             gevent.spawn(front.take_in, n)
 
 
-class Front:
+class FrontBalancer:
     """Which routers the layer before them believes in."""
 
-    def __init__(self, routers: Routers, load: LoadGenerator) -> None:
+    def __init__(self, routers: RouterProcesses, load: LoadGenerator) -> None:
         self.routers, self.load = routers, load
         self.dead: set[int] = set()
 
--- a/spoolbarrow/lab/standin.py
+++ b/spoolbarrow/lab/standin.py
@@ -2,7 +2,7 @@
 
     python -m spoolbarrow.lab.standin SECONDS COUNT [FIGURES]     prints the engines' ports, then obeys
 
-FIGURES (JSON, `cold.Figures`) gives them a capacity, a bound on connections, and a fall. Lines on standard
+FIGURES (JSON, `cold_engine.ColdEngineParameters`) gives them a capacity, a bound on connections, and a fall. Lines on standard
 input: `ENGINES MODE [VALUE]`, the engines by index (`0,3,4`, or `*`), the mode `well`, `error` (500), `full`
 (503, unprocessed, with VALUE as `Retry-After`), `slow MS` (to the first event), `asked` (as each
 request's `X-Facts` say: `lab_first` ms to the first event, then `max_out` tokens `lab_pace` ms apart, and a
@@ -27,20 +27,20 @@
 import msgspec
 
 from spoolbarrow.lab import loopback
-from spoolbarrow.lab.cold import Cold, Figures
+from spoolbarrow.lab.cold_engine import ColdEngine, ColdEngineParameters
 from spoolbarrow.lab.line_commands import serve_commands
-from spoolbarrow.lab.wire import EVENT, HEAD, PLAIN, RESET, USAGE, chunk, facts
+from spoolbarrow.lab.wire_engine import EVENT_TEMPLATE, STREAM_HEAD, PLAIN_RESPONSE, LINGER_RESET, USAGE_TEMPLATE, chunk, parse_facts
 from spoolbarrow.net.http1 import RequestParser
 
-EVENTS, GAP_S = 4, 0.02  # of an answer, and between them
+EVENTS_PER_ANSWER, EVENT_GAP_S = 4, 0.02  # of an answer, and between them
 # Values that each may have.
 MODES = {"well": 0, "error": 0, "full": 1, "slow": 1, "asked": 0, "down": 0, "restart": 0}
-MOST_SECONDS = 900  # that are counted one by one; what comes later counts in the last
+MAX_COUNTED_SECONDS = 900  # that are counted one by one; what comes later counts in the last
 KINDS = ("handshakes", "probes", "work")
-CALM = b"x1=0,load_share=0.1,x0=0.1"
+IDLE_LOAD_REPORT = b"x1=0,load_share=0.1,x0=0.1"
 
 
-def converse(sock: Any, answer: Callable[[Any, Any], None]) -> None:
+def serve_connection(sock: Any, answer: Callable[[Any, Any], None]) -> None:
     """Answer each request on a connection."""
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     parser = RequestParser(16_384, 262_144)
@@ -55,14 +55,14 @@
         sock.close()
 
 
-def reset(sock: Any) -> None:
+def reset_connection(sock: Any) -> None:
     """End a connection so that its other side hears of it."""
     with suppress(OSError):
-        sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
     sock.close()
 
 
-class Door:
+class FaultListener:
     """A listener at all loopback addresses that can be shut and opened again, and its connections."""
 
     def __init__(self, serve: Callable[[Any, str], None], admit: Callable[[str], bool]) -> None:
@@ -80,7 +80,7 @@
                 self.open[sock] = router
                 gevent.spawn(self._run, sock, router)
             else:
-                reset(sock)
+                reset_connection(sock)
 
     def _run(self, sock: Any, router: str) -> None:
         try:
@@ -94,9 +94,9 @@
         for sock, router in list(self.open.items()):
             if not of or router == of:
                 self.open.pop(sock, None)
-                reset(sock)
+                reset_connection(sock)
 
-    def shut(self) -> None:
+    def close(self) -> None:
         """Refuse connections from now on, and end those that are open."""
         if self._listener is not None:
             self._accepting.kill()
@@ -104,20 +104,20 @@
             self._listener = None
         self.reset()
 
-    def unlock(self) -> None:
+    def reopen(self) -> None:
         """Take connections again; OSError where the port was taken meanwhile."""
         if self._listener is None:
             self._listener = loopback.listen(self.port)
             self._accepting = gevent.spawn(self._accept)
 
 
-class Standin:
+class StandinEngine:
     """One engine."""
 
-    def __init__(self, figures: Figures | None = None) -> None:
+    def __init__(self, figures: ColdEngineParameters | None = None) -> None:
         self.figures = figures
         self.mode, self.value = "well", 0.0
-        self.cold = None if figures is None else Cold(figures, self._now(), cold=False)
+        self.cold = None if figures is None else ColdEngine(figures, self._now(), cold=False)
         self.incarnation = 0
         self.fallen = False
         self.falls = self.refused = self.full = 0
@@ -126,7 +126,7 @@
         self.seconds: dict[str, dict[int, float]] = {kind: defaultdict(float) for kind in KINDS}
         self.last: dict[str, float] = {}  # when each router's last request came, Unix s
         self.begun = time.monotonic()
-        self.door = Door(self._converse, self._admits)
+        self.listener = FaultListener(self._converse, self._admits)
 
     def _now(self) -> float:
         return time.monotonic() * 1000.0
@@ -141,9 +141,9 @@
         self.by[kind][router] += much
         if kind == "work":
             self.last[router] = time.time()
-        self.seconds[kind][min(int(time.monotonic() - self.begun), MOST_SECONDS)] += much
+        self.seconds[kind][min(int(time.monotonic() - self.begun), MAX_COUNTED_SECONDS)] += much
 
-    def told(self) -> dict[str, Any]:
+    def report_counts(self) -> dict[str, Any]:
         """What it was sent."""
         return {
             "asked": self.asked,
@@ -155,11 +155,11 @@
             "refused": self.refused,
             "full": self.full,
             "incarnation": self.incarnation,
-            "connections": len(self.door.open),
+            "connections": len(self.listener.open),
             "last": self.last,
         }
 
-    def set(self, words: list[str]) -> str:
+    def set_mode(self, words: list[str]) -> str:
         """Go by `MODE [VALUE]`; the answer to whoever said so."""
         if not words or words[0] not in MODES or len(words) > 1 + MODES[words[0]]:
             return f"error: want one of {', '.join(MODES)}"
@@ -171,81 +171,81 @@
             return self._restart()
         self.mode, self.value = words[0], value
         if self.mode == "down":
-            self.door.shut()
+            self.listener.close()
         elif not self.fallen:
-            self.door.unlock()
+            self.listener.reopen()
         return "ok"
 
     def _restart(self) -> str:
-        self.door.shut()
+        self.listener.close()
         self.incarnation += 1
         self.mode, self.fallen = "well", False
         if self.figures is not None:
-            self.cold = Cold(self.figures, self._now())
-        self.door.unlock()
+            self.cold = ColdEngine(self.figures, self._now())
+        self.listener.reopen()
         return f"{time.time() * 1000.0:.0f}"
 
     def _admits(self, router: str) -> bool:
         self._count("handshakes", router)
-        room = self.figures is None or len(self.door.open) < self.figures.connections
+        room = self.figures is None or len(self.listener.open) < self.figures.connections
         self.refused += not room
         return room
 
     def _converse(self, sock: Any, router: str) -> None:
-        converse(sock, lambda sock, message: self.answer(sock, message, router))
+        serve_connection(sock, lambda sock, message: self.answer(sock, message, router))
 
     def answer(self, sock: Any, message: Any, router: str) -> None:
         """One request, or a probe."""
         if self.fallen:
-            return reset(sock)  # it was read in the moment of the fall
+            return reset_connection(sock)  # it was read in the moment of the fall
         if message.method == b"GET":
             self._count("probes", router)
-            report = CALM if self.cold is None else self._report(self.cold)
-            sock.sendall(PLAIN % (b"200 OK", b"", len(report), report))
+            report = IDLE_LOAD_REPORT if self.cold is None else self._report(self.cold)
+            sock.sendall(PLAIN_RESPONSE % (b"200 OK", b"", len(report), report))
             return
         self.asked[message.fields.get(b"x-correlation-id", b"").partition(b"-")[0].decode("latin-1")] += 1
         work, done = 1.0, self._now()
         if self.cold is not None:
-            work = float(facts(message).get("prompt_len", 0)) / self.cold.figures.mean_prompt or 1.0
+            work = float(parse_facts(message).get("prompt_len", 0)) / self.cold.figures.mean_prompt or 1.0
         self._count("work", router, work)
         if self.mode == "error":
-            sock.sendall(PLAIN % (b"500 Internal Server Error", b"", 0, b""))
+            sock.sendall(PLAIN_RESPONSE % (b"500 Internal Server Error", b"", 0, b""))
             return
-        if self.cold is not None and self.cold.falls(done, work):
+        if self.cold is not None and self.cold.overloads(done, work):
             self.fallen, self.falls = True, self.falls + 1
-            return self.door.shut()
-        taken = done if self.cold is None else self.cold.take(done, work)
+            return self.listener.close()
+        taken = done if self.cold is None else self.cold.accept(done, work)
         if self.mode == "full" or taken is None:
             self.full += 1
             later = b"Retry-After: %g\r\n" % self.value if self.value else b""
-            sock.sendall(PLAIN % (b"503 Service Unavailable", b"X-Unprocessed: 1\r\n" + later, 0, b""))
+            sock.sendall(PLAIN_RESPONSE % (b"503 Service Unavailable", b"X-Unprocessed: 1\r\n" + later, 0, b""))
             return
         late = self.value if self.mode == "slow" else 0.0
-        gap_s, end = GAP_S, b""
+        gap_s, end = EVENT_GAP_S, b""
         if self.mode == "asked":
-            told = facts(message)
+            told = parse_facts(message)
             late, tokens = float(told["lab_first"]), int(told["max_out"])
-            gap_s = float(told["lab_pace"]) * (tokens - 1) / (EVENTS - 1) / 1000.0
-            end = chunk(USAGE % (int(told["prompt_len"]), tokens, 0))
+            gap_s = float(told["lab_pace"]) * (tokens - 1) / (EVENTS_PER_ANSWER - 1) / 1000.0
+            end = chunk(USAGE_TEMPLATE % (int(told["prompt_len"]), tokens, 0))
         if taken + late > done:
             gevent.sleep((taken + late - done) / 1000.0)
-        event = EVENT % (b"word", b"null")
-        sock.sendall(HEAD + chunk(event))
-        for _ in range(EVENTS - 1):
+        event = EVENT_TEMPLATE % (b"word", b"null")
+        sock.sendall(STREAM_HEAD + chunk(event))
+        for _ in range(EVENTS_PER_ANSWER - 1):
             gevent.sleep(gap_s)
             sock.sendall(chunk(event))
         sock.sendall(end + chunk(b"data: [DONE]\n\n") + b"0\r\n\r\n")
 
-    def _report(self, cold: Cold) -> bytes:
-        waiting = cold.waiting(self._now())
+    def _report(self, cold: ColdEngine) -> bytes:
+        waiting = cold.queue_length(self._now())
         share = waiting / cold.figures.waiting
         return b"x1=%g,load_share=%g,x0=%g" % (waiting * cold.figures.mean_prompt / 1000.0, share, share)
 
 
-def obey(made: list[Standin], line: str) -> str:
+def handle_command(made: list[StandinEngine], line: str) -> str:
     """Carry out one line of standard input; its answer."""
     if line == "counts":
-        return json.dumps([one.told() for one in made])
+        return json.dumps([one.report_counts() for one in made])
     if line == "mark":
         for one in made:
             one.mark()
@@ -255,18 +255,18 @@
     if not all(one.isdigit() and int(one) < len(made) for one in chosen):
         return f"error: no engine {named}"
     try:
-        return [made[int(one)].set(words) for one in chosen][-1]
+        return [made[int(one)].set_mode(words) for one in chosen][-1]
     except OSError as error:
         return f"error: {error}"
 
 
 def main(argv: list[str]) -> None:
     """Serve the engines, and obey."""
-    loopback.most_files()
-    figures = msgspec.json.decode(argv[2], type=Figures) if len(argv) > 2 else None
-    made = [Standin(figures) for _ in range(int(argv[1]))]
-    print(*[one.door.port for one in made], flush=True)
-    serve_commands(float(argv[0]), lambda line: obey(made, line))
+    loopback.raise_descriptor_limit()
+    figures = msgspec.json.decode(argv[2], type=ColdEngineParameters) if len(argv) > 2 else None
+    made = [StandinEngine(figures) for _ in range(int(argv[1]))]
+    print(*[one.listener.port for one in made], flush=True)
+    serve_commands(float(argv[0]), lambda line: handle_command(made, line))
 
 
 if __name__ == "__main__":
--- a/spoolbarrow/lab/followed.py
+++ b/spoolbarrow/lab/store_following_cluster.py
@@ -14,10 +14,10 @@
 
 from spoolbarrow.agree import digest
 from spoolbarrow.fleet.documents import SUSPENSIONS_KEY
-from spoolbarrow.lab.cluster import HOST, LIFE_S, Cluster, Process
+from spoolbarrow.lab.cluster import HOST, STANDIN_LIFETIME_S, Cluster, Process
 
 
-class Followed(Cluster):
+class StoreFollowingCluster(Cluster):
     """`operator` ends with the table `[fleet]`, without its members; `controls` are their addresses.
 
     Where it waits for routers it does so for `bound_s` at most, unless it is told otherwise. `options` as of
@@ -38,14 +38,14 @@
         super().__init__(folder, {"a": engines}, ["a"] * routers, self._told, **options)
         self._text, self._asked = operator, list(controls)
         targets = self._asked * routers
-        self.calls = Process("-m", "spoolbarrow.lab.proxy", str(LIFE_S), *targets, stdin=True)
-        self.started.append(self.calls)
-        self.doors = self.calls.first_said().split()
+        self.store_proxy = Process("-m", "spoolbarrow.lab.fault_proxy", str(STANDIN_LIFETIME_S), *targets, stdin=True)
+        self.processes.append(self.store_proxy)
+        self.store_gate_ports = self.store_proxy.first_output_line().split()
 
     def _told(self, _: Cluster, number: int) -> str:
         """A router's file: it knows the members by gates of its own."""
         count = len(self._asked)
-        members = [f"{HOST}:{port}" for port in self.doors[count * number : count * (number + 1)]]
+        members = [f"{HOST}:{port}" for port in self.store_gate_ports[count * number : count * (number + 1)]]
         return self._text + f"members = {json.dumps(members)}\n"
 
     def restart_router(self, number: int) -> None:
@@ -53,44 +53,44 @@
         self.routers[number] = made = self.start_router(number)
         made.wait_for(lambda: bool(made.events("started")))
 
-    def to_store(
+    def set_store_fault(
         self, mode: str, routers: Iterable[int] | None = None, members: Iterable[int] | None = None
     ) -> None:
         """A fault between these routers and these members, all where none are named."""
         count = len(self._asked)
         chosen = list(range(count) if members is None else members)
         numbers = range(len(self.ports)) if routers is None else routers
-        self.calls.tell(f"{','.join(str(count * n + m) for n in numbers for m in chosen)} {mode}")
+        self.store_proxy.send_command(f"{','.join(str(count * n + m) for n in numbers for m in chosen)} {mode}")
 
-    def acts(self, number: int, item: str) -> tuple[int, str]:
+    def applied_version(self, number: int, item: str) -> tuple[int, str]:
         """Number and digest of what a router acts on; (0, "") for nothing."""
         told = self.control(number, "versions")["versions"].get(item)
         return (told["number"], told["digest"]) if told else (0, "")
 
-    def fleet(self, number: int) -> dict[str, Any]:
+    def fleet_status(self, number: int) -> dict[str, Any]:
         """What a router tells of the store."""
         told: dict[str, Any] = self.control(number, "versions")["fleet"]
         return told
 
-    def part(self, number: int, kind: str = "roll") -> dict[str, Any]:
+    def part_status(self, number: int, kind: str = "roll") -> dict[str, Any]:
         """What a router tells of a part of the fleet."""
-        told: dict[str, Any] = self.fleet(number)["parts"][kind]
+        told: dict[str, Any] = self.fleet_status(number)["parts"][kind]
         return told
 
-    def mode(self, number: int, key: str = SUSPENSIONS_KEY) -> str:
+    def document_mode(self, number: int, key: str = SUSPENSIONS_KEY) -> str:
         """By what a router goes about a shared document."""
-        return str(self.fleet(number)["documents"][key]["mode"])
+        return str(self.fleet_status(number)["documents"][key]["mode"])
 
-    def holder(self, kind: str = "roll") -> int:
+    def lease_holder(self, kind: str = "roll") -> int:
         """The router that holds a part's lease, as it says itself."""
-        found: list[int] = until(
-            lambda: [n for n in range(len(self.ports)) if self.part(n, kind)["holds"]], self.bound_s
+        found: list[int] = poll_until(
+            lambda: [n for n in range(len(self.ports)) if self.part_status(n, kind)["holds"]], self.bound_s
         )
         return found[0]
 
-    def epoch(self, number: int, kind: str = "roll") -> int:
+    def decision_epoch(self, number: int, kind: str = "roll") -> int:
         """Of the decision of a part that a router acts on; 0 for none."""
-        return int(self.part(number, kind)["epoch"] or 0)
+        return int(self.part_status(number, kind)["epoch"] or 0)
 
     def wait_suspended(
         self, revision: int, *engines: str, routers: Iterable[int] | None = None, seconds: float = 0.0
@@ -98,26 +98,26 @@
         """Until these routers act on that version of the suspensions, and suspend these engines."""
         numbers = list(range(len(self.ports)) if routers is None else routers)
         wanted = {(revision, digest(sorted(engines)))}
-        until(lambda: {self.acts(n, SUSPENSIONS_KEY) for n in numbers} == wanted, seconds or self.bound_s)
+        poll_until(lambda: {self.applied_version(n, SUSPENSIONS_KEY) for n in numbers} == wanted, seconds or self.bound_s)
 
-    def wait_called(self, names: Sequence[str], routers: Iterable[int] | None = None) -> None:
+    def wait_for_roll(self, names: Sequence[str], routers: Iterable[int] | None = None) -> None:
         """Until these routers act on one decision of the roll, which names these."""
         numbers, wanted = list(range(len(self.ports)) if routers is None else routers), list(names)
-        until(
+        poll_until(
             lambda: (
-                all(self.part(n)["routers"] == wanted for n in numbers)
-                and len({self.acts(n, "fleet/roll") for n in numbers}) == 1
+                all(self.part_status(n)["routers"] == wanted for n in numbers)
+                and len({self.applied_version(n, "fleet/roll") for n in numbers}) == 1
             ),
             self.bound_s,
         )
 
-    def sent(self, engine: int, router: str = "") -> int:
+    def requests_sent(self, engine: int, router: str = "") -> int:
         """Requests that an engine was sent by one router, or all."""
         asked = self.counts()[engine]["asked"]
         return int(asked.get(router, 0) if router else sum(asked.values()))
 
 
-def until(true: Callable[[], Any], seconds: float = 40.0) -> Any:
+def poll_until(true: Callable[[], Any], seconds: float = 40.0) -> Any:
     """What it gives once that is true; TimeoutError where it never is."""
     end = time.monotonic() + seconds
     while not (found := true()):
@@ -127,6 +127,6 @@
     return found
 
 
-def at_key(key: str, expect: int | None = None) -> str:
+def document_path(key: str, expect: int | None = None) -> str:
     """The path of a document at a member."""
     return f"/v1/store/{quote(key, safe='')}" + ("" if expect is None else f"?expect={expect}")
--- a/spoolbarrow/lab/members.py
+++ b/spoolbarrow/lab/store_members.py
@@ -19,11 +19,11 @@
 from spoolbarrow.cli.http_client import Answer, request_json
 from spoolbarrow.lab.process import LISTEN, Process, free_ports
 
-COUNT = 3
+MEMBER_COUNT = 3
 WAIT_S, LOOK_S = 40.0, 0.03
 
 
-def ask(address: str, method: str, path: str, body: bytes = b"") -> Answer:
+def request_member(address: str, method: str, path: str, body: bytes = b"") -> Answer:
     """What a member answers; status 0 where it does not."""
     try:
         return request_json(address, method, path, body)
@@ -31,29 +31,29 @@
         return Answer(0, {"error": str(error)})
 
 
-class Members:
+class StoreMembers:
     """Members `0..2`, and `fronts[r]`, the addresses at which router `r` reaches their control listeners."""
 
     def __init__(self, folder: Path, routers: int, life_s: float, start: Callable[..., Process]) -> None:
         self.folder, self._start = folder, start
-        free = free_ports(2 * COUNT)
-        self.listens = [f"{LISTEN}:{port}" for port in free[:COUNT]]
-        self.controls = [f"{LISTEN}:{port}" for port in free[COUNT:]]
-        self._pairs = [(a, b) for a in range(COUNT) for b in range(COUNT) if a != b]
+        free = free_ports(2 * MEMBER_COUNT)
+        self.listens = [f"{LISTEN}:{port}" for port in free[:MEMBER_COUNT]]
+        self.controls = [f"{LISTEN}:{port}" for port in free[MEMBER_COUNT:]]
+        self._pairs = [(a, b) for a in range(MEMBER_COUNT) for b in range(MEMBER_COUNT) if a != b]
         targets = [self.listens[b] for _, b in self._pairs]
-        targets += [self.controls[member] for _ in range(routers) for member in range(COUNT)]
-        self.proxy = start("-m", "spoolbarrow.lab.proxy", str(life_s), *targets, stdin=True)
-        gates = [f"127.0.0.1:{port}" for port in self.proxy.first_said().split()]
+        targets += [self.controls[member] for _ in range(routers) for member in range(MEMBER_COUNT)]
+        self.proxy = start("-m", "spoolbarrow.lab.fault_proxy", str(life_s), *targets, stdin=True)
+        gates = [f"127.0.0.1:{port}" for port in self.proxy.first_output_line().split()]
         self._between, rest = gates[: len(self._pairs)], gates[len(self._pairs) :]
-        self.fronts = [rest[COUNT * router : COUNT * (router + 1)] for router in range(routers)]
-        self.processes = [self.start(member) for member in range(COUNT)]
+        self.fronts = [rest[MEMBER_COUNT * router : MEMBER_COUNT * (router + 1)] for router in range(routers)]
+        self.processes = [self.start(member) for member in range(MEMBER_COUNT)]
         for one in self.processes:
             one.wait_for(lambda one=one: bool(one.events("store_started")))  # type: ignore[misc]
 
     def start(self, member: int) -> Process:
         """A process of a member, with the file that it has."""
         named = []
-        for other in range(COUNT):
+        for other in range(MEMBER_COUNT):
             mine = other == member
             where = self.listens[member] if mine else self._between[self._pairs.index((member, other))]
             named += ["--member", f"m{other}={where}"]
@@ -85,7 +85,7 @@
         """It goes on, and does not know that it stood still."""
         self.processes[member].popen.send_signal(signal.SIGCONT)
 
-    def keep(self, member: int) -> None:
+    def save_file_copy(self, member: int) -> None:
         """Lay by the file of a member that has ended, for `restart` with `old`."""
         kept = self.folder / f"kept{member}"
         kept.mkdir(exist_ok=True)
@@ -106,24 +106,24 @@
         """The gates at a member: those to and from the others, or those of these routers."""
         if routers is None:
             return [n for n, pair in enumerate(self._pairs) if member in pair]
-        return [len(self._pairs) + COUNT * router + member for router in routers]
+        return [len(self._pairs) + MEMBER_COUNT * router + member for router in routers]
 
     def fault(self, mode: str, gates: Iterable[int]) -> None:
         """Have the proxy do so at these gates from now on: `drop`, `delay 250`, `pass` ..."""
-        self.proxy.tell(f"{','.join(map(str, gates))} {mode}")
+        self.proxy.send_command(f"{','.join(map(str, gates))} {mode}")
 
     def status(self, member: int) -> dict[str, Any]:
         """What it says of itself."""
-        return ask(self.controls[member], "GET", "/v1/status")[1]
+        return request_member(self.controls[member], "GET", "/v1/status")[1]
 
-    def leader(self, among: Iterable[int] = range(COUNT)) -> int:
+    def leader(self, among: Iterable[int] = range(MEMBER_COUNT)) -> int:
         """A member that leads and that a majority follows; AssertionError where there is none for long."""
         chosen, end = list(among), time.monotonic() + WAIT_S
         while time.monotonic() < end:
             told = {n: self.status(n) for n in chosen}
             for n in chosen:
                 followers = sum(one.get("leader") == f"m{n}" for one in told.values())
-                if told[n].get("role") == "leader" and 2 * followers > COUNT:
+                if told[n].get("role") == "leader" and 2 * followers > MEMBER_COUNT:
                     return n
             time.sleep(LOOK_S)
         raise AssertionError(f"no member of {chosen} leads")
@@ -131,14 +131,14 @@
     def put(self, key: str, value: bytes) -> int:
         """Write a document through whoever leads; its revision, or 0 where none took it."""
         for control in self.controls:
-            code, told = ask(control, "PUT", f"/v1/store/{key}", value)
+            code, told = request_member(control, "PUT", f"/v1/store/{key}", value)
             if code == 200:
                 return int(told["revision"])
         return 0
 
     def get(self, member: int, key: str) -> str | None:
         """A document as a member has it."""
-        code, told = ask(self.controls[member], "GET", f"/v1/store/{key}")
+        code, told = request_member(self.controls[member], "GET", f"/v1/store/{key}")
         return str(told["value"]) if code == 200 else None
 
     def end(self) -> None:
--- a/spoolbarrow/lab/warmup.py
+++ b/spoolbarrow/lab/warmup.py
@@ -4,7 +4,7 @@
 
 from collections import deque
 
-from spoolbarrow.lab.cold import bears
+from spoolbarrow.lab.cold_engine import tolerated_requests
 from spoolbarrow.lab.kinds import EngineParameters
 
 
@@ -44,4 +44,4 @@
             self.taken_tokens -= self.taken.popleft()[1]
         mean = self.taken_tokens / len(self.taken)
         tolerated = f.fall_multiple * self.speed(now) * f.read_rate() * f.fall_ms / mean
-        return len(self.taken) > bears(tolerated)
+        return len(self.taken) > tolerated_requests(tolerated)
--- a/spoolbarrow/lab/wire.py
+++ b/spoolbarrow/lab/wire_engine.py
@@ -21,22 +21,22 @@
 from gevent.queue import Queue
 
 from spoolbarrow.lab.engine import Engine, EngineRequest, EventKind, SubmitResult
-from spoolbarrow.lab.fleet import Planned, Spec, moves
+from spoolbarrow.lab.fleet import PlannedTrouble, EngineSpec, engine_actions
 from spoolbarrow.net.http1 import Message, RequestParser
 
 HOST = "127.0.0.1"
 MAX_HEAD, MAX_BODY = 16_384, 262_144
-LEAP = 4  # tokens an event
+TOKENS_PER_EVENT = 4  # tokens an event
 GRACE_S = 0.05
 UNWANTED_KEPT = 1000  # sends to a draining engine that are told; more than one is a fault already
-HEAD = b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
-PLAIN = b"HTTP/1.1 %s\r\n%sContent-Length: %d\r\n\r\n%s"
-EVENT = b'data: {"choices":[{"index":0,"delta":{"content":"%s"},"finish_reason":%s}]}\n\n'
-USAGE = (
+STREAM_HEAD = b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
+PLAIN_RESPONSE = b"HTTP/1.1 %s\r\n%sContent-Length: %d\r\n\r\n%s"
+EVENT_TEMPLATE = b'data: {"choices":[{"index":0,"delta":{"content":"%s"},"finish_reason":%s}]}\n\n'
+USAGE_TEMPLATE = (
     b'data: {"choices":[],"usage":{"prompt_tokens":%d,"completion_tokens":%d,'
     b'"prompt_tokens_details":{"cached_tokens":%d}}}\n\n'
 )
-RESET = struct.pack("ii", 1, 0)  # SO_LINGER: close at once, by a reset
+LINGER_RESET = struct.pack("ii", 1, 0)  # SO_LINGER: close at once, by a reset
 
 
 class Clock:
@@ -68,22 +68,22 @@
     return b"%x\r\n%s\r\n" % (len(part), part)
 
 
-def facts(message: Message) -> dict[str, str]:
+def parse_facts(message: Message) -> dict[str, str]:
     """The pairs of `X-Facts`."""
     text = message.fields.get(b"x-facts", b"").decode("latin-1")
     return dict(pair.partition("=")[::2] for pair in text.split(",") if pair)
 
 
-class Told(msgspec.Struct):
+class LabBody(msgspec.Struct):
     """What the lab's clients put into the body beside the prompt."""
 
     lab_answer: int = 0  # tokens that the answer takes; 0: half of max_out
 
 
-def work_of(message: Message, name: str) -> EngineRequest:
+def parse_request(message: Message, name: str) -> EngineRequest:
     """The request as an engine sees it; ValueError where it is none."""
-    told = facts(message)
-    body = msgspec.json.decode(message.body, type=Told)
+    told = parse_facts(message)
+    body = msgspec.json.decode(message.body, type=LabBody)
     prompt = int(told.get("prompt_len", "0")) or max(1, len(message.body) // 4)
     answer = body.lab_answer or max(1, int(told.get("max_out", "64")) // 2)
     opening = told.get("prefix") or None
@@ -96,7 +96,7 @@
 
     def __init__(
         self,
-        spec: Spec,
+        spec: EngineSpec,
         routers: int,
         clock: Clock,
         rng: Random,
@@ -105,7 +105,7 @@
     ) -> None:
         self.spec, self.clock, self.rng, self.tell = spec, clock, rng, tell
         self.id = spec.id
-        self.engine = Engine(spec.figures, Random(rng.random()), clock.now(), False, LEAP)
+        self.engine = Engine(spec.figures, Random(rng.random()), clock.now(), False, TOKENS_PER_EVENT)
         self.listeners: list[Any] = [listen(first_port and first_port + n) for n in range(routers)]
         self.ports = [one.getsockname()[1] for one in self.listeners]
         self.cap = spec.figures.connections
@@ -187,7 +187,7 @@
 
     def _reset(self, sock: Any) -> None:
         with suppress(OSError):  # it may have been reset from the other side
-            sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
+            sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
         sock.close()
 
     def _break_all(self) -> None:
@@ -234,7 +234,7 @@
 
     def _plain(self, sock: Any, router: int, status: bytes, fields: bytes = b"", body: bytes = b"") -> None:
         self._wait(router)
-        sock.sendall(PLAIN % (status, fields, len(body), body))
+        sock.sendall(PLAIN_RESPONSE % (status, fields, len(body), body))
 
     def _load(self) -> bytes:
         load = self.engine.report(self.clock.now())
@@ -252,7 +252,7 @@
         self.count += 1
         name = f"{message.fields.get(b'x-correlation-id', b'').decode('latin-1')}#{self.count}"
         try:
-            work = work_of(message, name)
+            work = parse_request(message, name)
         except ValueError as error:
             return self._plain(sock, router, b"400 Bad Request", body=str(error).encode())
         now, engine = self.clock.now(), self.engine
@@ -292,17 +292,17 @@
                 if spoil_at == 0:
                     sock.sendall(b"HTTP/1.1 2OO\r\nTransfer-Encoding: chunked, nonsense\r\n\r\nzz\r\n")
                     return self._cut_short(sock)
-                sock.sendall(HEAD)
+                sock.sendall(STREAM_HEAD)
             if tokens:
                 made += tokens
-                event = EVENT % (b"word" * tokens, b'"stop"' if ended else b"null")
+                event = EVENT_TEMPLATE % (b"word" * tokens, b'"stop"' if ended else b"null")
                 if 0 < spoil_at <= made:
                     sock.sendall(b"xyz\r\n" + event)
                     return self._cut_short(sock)
                 sock.sendall(chunk(event))
                 gevent.sleep(self.trickle * tokens / 1000.0)
             if ended:
-                usage = USAGE % (work.prompt, work.answer, kept)
+                usage = USAGE_TEMPLATE % (work.prompt, work.answer, kept)
                 tail = chunk(usage) + chunk(b"data: [DONE]\n\n")
                 return sock.sendall(tail + chunk(b": X-Backend-Load: %s\n\n" % self._load()) + b"0\r\n\r\n")  # type: ignore[no-any-return]
 
@@ -315,9 +315,9 @@
 
     # --- troubles
 
-    def plan(self, planned: Planned) -> None:
+    def plan(self, planned: PlannedTrouble) -> None:
         """Schedule a trouble that hits this engine."""
-        for at, move, told in moves(planned, self.spec.figures, self.rng, planned.trouble.begin_s * 1000.0):
+        for at, move, told in engine_actions(planned, self.spec.figures, self.rng, planned.trouble.begin_s * 1000.0):
             self.clock.later(at, self.moves[move], *told)
 
     def _stall(self, until: float) -> None:
@@ -358,7 +358,7 @@
 
     def _rise(self) -> None:
         self.listeners = [listen(port) for port in self.ports]
-        self.engine = Engine(self.spec.figures, Random(self.rng.random()), self.clock.now(), True, LEAP)
+        self.engine = Engine(self.spec.figures, Random(self.rng.random()), self.clock.now(), True, TOKENS_PER_EVENT)
         self.alive, self.draining = True, False
         self.tasks = [gevent.spawn(self._drive), *self._accepting()]
         self._changed("in_service")
--- a/tests/drain_scenes.py
+++ b/tests/drain_scenes.py
@@ -5,7 +5,7 @@
 from pathlib import Path
 from random import Random
 
-from spoolbarrow.lab.recorded_clients import DRAIN_HABITS, HABITS
+from spoolbarrow.lab.recorded_clients import DRAIN_BEHAVIORS, BEHAVIORS
 from tests.fleet_record import Scene, play, report
 
 STREAMS_MS = [20.0, 400.0, 800.0, 1100.0, 2400.0]  # between two of four events: answers of 0.06 to 7.2 s
@@ -69,7 +69,7 @@
     beside = [(round(rng.uniform(0.5, 6.0), 2), rng.choice(BESIDE)) for _ in range(rng.randint(0, 3))]
     return scene(
         rng.choice([1, 1, 2, 4]),
-        [rng.choice(HABITS + DRAIN_HABITS) for _ in range(count)],
+        [rng.choice(BEHAVIORS + DRAIN_BEHAVIORS) for _ in range(count)],
         sorted(drains + beside),
         seed,
         deadline_ms,
--- a/tests/fleet_record.py
+++ b/tests/fleet_record.py
@@ -15,9 +15,9 @@
 import msgspec
 from msgspec import Struct
 
-from spoolbarrow.lab.cluster import LIFE_S, LISTEN, Cluster, Process
-from spoolbarrow.lab.cold import Figures
-from spoolbarrow.lab.recorded_clients import HABITS, Plan
+from spoolbarrow.lab.cluster import STANDIN_LIFETIME_S, LISTEN, Cluster, Process
+from spoolbarrow.lab.cold_engine import ColdEngineParameters
+from spoolbarrow.lab.recorded_clients import BEHAVIORS, ClientPlan
 from tests.terms import Arrival, Connection, Death, Drained, Record, Starved, Terms, Told, Violation, check
 
 NAMES = ("chat", "a", "Doc-Query", "batch.low", "x" * 60, "7", "zeta_2")
@@ -54,7 +54,7 @@
     routers: list[str]
     settings: dict[str, Any]
     limits: dict[str, Any]
-    figures: Figures | None
+    figures: ColdEngineParameters | None
     plan: dict[str, Any]  # without the ports
     faults: list[tuple[float, str]]  # at so many seconds, what
     length_s: float
@@ -62,7 +62,7 @@
     gates: bool
 
 
-def draw_settings(rng: Random, figures: Figures) -> dict[str, Any]:
+def draw_settings(rng: Random, figures: ColdEngineParameters) -> dict[str, Any]:
     """The platform's settings over their whole legal range."""
     names = rng.sample(NAMES, rng.randint(1, 4))
     classes = [
@@ -123,7 +123,7 @@
 ) -> Scene:
     """A run by its seed; clients ask for the share `least` at least of what warm engines can do."""
     rng = Random(seed)
-    figures = Figures(
+    figures = ColdEngineParameters(
         per_s=rng.choice([10.0, 20.0, 40.0]),
         cold_from=rng.choice([0.05, 0.12, 0.34, 1.0]),
         cold_ms=rng.choice([2000.0, 5000.0, 10_000.0]),
@@ -143,7 +143,7 @@
     plan = {
         "kinds": kinds,
         "accounts": [one["Name"] for one in settings["Tenants"]] or ["acme"],
-        "habits": [rng.choice(HABITS) for _ in range(each)],
+        "habits": [rng.choice(BEHAVIORS) for _ in range(each)],
         "pause_s": min(2.0, max(0.01, 2 * clients / asked)),
         "spread": rng.choice([0.0, 0.5, 1.0]),
         "hot": rng.choice([0.0, 0.3, 1.0]),
@@ -205,20 +205,20 @@
         made = self.made
         try:
             made.start()
-            plan = msgspec.convert({**self.scene.plan, "ports": made.ports, "host": LISTEN}, Plan)
+            plan = msgspec.convert({**self.scene.plan, "ports": made.ports, "host": LISTEN}, ClientPlan)
             self.clients = Process(
                 "-m",
                 "spoolbarrow.lab.recorded_clients",
-                str(LIFE_S),
+                str(STANDIN_LIFETIME_S),
                 msgspec.json.encode(plan).decode(),
                 stdin=True,
             )
-            made.started.append(self.clients)
+            made.processes.append(self.clients)
             idle_ms = self.scene.settings["Limits"].get("ConnIdleMs", 30_000.0)
-            made.engines.tell(f"* idle {idle_ms}")
+            made.engines.send_command(f"* idle {idle_ms}")
             watching = threading.Thread(target=self._watch, daemon=True)
             watching.start()
-            self.clients.tell("begin")
+            self.clients.send_command("begin")
             self.begun = time.monotonic()
             for at, fault in self.scene.faults:
                 self._until(at)
@@ -233,8 +233,8 @@
 
     def end(self) -> Record:
         """Stop asking, and take the record."""
-        visits = self.clients.ask("stop")
-        arrivals = [self._cut(one) for one in self.made.engines.ask("arrivals")]
+        visits = self.clients.send_query("stop")
+        arrivals = [self._cut(one) for one in self.made.engines.send_query("arrivals")]
         figures = self.scene.figures
         terms = None
         if figures is not None:
@@ -284,13 +284,13 @@
 
     def keep_logs(self) -> None:
         for number, router in enumerate(self.made.routers):
-            self.logs.setdefault(f"r{number}", []).extend(router.lines)
+            self.logs.setdefault(f"r{number}", []).extend(router.log_lines)
 
     def _until(self, at: float) -> None:
         time.sleep(max(0.0, self.begun + at - time.monotonic()))
 
     def _engine(self) -> int:
-        return self.rng.randrange(len(self.made.names))
+        return self.rng.randrange(len(self.made.engine_names))
 
     def _router(self) -> int:
         return self.rng.randrange(len(self.made.ports))
@@ -298,19 +298,19 @@
     # Faults of engines
 
     def _odd(self) -> None:
-        self.made.engines.tell(f"* odd {self.rng.choice([0.05, 0.2, 0.5])}")
+        self.made.engines.send_command(f"* odd {self.rng.choice([0.05, 0.2, 0.5])}")
 
     def _hang(self) -> None:
-        self.made.engines.tell(f"{self._engine()} hang")
+        self.made.engines.send_command(f"{self._engine()} hang")
 
     def _down(self) -> None:
-        self.made.engines.tell(f"{self._engine()} down")
+        self.made.engines.send_command(f"{self._engine()} down")
 
     def _full(self) -> None:
-        self.made.engines.tell(f"{self._engine()} full")
+        self.made.engines.send_command(f"{self._engine()} full")
 
     def _slow(self) -> None:
-        self.made.engines.tell(f"{self._engine()} slow {self.rng.choice([300, 1200, 4000])}")
+        self.made.engines.send_command(f"{self._engine()} slow {self.rng.choice([300, 1200, 4000])}")
 
     def _restart(self) -> None:
         engine = self._engine()
@@ -319,25 +319,25 @@
 
     def _restart_some(self) -> None:
         """Several engines begin anew in one instant: what the others bore comes to them."""
-        count = self.rng.randint(2, len(self.made.names))
-        chosen = self.rng.sample(range(len(self.made.names)), count)
+        count = self.rng.randint(2, len(self.made.engine_names))
+        chosen = self.rng.sample(range(len(self.made.engine_names)), count)
         self.made.restart_engines(chosen)
         for engine in chosen:
             self._tell(engine)
 
     def _lose_warm(self) -> None:
         """Half of the engines are lost, and half of the others begin anew."""
-        order = self.rng.sample(range(len(self.made.names)), len(self.made.names))
+        order = self.rng.sample(range(len(self.made.engine_names)), len(self.made.engine_names))
         lost, new = order[: len(order) // 2], order[len(order) // 2 :][::2]
-        self.made.engines.tell(f"{','.join(map(str, lost))} down")
+        self.made.engines.send_command(f"{','.join(map(str, lost))} down")
         self.made.restart_engines(new)
         for engine in new:
             self._tell(engine)
 
     def _shrink(self) -> None:
         """Half of the engines leave the list, and half of the others begin anew."""
-        order = self.rng.sample(range(len(self.made.names)), len(self.made.names))
-        self.made.out |= set(order[: len(order) // 2])
+        order = self.rng.sample(range(len(self.made.engine_names)), len(self.made.engine_names))
+        self.made.unlisted |= set(order[: len(order) // 2])
         new = order[len(order) // 2 :][::2]
         self.made.restart_engines(new)
         for engine in new:
@@ -345,7 +345,7 @@
 
     def _few(self) -> None:
         """Two engines stay, and both begin anew."""
-        self.made.out |= set(range(2, len(self.made.names)))
+        self.made.unlisted |= set(range(2, len(self.made.engine_names)))
         self.made.restart_engines([0, 1])
         for engine in (0, 1):
             self._tell(engine)
@@ -353,17 +353,17 @@
     def _replace(self) -> None:
         """It leaves the list, is another's process, and is listed again."""
         engine = self._engine()
-        self.made.out.add(engine)
-        self.made.list_again()
-        self.made.engines.tell(f"{engine} down")
+        self.made.unlisted.add(engine)
+        self.made.publish_list()
+        self.made.engines.send_command(f"{engine} down")
         time.sleep(0.3)
-        self.made.out.discard(engine)
+        self.made.unlisted.discard(engine)
         self.made.restart_engines([engine])
         self._tell(engine)
 
     def _drain(self) -> None:
         self.made.draining = {self._engine()}
-        self.made.list_again()
+        self.made.publish_list()
 
     def _reset(self) -> None:
         if not self.scene.gates:
@@ -376,11 +376,11 @@
         self.made.fault("pass", gates)
 
     def _mute(self) -> None:
-        self.made.service.tell("* mute")
+        self.made.service.send_command("* mute")
 
     def _tell(self, engine: int) -> None:
         now = time.monotonic() + TOLD_S
-        starts = self.made.engines.ask("starts")
+        starts = self.made.engines.send_query("starts")
         for router in range(len(self.made.ports)):
             self.told.append(
                 Told(router=f"r{router}", engine=f"e{engine}", started_at=starts[engine], at=now)
@@ -393,7 +393,7 @@
         router = self.made.routers[number]
         router.popen.terminate()
         time.sleep(AWAY_S)
-        self.clients.tell(f"away {number}")
+        self.clients.send_command(f"away {number}")
         router.popen.wait(30)
         self._not_drained(f"r{number}")
         self.note(f"r{number} ended with {router.popen.returncode}")
@@ -410,7 +410,7 @@
         self.starved.append(Starved(router=f"r{number}", begin=begin, end=now, seconds=now - begin))
 
     def _hang_up(self) -> None:
-        self.made.hang_up(range(len(self.made.ports)))
+        self.made.send_sighup(range(len(self.made.ports)))
 
     def _term_kill(self) -> None:
         """SIGTERM, and SIGKILL as soon as it may come; clients use open connections up to it."""
@@ -419,7 +419,7 @@
         longest_s = max(one["DeadlineMs"] for one in self.scene.settings["Classes"]) / 1000.0
         router.popen.terminate()
         time.sleep(AWAY_S)
-        self.clients.tell(f"away {number}")
+        self.clients.send_command(f"away {number}")
         time.sleep(max(0.0, told_at + min(longest_s, LONGEST_S) + KILL_S - time.monotonic()))
         self.deaths.append(Death(router=f"r{number}", at=time.monotonic(), told_at=told_at))
         self.made.kill_router(number)
@@ -443,7 +443,7 @@
         self.made.control(number, "router/drain", "POST")
         if len(self.made.ports) > 1:
             time.sleep(AWAY_S)
-            self.clients.tell(f"away {number}")
+            self.clients.send_command(f"away {number}")
 
     def _call_activate(self) -> None:
         """All routers that are drained are taken back."""
@@ -451,7 +451,7 @@
             number = int(router[1:])
             self._not_drained(router)
             self.made.control(number, "router/activate", "POST")
-            self.clients.tell(f"back {number}")
+            self.clients.send_command(f"back {number}")
 
     def _kill(self) -> None:
         number = self._router()
@@ -460,11 +460,11 @@
         self._again(number)
 
     def _again(self, number: int) -> None:
-        self.logs.setdefault(f"r{number}", []).extend(self.made.routers[number].lines)
+        self.logs.setdefault(f"r{number}", []).extend(self.made.routers[number].log_lines)
         self.made.routers[number] = self.made.start_router(number)
         with suppress(AssertionError):  # where none is listed, it serves none
             self.made.wait_listed([number], LISTED_S)
-        self.clients.tell(f"back {number}")
+        self.clients.send_command(f"back {number}")
 
 
 def report(run: Run, record: Record, violations: list[Violation]) -> str:
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -19,7 +19,7 @@
 from spoolbarrow import interface as i
 from spoolbarrow.handover import Handover
 from spoolbarrow.lab.cluster import LISTEN, Process
-from spoolbarrow.lab.loopback import most_files
+from spoolbarrow.lab.loopback import raise_descriptor_limit
 from spoolbarrow.net import connection_pool, http1
 from spoolbarrow.net.failover import ZoneMonitor
 from spoolbarrow.operator import FailoverTable
@@ -156,7 +156,7 @@
 @pytest.fixture
 def world(tmp_path: Path) -> Iterator[Callable[..., Any]]:
     """A factory of routers that share one discovery server and one engine."""
-    most_files()
+    raise_descriptor_limit()
     made: list[Router] = []
     discovery = Discovery()
     engine = ScriptedServer(serve_all)
--- a/tests/test_discovery_timing.py
+++ b/tests/test_discovery_timing.py
@@ -25,7 +25,7 @@
 from spoolbarrow import interface as i
 from spoolbarrow.config import Options
 from spoolbarrow.fleet.pacing import MUTE_RETRY_MAX_MS, SILENT_SPREAD_MS, Pacing
-from spoolbarrow.lab.wire import PLAIN
+from spoolbarrow.lab.wire_engine import PLAIN_RESPONSE
 from spoolbarrow.net import discovery_client
 from spoolbarrow.net.destinations import DestinationSet
 from spoolbarrow.net.http1 import HttpError, Message
@@ -320,10 +320,10 @@
     text = list_text(3, "e0", whole=True, indent=2)
 
     def half(discovery: ScriptedDiscovery, sock: Sock) -> None:
-        sock.sendall((PLAIN % (b"200 OK", b"", len(text), text))[:-60])
+        sock.sendall((PLAIN_RESPONSE % (b"200 OK", b"", len(text), text))[:-60])
 
     def all_of_it(discovery: ScriptedDiscovery, sock: Sock) -> None:
-        sock.sendall(PLAIN % (b"200 OK", b"", len(text), text))
+        sock.sendall(PLAIN_RESPONSE % (b"200 OK", b"", len(text), text))
 
     old, other = (
         ScriptedDiscovery(report_change),
@@ -349,7 +349,7 @@
             send_chunk(sock, text)
             sock.sendall(b"0\r\n\r\n" * end)
         else:
-            sock.sendall(PLAIN % (b"200 OK", b"", len(text), text))
+            sock.sendall(PLAIN_RESPONSE % (b"200 OK", b"", len(text), text))
         gevent.sleep(20 * (not end))
         return end
 
@@ -477,7 +477,7 @@
         if self.down:
             return None
         if b"stream=1" not in message.target:
-            sock.sendall(PLAIN % (b"200 OK", b"", len(self.list_body), self.list_body))
+            sock.sendall(PLAIN_RESPONSE % (b"200 OK", b"", len(self.list_body), self.list_body))
             return None
         send_chunk(sock, b"")
         reported = self.list_body
--- a/tests/test_drain_terms.py
+++ b/tests/test_drain_terms.py
@@ -11,10 +11,10 @@
 
 import pytest
 
-from spoolbarrow.lab.recorded_clients import DRAIN_HABITS
+from spoolbarrow.lab.recorded_clients import DRAIN_BEHAVIORS
 from tests.drain_scenes import broken, draw, scene
 
-MIXED = ["eager", "keeps", "renews", "pipelines", "bytewise", "slow", "closes", *DRAIN_HABITS]
+MIXED = ["eager", "keeps", "renews", "pipelines", "bytewise", "slow", "closes", *DRAIN_BEHAVIORS]
 SHIMS = Path(__file__).resolve().parent.parent / "benchmarks" / "shims"
 DRAIN = [(2.0, "call_drain")]
 AGAIN = [(1.0, "call_drain"), (2.0, "call_activate"), (3.0, "call_drain")]
--- a/tests/test_fleet_agreement.py
+++ b/tests/test_fleet_agreement.py
@@ -32,7 +32,7 @@
             yield made
         finally:
             load.stop()
-        answered = [one for one in load.answers if one.router not in made.ended]
+        answered = [one for one in load.answers if one.router not in made.killed_routers]
         assert answered and {one.status for one in answered} <= {200, 503}
         assert load.retry_after_missing == 0
 
@@ -112,12 +112,12 @@
 ) -> None:
     with loaded(tmp_path) as made:
         wait_until(lambda: agree(made, "status", capsys)[0] == 0)
-        gate = [len(made.names) * len(made.ports) + 2]  # before router 2's discovery
+        gate = [len(made.engine_names) * len(made.ports) + 2]  # before router 2's discovery
         made.fault("drop", gate)
-        made.out.add(0)
-        made.list_again()
+        made.unlisted.add(0)
+        made.publish_list()
         others = [0, 1, 3, 4]
-        wait_until(lambda: all(versions(made, n)["list"]["number"] == made.listing for n in others))
+        wait_until(lambda: all(versions(made, n)["list"]["number"] == made.list_version for n in others))
         status, said = agree(made, "status", capsys)
         assert status == 1 and "list: contradict for" in said
         (older,) = [line for line in said.splitlines() if line.startswith("  1 ")]
@@ -159,5 +159,5 @@
         made.routers[4].wait_for(lambda: bool(made.routers[4].events("destinations")))
         wait_until(lambda: agree(made, "status", capsys)[0] == 0)
         assert all(versions(made, n)["operator"]["number"] == 2 for n in ALL)
-        told = [json.loads(line) for line in made.routers[4].lines if '"version"' in line]
+        told = [json.loads(line) for line in made.routers[4].log_lines if '"version"' in line]
         assert {one["item"] for one in told} >= {"settings", "shares", "operator", "list", "suspensions"}
--- a/tests/test_fleet_cold.py
+++ b/tests/test_fleet_cold.py
@@ -17,9 +17,9 @@
 import pytest
 
 from spoolbarrow.fleet.documents import SUSPENSIONS_KEY
-from spoolbarrow.lab import script
-from spoolbarrow.lab.cluster import BROKEN, Cluster
-from spoolbarrow.lab.script import SCRIPTS, play, shape
+from spoolbarrow.lab import fault_script
+from spoolbarrow.lab.cluster import TRUNCATED, Cluster
+from spoolbarrow.lab.fault_script import SCRIPTS, run_script, cluster_options
 
 ROUTERS, ENGINES = 16, 6
 RATE = 8.0  # calls a second: a call of each router takes 2 s
@@ -44,7 +44,7 @@
     """The processes of one start."""
 
     def __init__(self, folder: Path, name: str, pace: float, rate: float = RATE) -> None:
-        options = shape(SCRIPTS[name], ENGINES, rate, ROUTERS)
+        options = cluster_options(SCRIPTS[name], ENGINES, rate, ROUTERS)
         self.made = Cluster(folder, {"a": ENGINES}, ["a"] * ROUTERS, **options)
         try:
             self.made.prepare()
@@ -55,9 +55,9 @@
 
     def play(self, name: str, pace: float, begin: bool = False) -> dict[str, Any]:
         """A fault's account; what must hold of any."""
-        found = play(self.made, SCRIPTS[name], pace, begin=begin)
-        about = script.page(name, found)
-        assert script.well(found) and not found["events_missed"], about
+        found = run_script(self.made, SCRIPTS[name], pace, begin=begin)
+        about = fault_script.format_results(name, found)
+        assert fault_script.passed(found) and not found["events_missed"], about
         assert found["unexpected"] == found["retry_after_missing"] == 0, about
         for one in found["of_routers"].values():
             assert one["answers"].get("200", 0) > 0 and one["slowest_refused_ms"] < AT_ONCE_MS, about
@@ -176,7 +176,7 @@
     def test_sighup_to_all_at_once(self, start: Start) -> None:
         # Bound: KNOWN_S. Each router took the new file, asked for the list and the watch once, served on.
         # The service is quick enough that no call waits for 2 s: one more would be begun beside it.
-        start.made.service.tell(f"rate {2 * RATE}")
+        start.made.service.send_command(f"rate {2 * RATE}")
         found = start.play("hang-up", 1.0)
         assert found["known_after_last_step_s"] < KNOWN_S and answers(found) == {"200"}
         assert all(one["reloaded"] == 1 for one in found["of_routers"].values())
@@ -191,7 +191,7 @@
         # Bound: KNOWN_S after that. Whoever stood in the queue calls again, and has it within two more.
         found = start.found
         assert found["known_after_last_step_s"] < KNOWN_S and answers(found) <= {"200", "503"}
-        assert ROUTERS + script.FULL <= found["service"]["calls"] <= 3 * ROUTERS
+        assert ROUTERS + fault_script.FULL <= found["service"]["calls"] <= 3 * ROUTERS
         assert max(calls(found)) <= 4
 
 
@@ -213,7 +213,7 @@
         # Bound: KNOWN_S after they are up. Each router made one call: it knew an old list again.
         found = start.play("all-killed", 1.0)
         assert found["known_after_last_step_s"] < KNOWN_S
-        assert answers(found) <= {"200", "0", str(BROKEN)}  # what was under way, and while nobody listened
+        assert answers(found) <= {"200", "0", str(TRUNCATED)}  # what was under way, and while nobody listened
         assert set(calls(found)) == {1} and found["service"]["failed"] == 0
 
 
--- a/tests/test_fleet_told.py
+++ b/tests/test_fleet_drain_propagation.py
@@ -20,7 +20,7 @@
 
 from spoolbarrow.fleet.pacing import LIST_DEADLINE_MS
 from spoolbarrow.lab.cluster import Cluster, Load, cluster
-from spoolbarrow.lab.told import CASES, play, take_back
+from spoolbarrow.lab.drain_propagation import FAILURE_CASES, measure_drain_delays, undo_drain
 from tests.router_harness import LISTEN, make_config, wait_until
 
 ROOT = Path(__file__).parent.parent
@@ -49,8 +49,8 @@
 def together(fleet: Cluster) -> dict[str, list[float]]:
     """Faults that the service can have for some routers only, side by side."""
     groups = {name: range(n, ROUTERS, len(GROUPS)) for n, name in enumerate(GROUPS)}
-    found = play(fleet, groups, 0, DOWN_S)
-    take_back(fleet, 0)
+    found = measure_drain_delays(fleet, groups, 0, DOWN_S)
+    undo_drain(fleet, 0)
     return found
 
 
@@ -59,11 +59,11 @@
     assert len(together[name]) >= 3 and max(together[name]) < BOUND_S, together
 
 
-@pytest.mark.parametrize("name", sorted(CASES.keys() - set(GROUPS)))
+@pytest.mark.parametrize("name", sorted(FAILURE_CASES.keys() - set(GROUPS)))
 def test_sendings_end_in_time_after_a_fault_that_all_meet(fleet: Cluster, name: str) -> None:
-    found = play(fleet, {name: range(ROUTERS)}, 0, DOWN_S)
+    found = measure_drain_delays(fleet, {name: range(ROUTERS)}, 0, DOWN_S)
     assert max(found[name]) < BOUND_S, found
-    take_back(fleet, 0)
+    undo_drain(fleet, 0)
 
 
 def test_time_outs_that_do_not_fit_the_clock_are_refused_with_their_key(tmp_path: Path) -> None:
--- a/tests/test_fleet_failover.py
+++ b/tests/test_fleet_failover.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from spoolbarrow.lab.cluster import BROKEN, Cluster, Load, Process, cluster
+from spoolbarrow.lab.cluster import TRUNCATED, Cluster, Load, Process, cluster
 
 ZONES = {"a": 4, "b": 4, "c": 4}
 ROUTERS = ["a", "a", "b", "b", "c"]
@@ -29,10 +29,10 @@
         finally:
             load.stop()
         statuses = load.statuses()
-        assert statuses.keys() <= {200, 503, BROKEN} and statuses[200] > 50, statuses
-        assert statuses[BROKEN] <= faults * len(ROUTERS), statuses
+        assert statuses.keys() <= {200, 503, TRUNCATED} and statuses[200] > 50, statuses
+        assert statuses[TRUNCATED] <= faults * len(ROUTERS), statuses
         assert load.retry_after_missing == 0
-        assert not [line for router in made.routers for line in router.lines if '"unexpected"' in line]
+        assert not [line for router in made.routers for line in router.log_lines if '"unexpected"' in line]
 
 
 def asked(router: Process) -> int:
@@ -151,12 +151,12 @@
 def test_a_zone_that_discovery_lists_empty_fails_everywhere_and_returns_everywhere(tmp_path: Path) -> None:
     with loaded(tmp_path) as made:
         more_requests(made, 1)  # all have seen it in service: a zone that was never listed is no fault
-        made.out |= set(made.of_zone["a"])
-        made.list_again()
+        made.unlisted |= set(made.of_zone["a"])
+        made.publish_list()
         made.wait_state(ALL, "a", "failed")
         more_requests(made, 5)
-        made.out.clear()
-        made.list_again()
+        made.unlisted.clear()
+        made.publish_list()
         made.wait_state(ALL, "a", "healthy")
         never_failed(made, "b", "c")
 
@@ -171,17 +171,17 @@
         made.fault("reset", made.gates(made.of_zone["a"]))
         made.wait_state(ALL, "a", "failed")
         for engine in made.of_zone["b"]:
-            made.engines.tell(f"{engine} full 1")
+            made.engines.send_command(f"{engine} full 1")
         more_requests(made, 10)  # the third zone takes it
         for engine in made.of_zone["c"]:
-            made.engines.tell(f"{engine} full")
+            made.engines.send_command(f"{engine} full")
         for n in ALL:
             made.routers[n].wait_for(lambda n=n: answers(n, "fail_fast") >= 5)  # type: ignore[misc]
             refused = [e for e in made.routers[n].events("request") if e["answer"] == "fail_fast"]
             assert all(len(one["attempts"]) <= 3 for one in refused)  # MaxAttempts: no storm on full zones
         never_failed(made, "b", "c")  # full is an answer
         for engine in made.of_zone["b"] + made.of_zone["c"]:
-            made.engines.tell(f"{engine} well")
+            made.engines.send_command(f"{engine} well")
         for n in ALL:
             seen = asked(made.routers[n])
             made.routers[n].wait_for(lambda n=n, s=seen: answers(n, "served", s) >= 5)  # type: ignore[misc]
