--- a/tests/test_fleet_follow.py
+++ b/tests/test_fleet_follow.py
@@ -20,9 +20,9 @@
 
 from spoolbarrow.agree import digest
 from spoolbarrow.fleet.documents import SHARES_KEY, STANDING_PREFIX, SUSPENSIONS_KEY
-from spoolbarrow.lab.cluster import BROKEN, Load
-from spoolbarrow.lab.followed import Followed, at_key, until
-from spoolbarrow.lab.members import ask
+from spoolbarrow.lab.cluster import TRUNCATED, Load
+from spoolbarrow.lab.store_following_cluster import StoreFollowingCluster, document_path, poll_until
+from spoolbarrow.lab.store_members import request_member
 from tests.test_fleet_store import Members
 
 ALL = range(5)
@@ -45,22 +45,22 @@
 """
 
 
-class Fleet(Followed):
+class Fleet(StoreFollowingCluster):
     """Five routers, six engines, and three members."""
 
     def __init__(self, folder: Path) -> None:
         self.store = Members(folder)
         super().__init__(folder, 6, 5, OPERATOR, self.store.controls, TAKEN_S)
-        self.started += [*self.store.processes, self.store.proxy]
+        self.processes += [*self.store.processes, self.store.proxy]
 
     def put(self, key: str, text: str, expect: int | None = None) -> tuple[int, dict[str, Any]]:
         """Write a document through whoever leads."""
 
         def written() -> tuple[int, dict[str, Any]] | None:
-            told = [ask(member, "PUT", at_key(key, expect), text.encode()) for member in self.store.controls]
+            told = [request_member(member, "PUT", document_path(key, expect), text.encode()) for member in self.store.controls]
             return next((one for one in told if one[0] == 200 or "revision" in one[1]), None)
 
-        found: tuple[int, dict[str, Any]] = until(written)
+        found: tuple[int, dict[str, Any]] = poll_until(written)
         return found
 
     def suspend(self, *engines: str) -> int:
@@ -80,8 +80,8 @@
         finally:
             load.stop()
         answered = load.statuses()
-        lost = Counter(one.router for one in load.answers if one.status in (0, BROKEN))
-        assert set(answered) <= {200, 503, 0, BROKEN} and set(lost) <= made.ended
+        lost = Counter(one.router for one in load.answers if one.status in (0, TRUNCATED))
+        assert set(answered) <= {200, 503, 0, TRUNCATED} and set(lost) <= made.killed_routers
         assert answered[200] > 500 > answered[503] and load.retry_after_missing == 0
     finally:
         made.end()
@@ -91,9 +91,9 @@
 @pytest.fixture
 def fleet(running: Fleet) -> Iterator[Fleet]:
     """All alike before a case, and after it."""
-    running.wait_called(NAMES)
+    running.wait_for_roll(NAMES)
     yield running
-    running.wait_called(NAMES)
+    running.wait_for_roll(NAMES)
     running.wait_suspended(running.suspend())
 
 
@@ -101,16 +101,16 @@
     """No fault: within HEARD_S of the answer to whoever wrote it."""
     fleet.control(1, "engines/e0/suspend", "POST")
     fleet.wait_suspended(fleet.suspend("e0", "e1"), "e0", "e1", seconds=HEARD_S)
-    before = [fleet.sent(n) for n in range(3)]
-    until(lambda: fleet.sent(2) > before[2] + 20)
-    assert [fleet.sent(0), fleet.sent(1)] == before[:2]
-    by_hand = fleet.sent(0, "r1")
+    before = [fleet.requests_sent(n) for n in range(3)]
+    poll_until(lambda: fleet.requests_sent(2) > before[2] + 20)
+    assert [fleet.requests_sent(0), fleet.requests_sent(1)] == before[:2]
+    by_hand = fleet.requests_sent(0, "r1")
     fleet.wait_suspended(fleet.suspend("e1"), "e1", seconds=HEARD_S)
-    until(lambda: fleet.sent(0, "r0") > 0 and fleet.sent(0) > before[0] + 5)
-    assert fleet.sent(0, "r1") == by_hand  # the word by hand stands there
+    poll_until(lambda: fleet.requests_sent(0, "r0") > 0 and fleet.requests_sent(0) > before[0] + 5)
+    assert fleet.requests_sent(0, "r1") == by_hand  # the word by hand stands there
     fleet.control(1, "engines/e0/resume", "POST")
     revision = fleet.put(SHARES_KEY, '{"acme": {"portion": 0.5, "quota_per_s": 900}}')[1]["revision"]
-    until(lambda: {fleet.acts(n, SHARES_KEY)[0] for n in ALL} == {revision}, HEARD_S)
+    poll_until(lambda: {fleet.applied_version(n, SHARES_KEY)[0] for n in ALL} == {revision}, HEARD_S)
     shares = {fleet.control(n, "versions")["versions"]["shares"]["number"] for n in ALL}
     assert shares == {1}  # what the files say is told as before
 
@@ -133,16 +133,16 @@
     elif fault == "cut off":
         fleet.store.cut(member, "drop")  # from the others: routers still reach it
     else:
-        fleet.to_store({"slow": "slow 200", "silent": "drop"}[fault], members=[member])
+        fleet.set_store_fault({"slow": "slow 200", "silent": "drop"}[fault], members=[member])
     fleet.wait_suspended(fleet.suspend("e0"), "e0")
     if fault == "lost":
         fleet.store.processes[member] = fleet.store.start(member)
-        fleet.started.append(fleet.store.processes[member])
+        fleet.processes.append(fleet.store.processes[member])
     elif fault == "cut off":
         fleet.store.cut(member, "pass")
     else:
-        fleet.to_store("pass", members=[member])
-    until(lambda: fleet.store.status(member).get("leader"))
+        fleet.set_store_fault("pass", members=[member])
+    poll_until(lambda: fleet.store.status(member).get("leader"))
 
 
 def test_a_member_back_with_an_old_log_takes_nobody_back(fleet: Fleet) -> None:
@@ -158,16 +158,16 @@
     others = [n for n in range(3) if n != member]
     fleet.store.cut(member, "drop")
     fleet.store.processes[member] = fleet.store.start(member)
-    fleet.started.append(fleet.store.processes[member])
-    fleet.to_store("drop", [0, 1], others)
+    fleet.processes.append(fleet.store.processes[member])
+    fleet.set_store_fault("drop", [0, 1], others)
     for n in (0, 1):
-        until(lambda n=n: "behind" in str(fleet.fleet(n)["members"]), SILENT_S)  # type: ignore[misc]
-        until(lambda n=n: fleet.mode(n) == "safer" and fleet.part(n)["routers"] is None, SILENT_S)  # type: ignore[misc]
+        poll_until(lambda n=n: "behind" in str(fleet.fleet_status(n)["members"]), SILENT_S)  # type: ignore[misc]
+        poll_until(lambda n=n: fleet.document_mode(n) == "safer" and fleet.part_status(n)["routers"] is None, SILENT_S)  # type: ignore[misc]
     for n in (0, 1):
-        number, contents = fleet.acts(n, SUSPENSIONS_KEY)
+        number, contents = fleet.applied_version(n, SUSPENSIONS_KEY)
         assert number == newest and contents in {digest(["e2"]), digest(["e1", "e2"])}
     fleet.store.cut(member, "pass")
-    fleet.to_store("pass")
+    fleet.set_store_fault("pass")
     fleet.wait_suspended(newest, "e2")
 
 
@@ -181,35 +181,35 @@
 
 def test_a_holder_killed_between_decision_and_commit_leaves_no_half_of_it(fleet: Fleet) -> None:
     """SIGKILL while its write is on the way, the write lost: the others act on one newer one in TAKEN_S."""
-    other = (fleet.holder() + 1) % 5
-    alive, epoch = [n for n in ALL if n != other], fleet.epoch(other)
+    other = (fleet.lease_holder() + 1) % 5
+    alive, epoch = [n for n in ALL if n != other], fleet.decision_epoch(other)
     before = {n: len(fleet.routers[n].events("fleet_decided")) for n in alive}
-    fleet.to_store("delay 120")  # each way: so long is a write on its way
+    fleet.set_store_fault("delay 120")  # each way: so long is a write on its way
     fleet.kill_router(other)
-    holder = until(lambda: [n for n in alive if len(fleet.routers[n].events("fleet_decided")) > before[n]])[0]
+    holder = poll_until(lambda: [n for n in alive if len(fleet.routers[n].events("fleet_decided")) > before[n]])[0]
     fleet.kill_router(holder)
     left = [n for n in alive if n != holder]
-    fleet.to_store("reset", [holder])
-    fleet.to_store("pass", left)
-    fleet.wait_called([f"r{n}" for n in left], left)
-    assert {fleet.epoch(n) > epoch for n in left} == {True}
-    fleet.to_store("pass")
+    fleet.set_store_fault("reset", [holder])
+    fleet.set_store_fault("pass", left)
+    fleet.wait_for_roll([f"r{n}" for n in left], left)
+    assert {fleet.decision_epoch(n) > epoch for n in left} == {True}
+    fleet.set_store_fault("pass")
     for n in (holder, other):
         fleet.restart_router(n)
 
 
 def test_a_holder_that_was_stopped_and_wakes_writes_nothing(fleet: Fleet) -> None:
     """SIGSTOP until another holds and all others act on its decision (TAKEN_S), then SIGCONT: it follows."""
-    holder = fleet.holder()
-    left, epoch = [n for n in ALL if n != holder], fleet.epoch(holder)
-    fleet.ended.add(holder)  # what its clients get while it is stopped is no test of it
+    holder = fleet.lease_holder()
+    left, epoch = [n for n in ALL if n != holder], fleet.decision_epoch(holder)
+    fleet.killed_routers.add(holder)  # what its clients get while it is stopped is no test of it
     fleet.routers[holder].popen.send_signal(signal.SIGSTOP)
     try:
-        fleet.wait_called([f"r{n}" for n in left], left)
+        fleet.wait_for_roll([f"r{n}" for n in left], left)
     finally:
         fleet.routers[holder].popen.send_signal(signal.SIGCONT)
-    fleet.wait_called(NAMES)
-    parts = [fleet.part(n) for n in ALL]
+    fleet.wait_for_roll(NAMES)
+    parts = [fleet.part_status(n) for n in ALL]
     assert min(part["epoch"] for part in parts) > epoch and not parts[holder]["holds"]
     assert [part["refused"] for part in parts] == [0] * 5  # no older one was ever written
 
@@ -217,30 +217,30 @@
 def test_routers_cut_off_from_the_store_act_on_none_and_the_others_on_one(fleet: Fleet) -> None:
     """Three of five, the holder among them, cut off with a change just made: none in SILENT_S, the safer
     version of the document, and the two others one decision of themselves in TAKEN_S."""
-    holder = fleet.holder()
+    holder = fleet.lease_holder()
     cut = [holder, (holder + 1) % 5, (holder + 2) % 5]
     left = [n for n in ALL if n not in cut]
     fleet.wait_suspended(fleet.suspend("e0"), "e0")
     newest = fleet.suspend("e1")
     fleet.wait_suspended(newest, "e1")
-    fleet.to_store("drop", cut)
-    until(lambda: all(fleet.part(n)["routers"] is None for n in cut), SILENT_S)
-    until(lambda: {fleet.mode(n) for n in cut} == {"safer"}, SILENT_S)
+    fleet.set_store_fault("drop", cut)
+    poll_until(lambda: all(fleet.part_status(n)["routers"] is None for n in cut), SILENT_S)
+    poll_until(lambda: {fleet.document_mode(n) for n in cut} == {"safer"}, SILENT_S)
     for n in cut:  # within_s is shorter than it may have heard of the change: both are right, and stated
-        assert fleet.acts(n, SUSPENSIONS_KEY) in {(newest, digest(["e1"])), (newest, digest(["e0", "e1"]))}
-    fleet.wait_called([f"r{n}" for n in left], left)
-    fleet.to_store("pass")
+        assert fleet.applied_version(n, SUSPENSIONS_KEY) in {(newest, digest(["e1"])), (newest, digest(["e0", "e1"]))}
+    fleet.wait_for_roll([f"r{n}" for n in left], left)
+    fleet.set_store_fault("pass")
     fleet.wait_suspended(newest, "e1")
 
 
 def test_garbage_is_told_and_what_was_known_stands(fleet: Fleet) -> None:
     """Documents that are none: all tell so in HEARD_S, act on what they had, and the lease is begun anew."""
-    revision, epoch = fleet.suspend("e2"), fleet.epoch(0)
+    revision, epoch = fleet.suspend("e2"), fleet.decision_epoch(0)
     fleet.wait_suspended(revision, "e2")
     fleet.put(SUSPENSIONS_KEY, '{"e0": true}')
     fleet.put(f"{STANDING_PREFIX}roll", "\0" * 500)
     fleet.put("fleet/evidence/roll/nobody", '{"router": "nobody", "incarnation": "x", "sequence": -1}')
-    until(lambda: all(fleet.fleet(n)["documents"][SUSPENSIONS_KEY]["garbage"] for n in ALL), HEARD_S)
-    assert {fleet.acts(n, SUSPENSIONS_KEY) for n in ALL} == {(revision, digest(["e2"]))}
-    until(lambda: all(fleet.epoch(n) > epoch for n in ALL), TAKEN_S)
+    poll_until(lambda: all(fleet.fleet_status(n)["documents"][SUSPENSIONS_KEY]["garbage"] for n in ALL), HEARD_S)
+    assert {fleet.applied_version(n, SUSPENSIONS_KEY) for n in ALL} == {(revision, digest(["e2"]))}
+    poll_until(lambda: all(fleet.decision_epoch(n) > epoch for n in ALL), TAKEN_S)
     assert {"fleet_document"} <= {e["event"] for e in fleet.routers[0].events("fleet_document")}
--- a/tests/test_fleet_harness.py
+++ b/tests/test_fleet_harness.py
@@ -17,12 +17,12 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from spoolbarrow.lab import script
+from spoolbarrow.lab import fault_script
 from spoolbarrow.lab.cluster import Cluster, cluster
-from spoolbarrow.lab.cold import Cold, Figures
+from spoolbarrow.lab.cold_engine import ColdEngine, ColdEngineParameters
 from spoolbarrow.lab.line_commands import CommandFailed
-from spoolbarrow.lab.listing import HISTORY, Call, Queue, Versions
-from spoolbarrow.lab.loopback import address, router_at
+from spoolbarrow.lab.list_service import HISTORY, Call, Queue, Versions
+from spoolbarrow.lab.loopback import router_address, router_at
 from spoolbarrow.lab.process import Process
 
 LIFE_S, WAIT_S = 60.0, 20.0
@@ -80,7 +80,7 @@
 def test_changes_since_a_version_lead_from_it_to_the_newest(lists: list[dict[str, int]]) -> None:
     versions = Versions()
     for index, told in enumerate(lists, 1):
-        versions.tell(index, [{"name": name, "weight": weight} for name, weight in told.items()])
+        versions.publish(index, [{"name": name, "weight": weight} for name, weight in told.items()])
     newest = {name: {"name": name, "weight": weight} for name, weight in lists[-1].items()}
     for index, told in enumerate(lists, 1):
         whole, lines = versions.since(index)
@@ -97,7 +97,7 @@
 
 @contextmanager
 def service(folder: Path, rate: float = 0.0) -> Iterator[Process]:
-    made = Process("-m", "spoolbarrow.lab.listing", str(LIFE_S), str(rate), "0", "0.3", stdin=True)
+    made = Process("-m", "spoolbarrow.lab.list_service", str(LIFE_S), str(rate), "0", "0.3", stdin=True)
     try:
         tell_list(made, folder, 1, 1)
         yield made
@@ -108,11 +108,11 @@
 def tell_list(made: Process, folder: Path, index: int, count: int) -> None:
     lines = [{"name": f"e{n}", "address": f"@:{7000 + n}"} for n in range(count)]
     (folder / "list.json").write_text(json.dumps({"index": index, "endpoints": lines}))
-    made.tell(f"list {folder / 'list.json'}")
+    made.send_command(f"list {folder / 'list.json'}")
 
 
 def ask(made: Process, router: int, target: str = "/discovery/hosts") -> socket:
-    sock = create_connection((address(router), int(made.first_said())), WAIT_S)
+    sock = create_connection((router_address(router), int(made.first_output_line())), WAIT_S)
     sock.sendall(f"GET {target} HTTP/1.1\r\nHost: x\r\n\r\n".encode())
     return sock
 
@@ -142,32 +142,32 @@
 ) -> None:
     with service(tmp_path) as made:
         watches = [ask(made, router, WATCH % index) for router, index in ((0, 0), (300, 1))]
-        assert f"{address(0)}:7000".encode() in heard(watches[0], b"\n\r\n")
+        assert f"{router_address(0)}:7000".encode() in heard(watches[0], b"\n\r\n")
         assert b"e0" not in heard(watches[1], b"\n\r\n")  # it has that version
-        made.tell("0 mute")
+        made.send_command("0 mute")
         tell_list(made, tmp_path, 2, 2)
         told = heard(watches[1], b"e1")
-        assert f"{address(300)}:7001".encode() in told and b'"snapshot": false' in told
-        counts = made.ask("counts")
+        assert f"{router_address(300)}:7001".encode() in told and b'"snapshot": false' in told
+        counts = made.send_query("counts")
         assert counts["known"] == {"r0": 1, "r300": 2} and counts["lines"] == {"r0": 1, "r300": 1}
         watches[0].settimeout(0.2)
         with pytest.raises(TimeoutError):
             watches[0].recv(1)
-        made.tell("0 pass")
+        made.send_command("0 pass")
         watches[0].settimeout(WAIT_S)
         assert b"e1" in heard(watches[0], b"\n\r\n")
         tell_list(made, tmp_path, 3, 2)  # a version that changes nothing is told as such
         heard(watches[1], b'"index": 3, "snapshot": false, "endpoints": []')
         for sock in watches:
             sock.close()
-        until(lambda: made.ask("counts")["known"] == {})
+        until(lambda: made.send_query("counts")["known"] == {})
 
 
 def test_calls_beyond_the_rate_get_503_after_the_time_out_and_are_counted_by_router(tmp_path: Path) -> None:
     with service(tmp_path, rate=5.0) as made:  # 0.2 s a call, and 0.3 s of patience: two of five are served
         socks = [ask(made, router) for router in range(5)]
         codes = [heard(sock, b"\r\n\r\n").split()[1] for sock in socks]
-        told = made.ask("counts")
+        told = made.send_query("counts")
         assert codes.count(b"200") == 2 and codes.count(b"503") == 3, codes
         assert told["calls"] == {f"r{n}": 1 for n in range(5)} and sum(told["failed"].values()) == 3
         assert sum(told["seconds"]["calls"].values()) == 5 and 3 <= told["longest"] <= 5
@@ -176,33 +176,33 @@
 
 def test_the_services_faults_on_the_wire(tmp_path: Path) -> None:
     with service(tmp_path) as made:
-        made.tell("fail 1")
+        made.send_command("fail 1")
         assert b"503" in heard(ask(made, 0), b"\r\n\r\n")
-        made.tell("fail 0")
-        made.tell("1 half")
+        made.send_command("fail 0")
+        made.send_command("1 half")
         half = ask(made, 1)
         heard(half, b'"endpoi')
-        made.tell("2 deaf")
+        made.send_command("2 deaf")
         deaf = ask(made, 2)
         for sock in (half, deaf):
             sock.settimeout(0.2)
             with pytest.raises(TimeoutError):
                 sock.recv(1)
-        made.tell("3 cut")
+        made.send_command("3 cut")
         with pytest.raises(OSError), ask(made, 3) as cut:
             heard(cut, b"\r\n")
         watch = ask(made, 0, WATCH % 1)
         heard(watch, b"\n\r\n")
-        made.tell("down")
+        made.send_command("down")
         with pytest.raises(ConnectionResetError):
             heard(watch, b"never")
         with pytest.raises(ConnectionRefusedError):
             ask(made, 0)
-        made.tell("up")
+        made.send_command("up")
         assert b"e0" in heard(ask(made, 0), b"e0")
         for line in ("0 loud", "rate fast", "list nowhere", "up now", "r0 pass"):
             with pytest.raises(CommandFailed, match="error"):
-                made.tell(line)
+                made.send_command(line)
 
 
 # Engines
@@ -213,30 +213,30 @@
 def test_a_cold_engine_falls_just_where_rule_4_says(
     age: float, per_s: float, cold_from: float, factor: float
 ) -> None:
-    figures = Figures(per_s=per_s, cold_from=cold_from, overload_factor=factor)
+    figures = ColdEngineParameters(per_s=per_s, cold_from=cold_from, overload_factor=factor)
     n = factor * per_s * (cold_from + (1 - cold_from) * age / 10_000.0) * 2.0
     deviations = 3 if n < 30 else 2  # the operators' stricter term
     most = math.floor(n + deviations * math.sqrt(n) + deviations)
-    cold, warm = Cold(figures, 0.0), Cold(figures, 0.0, cold=False)
-    assert not any(cold.falls(age) for _ in range(most))
-    assert cold.falls(age) and not warm.falls(age)
-    assert not Cold(figures, 0.0).falls(10_000.0, 1e9)  # warm by now
-    spread = Cold(figures, 0.0)
+    cold, warm = ColdEngine(figures, 0.0), ColdEngine(figures, 0.0, cold=False)
+    assert not any(cold.overloads(age) for _ in range(most))
+    assert cold.overloads(age) and not warm.overloads(age)
+    assert not ColdEngine(figures, 0.0).overloads(10_000.0, 1e9)  # warm by now
+    spread = ColdEngine(figures, 0.0)
     early = max(0.0, age - 4_000.0)
-    assert not any(spread.falls(early) for _ in range(math.floor(spread.most(early))))
-    assert not spread.falls(early + 2_000.0) or early + 2_000.0 >= 10_000.0  # the first have left the window
+    assert not any(spread.overloads(early) for _ in range(math.floor(spread.tolerated_work(early))))
+    assert not spread.overloads(early + 2_000.0) or early + 2_000.0 >= 10_000.0  # the first have left the window
 
 
 def test_an_engine_works_in_turn_at_its_present_capacity_and_holds_so_many() -> None:
-    cold = Cold(Figures(per_s=10.0, cold_from=0.5, waiting=2), 0.0)
-    assert cold.take(0.0) == pytest.approx(200.0)  # half of ten a second
-    assert cold.take(0.0) == pytest.approx(200.0 + 100.0 / cold.ramp(200.0))
-    assert cold.take(0.0) is None and cold.waiting(250.0) == 1
-    assert cold.take(20_000.0, 3.0) == pytest.approx(20_300.0)
+    cold = ColdEngine(ColdEngineParameters(per_s=10.0, cold_from=0.5, waiting=2), 0.0)
+    assert cold.accept(0.0) == pytest.approx(200.0)  # half of ten a second
+    assert cold.accept(0.0) == pytest.approx(200.0 + 100.0 / cold.capacity_share(200.0))
+    assert cold.accept(0.0) is None and cold.queue_length(250.0) == 1
+    assert cold.accept(20_000.0, 3.0) == pytest.approx(20_300.0)
 
 
 def send(port: int, router: int, sent: int) -> socket:
-    sock = create_connection((address(router), port), WAIT_S)
+    sock = create_connection((router_address(router), port), WAIT_S)
     sock.sendall(
         f"POST /v1/chat/completions HTTP/1.1\r\nX-Correlation-Id: r{router}-{sent}\r\n"
         "X-Facts: prompt_len=40\r\nContent-Length: 2\r\n\r\n{}".encode()
@@ -245,31 +245,31 @@
 
 
 def test_a_cold_engine_that_fell_refuses_until_it_begins_anew_and_counts_who_sent_what() -> None:
-    figures = msgspec.json.encode(Figures(per_s=1.0, cold_from=0.5, connections=16)).decode()
+    figures = msgspec.json.encode(ColdEngineParameters(per_s=1.0, cold_from=0.5, connections=16)).decode()
     made = Process("-m", "spoolbarrow.lab.standin", str(LIFE_S), "1", figures, stdin=True)
     try:
-        port = int(made.first_said())
-        began = float(made.tell("0 restart"))
+        port = int(made.first_output_line())
+        began = float(made.send_command("0 restart"))
         assert abs(began / 1000 - time.time()) < WAIT_S
         with suppress(ConnectionError):  # N = 3: it bears 11 at first, 12 once N is 3.43
             for sent in range(20):
                 send(port, sent % 3, sent)
-        until(lambda: made.ask("counts")[0]["fallen"])
+        until(lambda: made.send_query("counts")[0]["fallen"])
         with pytest.raises(ConnectionRefusedError):
-            create_connection((address(0), port), WAIT_S)
-        (told,) = made.ask("counts")
+            create_connection((router_address(0), port), WAIT_S)
+        (told,) = made.send_query("counts")
         work = told["by_router"]["work"]
         assert told["falls"] == 1 and 12 <= sum(work.values()) <= 13
         assert work == {router: float(count) for router, count in told["asked"].items()}
         assert sum(told["by_router"]["handshakes"].values()) >= sum(work.values())
-        assert float(made.tell("0 restart")) > began
+        assert float(made.send_command("0 restart")) > began
         with send(port, 7, 0) as sock:
             heard(sock, b"[DONE]")
-        (told,) = made.ask("counts")
+        (told,) = made.send_query("counts")
         assert told["incarnation"] == 2 and not told["fallen"] and told["asked"]["r7"] == 1
-        held = [create_connection((address(8), port), WAIT_S) for _ in range(18)]
-        until(lambda: made.ask("counts")[0]["refused"] >= 2)  # of 18, as it holds 16
-        assert made.ask("counts")[0]["connections"] <= 16 and len(held) == 18
+        held = [create_connection((router_address(8), port), WAIT_S) for _ in range(18)]
+        until(lambda: made.send_query("counts")[0]["refused"] >= 2)  # of 18, as it holds 16
+        assert made.send_query("counts")[0]["connections"] <= 16 and len(held) == 18
     finally:
         made.end()
 
@@ -287,7 +287,7 @@
         lead = members.leader()
         back = (lead + 1) % 3
         members.kill(back)
-        members.keep(back)
+        members.save_file_copy(back)
         members.restart(back)
         until(lambda: members.put("k", b"new") > 0 and members.get(back, "k") == "new")
         members.kill(back)
@@ -320,10 +320,10 @@
 def test_the_command_names_what_is_faulty(capsys: pytest.CaptureFixture[str]) -> None:
     for argv, named in ((["unheard-of"], "unheard-of"), (["calm", "--routers", "0"], "--routers")):
         with pytest.raises(SystemExit) as ended:
-            script.main(argv)
+            fault_script.main(argv)
         assert ended.value.code == 2 and named in capsys.readouterr().err
     with pytest.raises(CommandFailed, match="known"):
         Cluster(Path(), {"a": 1}, ["a"], "", known="young")
     with pytest.raises(CommandFailed, match="begin"):  # a fault of the start, on routers that run
-        script.play(Cluster(Path(), {"a": 1}, ["a"], ""), script.SCRIPTS["third-gone"], begin=False)
-    assert router_at(address(70_000)) == "r70000" and router_at("127.0.0.1") == ""
+        fault_script.run_script(Cluster(Path(), {"a": 1}, ["a"], ""), fault_script.SCRIPTS["third-gone"], begin=False)
+    assert router_at(router_address(70_000)) == "r70000" and router_at("127.0.0.1") == ""
--- a/tests/test_fleet_pools.py
+++ b/tests/test_fleet_pools.py
@@ -27,9 +27,9 @@
 from spoolbarrow import interface as i
 from spoolbarrow.config import ListEntry
 from spoolbarrow.fleet.documents import EVIDENCE_PREFIX, Summary, encode_document
-from spoolbarrow.lab.cluster import Answer, Load, call
-from spoolbarrow.lab.followed import Followed, at_key, until
-from spoolbarrow.lab.members import ask
+from spoolbarrow.lab.cluster import Answer, Load, send_request
+from spoolbarrow.lab.store_following_cluster import StoreFollowingCluster, document_path, poll_until
+from spoolbarrow.lab.store_members import request_member
 from spoolbarrow.net import pool_split
 from spoolbarrow.net.http1 import HttpError, Message
 from spoolbarrow.net.observers import Observers
@@ -99,20 +99,20 @@
             ).encode()
             begun = time.monotonic()
             try:
-                status, _ = call(port, text, 20.0)
+                status, _ = send_request(port, text, 20.0)
             except (OSError, HttpError):
                 status = 0
             now = time.monotonic()
             self.answers.append(Answer(now, router, status, (now - begun) * 1000))
 
 
-class Fleet(Followed):
+class Fleet(StoreFollowingCluster):
     """Five routers, six engines, and three members."""
 
     def __init__(self, folder: Path) -> None:
         self.store = Members(folder)
         super().__init__(folder, ENGINES, 5, OPERATOR, self.store.controls, TAKEN_S, settings=SETTINGS)
-        self.started += [*self.store.processes, self.store.proxy]
+        self.processes += [*self.store.processes, self.store.proxy]
 
     def told(self, number: int) -> dict[str, Any]:
         """What a router tells of the part, with the decision that it acts on."""
@@ -147,7 +147,7 @@
             return told if same and right else None
 
         try:
-            split = until(one, seconds)[0]["split"]
+            split = poll_until(one, seconds)[0]["split"]
         except TimeoutError:
             raise AssertionError("\n".join(str(self.told(n)) for n in routers)) from None
         return split["readers"] if split is not None else []
@@ -160,17 +160,17 @@
     def say(self, router: str, sequence: int, body: bytes) -> None:
         """Write a summary by hand."""
         text = encode_document(Summary(router, "by-hand", sequence, time.time() * 1000.0, body))
-        until(
+        poll_until(
             lambda: any(
-                ask(member, "PUT", at_key(f"{EVIDENCE_PREFIX}{KIND}/{router}"), text)[0] == 200
+                request_member(member, "PUT", document_path(f"{EVIDENCE_PREFIX}{KIND}/{router}"), text)[0] == 200
                 for member in self.store.controls
             )
         )
 
     def list(self, *out: int) -> None:
         """Have the service list all engines but these."""
-        self.out = set(out)
-        self.list_again()
+        self.unlisted = set(out)
+        self.publish_list()
 
 
 @pytest.fixture(scope="module")
@@ -178,13 +178,13 @@
     made = Fleet(tmp_path_factory.mktemp("pools"))
     try:
         made.start()
-        made.engines.tell("* asked")
+        made.engines.send_command("* asked")
         load = Mixed(made)
         try:
             yield made, load
         finally:
             load.stop()
-        answered = Counter(one.status for one in load.answers if one.router not in made.ended)
+        answered = Counter(one.status for one in load.answers if one.router not in made.killed_routers)
         assert set(answered) <= {200, 503} and load.statuses()[200] > 50 > 10 * answered[503]
     finally:
         made.end()
@@ -209,15 +209,15 @@
 ) -> None:
     """Traffic that turns at once, one router seeing long prompts alone, one short ones: none before, and in
     SPLIT_S all tell one split, its item in the versions the same; engines get requests as before."""
-    until(lambda: {fleet.told(n)["why"] for n in ALL} == {"no gain predicted"}, SPLIT_S)
+    poll_until(lambda: {fleet.told(n)["why"] for n in ALL} == {"no gain predicted"}, SPLIT_S)
     load.longer = 3
     readers = fleet.wait_one(seconds=SPLIT_S, split=True)
     assert 0 < len(readers) < ENGINES
     split = fleet.told(0)["split"]
     assert set(split["reads_from"]) == {"r"} and split["late_with"] < split["late_without"]
     assert all(fleet.routers[n].events("fleet_split")[-1]["readers"] == len(readers) for n in ALL)
-    before = [fleet.sent(n) for n in range(ENGINES)]
-    until(lambda: all(fleet.sent(n) > before[n] for n in range(ENGINES)))  # told, not steered
+    before = [fleet.requests_sent(n) for n in range(ENGINES)]
+    poll_until(lambda: all(fleet.requests_sent(n) > before[n] for n in range(ENGINES)))  # told, not steered
 
 
 def test_summaries_of_yesterday_garbage_and_hostile_ones_count_as_absent(fleet: Fleet) -> None:
@@ -236,7 +236,7 @@
         map(decode_summary, hostile)
     )  # by their figures, not by their form
     bodies = [old.body(now - 86_400_000.0), b"\xff" * 500, *hostile]
-    holder = fleet.holder(KIND)
+    holder = fleet.lease_holder(KIND)
     before, sequence = fleet.decisions(holder), 0
     assert before > 0
 
@@ -248,7 +248,7 @@
         decided = fleet.told(holder)["decided"]
         return bool(decided["number"] >= before + 2 and decided["summaries"] == 10)
 
-    until(seen, LOST_S)
+    poll_until(seen, LOST_S)
     fleet.wait_one(split=True)
     assert {fleet.told(n)["split"]["since_ms"] for n in ALL} == {since}
 
@@ -256,7 +256,7 @@
 def test_an_engine_that_is_gone_is_named_by_nobody(fleet: Fleet) -> None:
     """One that reads leaves the list: in LOST_S all tell one split without it, or none."""
     gone = fleet.wait_one(split=True)[0]
-    fleet.list(fleet.names.index(gone))
+    fleet.list(fleet.engine_names.index(gone))
     fleet.wait_one(seconds=LOST_S, without=gone)
     fleet.list()
 
@@ -266,33 +266,33 @@
     file = fleet.folder / "operator0.toml"
     text = file.read_text()
     file.write_text(text.replace(f'parts = ["{KIND}"]', "parts = []").replace("revision = 1", "revision = 2"))
-    fleet.hang_up([0])
-    until(lambda: fleet.fleet(0)["parts"] == {} and fleet.acts(0, f"fleet/{KIND}") == (0, ""), LOST_S)
+    fleet.send_sighup([0])
+    poll_until(lambda: fleet.fleet_status(0)["parts"] == {} and fleet.applied_version(0, f"fleet/{KIND}") == (0, ""), LOST_S)
     file.write_text(text.replace("revision = 1", "revision = 3"))
-    fleet.hang_up([0])
-    until(lambda: fleet.fleet(0)["parts"], LOST_S)
+    fleet.send_sighup([0])
+    poll_until(lambda: fleet.fleet_status(0)["parts"], LOST_S)
     fleet.wait_one()
-    until(lambda: fleet.told(0)["own"]["answered"] > 0)
+    poll_until(lambda: fleet.told(0)["own"]["answered"] > 0)
 
 
 def test_a_holder_killed_between_decision_and_commit_leaves_no_half_of_it(fleet: Fleet) -> None:
     """SIGKILL while its decision is on the way, the write lost: the others tell one of theirs in TAKEN_S."""
     gone = fleet.wait_one(split=True)[0]
-    holder, epoch = fleet.holder(KIND), fleet.epoch(0, KIND)
+    holder, epoch = fleet.lease_holder(KIND), fleet.decision_epoch(0, KIND)
     left = [n for n in ALL if n != holder]
-    fleet.to_store("delay 120", [holder])  # each way: so long is a write on its way
+    fleet.set_store_fault("delay 120", [holder])  # each way: so long is a write on its way
 
     def made() -> int:
         return sum(e["kind"] == KIND for e in fleet.routers[holder].events("fleet_decided"))
 
     before = made()
-    fleet.list(fleet.names.index(gone))
-    until(lambda: made() > before, LOST_S)
+    fleet.list(fleet.engine_names.index(gone))
+    poll_until(lambda: made() > before, LOST_S)
     fleet.kill_router(holder)
-    fleet.to_store("reset", [holder])
+    fleet.set_store_fault("reset", [holder])
     fleet.wait_one(left, epoch=epoch + 1, without=gone)
     fleet.list()
-    fleet.to_store("pass")
+    fleet.set_store_fault("pass")
     fleet.restart_router(holder)
 
 
@@ -300,23 +300,23 @@
     """Three of five, the holder among them, cut off while a split stands and prompts get short again: none in
     SILENT_S, plain behaviour; the two others one decision of themselves in TAKEN_S."""
     fleet.wait_one(seconds=SPLIT_S, split=True)
-    holder, epoch = fleet.holder(KIND), fleet.epoch(0, KIND)
+    holder, epoch = fleet.lease_holder(KIND), fleet.decision_epoch(0, KIND)
     load.longer = 1
     cut = [(holder + n) % 5 for n in range(3)]
     left = [n for n in ALL if n not in cut]
-    fleet.to_store("drop", cut)
-    until(lambda: all(fleet.told(n)["acts"] is None for n in cut), SILENT_S)
+    fleet.set_store_fault("drop", cut)
+    poll_until(lambda: all(fleet.told(n)["acts"] is None for n in cut), SILENT_S)
     assert [fleet.readers(n) for n in cut] == [[]] * 3
     fleet.wait_one(left, epoch=epoch + 1)
-    fleet.to_store("pass")
+    fleet.set_store_fault("pass")
 
 
 def test_a_holder_that_was_stopped_and_wakes_writes_nothing(fleet: Fleet) -> None:
     """SIGSTOP until the others tell one newer decision (TAKEN_S), then SIGCONT: it tells theirs in
     TAKEN_S, and no older one was ever written."""
-    holder, epoch = fleet.holder(KIND), fleet.epoch(0, KIND)
+    holder, epoch = fleet.lease_holder(KIND), fleet.decision_epoch(0, KIND)
     left = [n for n in ALL if n != holder]
-    fleet.ended.add(holder)  # what its clients get while it is stopped is no test of it
+    fleet.killed_routers.add(holder)  # what its clients get while it is stopped is no test of it
     fleet.routers[holder].popen.send_signal(signal.SIGSTOP)
     try:
         fleet.wait_one(left, epoch=epoch + 1)
--- a/tests/test_fleet_store.py
+++ b/tests/test_fleet_store.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from spoolbarrow.lab.cluster import LISTEN, Process, free_ports
-from spoolbarrow.lab.members import ask
+from spoolbarrow.lab.store_members import request_member
 from tests.router_harness import wait_until
 
 LIFE_S = 120.0
@@ -27,12 +27,12 @@
         self.pairs = [(a, b) for a in range(3) for b in range(3) if a != b]
         self.proxy = Process(
             "-m",
-            "spoolbarrow.lab.proxy",
+            "spoolbarrow.lab.fault_proxy",
             str(LIFE_S),
             *(f"{LISTEN}:{self.listens[b]}" for _, b in self.pairs),
             stdin=True,
         )
-        self.fronts = self.proxy.first_said().split()
+        self.fronts = self.proxy.first_output_line().split()
         self.processes = [self.start(n) for n in range(3)]
         for one in self.processes:
             one.wait_for(lambda one=one: bool(one.events("store_started")))  # type: ignore[misc]
@@ -69,10 +69,10 @@
     def cut(self, number: int, mode: str) -> None:
         """At every gate to and from a member."""
         gates = [n for n, pair in enumerate(self.pairs) if number in pair]
-        self.proxy.tell(f"{','.join(map(str, gates))} {mode}")
+        self.proxy.send_command(f"{','.join(map(str, gates))} {mode}")
 
     def status(self, number: int) -> dict[str, Any]:
-        return ask(self.controls[number], "GET", "/v1/status")[1]
+        return request_member(self.controls[number], "GET", "/v1/status")[1]
 
     def leader(self, among: Any = range(3)) -> int:
         """A member that leads, and that a majority follows."""
@@ -89,7 +89,7 @@
         return wait_until(found)[0] if not (at := found()) else at[0]
 
     def get(self, number: int, key: str) -> tuple[str, int] | None:
-        code, told = ask(self.controls[number], "GET", f"/v1/store/{key}")
+        code, told = request_member(self.controls[number], "GET", f"/v1/store/{key}")
         return (told["value"], told["revision"]) if code == 200 else None
 
     def end(self) -> None:
@@ -113,7 +113,7 @@
         while not self._stop.is_set():
             key, number = f"k{number}", number + 1
             for member in self.made.controls:
-                code, told = ask(member, "PUT", f"/v1/store/{key}", key.encode() * self.size)
+                code, told = request_member(member, "PUT", f"/v1/store/{key}", key.encode() * self.size)
                 if code == 200:
                     self.written[key] = told["revision"]
                 if code in (200, 503):
@@ -176,7 +176,7 @@
         others = [n for n in range(3) if n != lost]
         made.leader(others)
         wait_until(lambda: made.status(lost)["role"] != "leader")
-        code, told = ask(made.controls[lost], "PUT", "/v1/store/alone", b"x")
+        code, told = request_member(made.controls[lost], "PUT", "/v1/store/alone", b"x")
         assert code == 409 and told["leader"] != f"m{lost}"
         assert made.get(lost, "k0") is not None  # what it had is told on
         writer.more(20)
@@ -194,7 +194,7 @@
             codes: list[tuple[int, int]] = []
 
             def change(who: int, expect: int = revision, codes: list[tuple[int, int]] = codes) -> None:
-                code, told = ask(at, "PUT", f"/v1/store/document?expect={expect}", b"by %d" % who)
+                code, told = request_member(at, "PUT", f"/v1/store/document?expect={expect}", b"by %d" % who)
                 codes.append((code, told["revision"]))
 
             operators = [threading.Thread(target=change, args=(who,)) for who in range(2)]
@@ -214,7 +214,7 @@
         assert "full" in made.status(1)["fault"] and made.status(1)["role"] == "stopped"
         made.leader([0, 2])
         writer.more(20)
-        code, told = ask(made.controls[1], "PUT", "/v1/store/x", b"x")
+        code, told = request_member(made.controls[1], "PUT", "/v1/store/x", b"x")
         assert code == 409 and "full" in told["error"]  # not unknown: nothing was done, others may be asked
 
 
@@ -246,7 +246,7 @@
         wait_until(lambda: made.status(back).get("applied", 0) >= had)
         made.kill(third)
         # Committed with the one that was begun again: so it has counted, and what it had was answered for.
-        wait_until(lambda: ask(made.controls[lead], "PUT", "/v1/store/on-both", b"x")[0] == 200)
+        wait_until(lambda: request_member(made.controls[lead], "PUT", "/v1/store/on-both", b"x")[0] == 200)
         made.kill(back)
         for file in tmp_path.glob(f"m{back}.store*"):
             file.unlink()
@@ -254,7 +254,7 @@
             shutil.copy(file, tmp_path)
         made.processes[back] = made.start(back)
         wait_until(lambda: made.status(back).get("behind"))
-        code, _ = ask(made.controls[lead], "PUT", "/v1/store/on-one", b"x")
+        code, _ = request_member(made.controls[lead], "PUT", "/v1/store/on-one", b"x")
         assert code != 200 and made.status(back)["behind"]  # two of three run, one counts
         assert made.processes[back].events("store_member_behind")
         made.processes[third] = made.start(third)
@@ -290,7 +290,7 @@
         str(tmp_path),
     )
     try:
-        made.wait_for(lambda: any("m0.store" in line and "not a database" in line for line in made.lines))
+        made.wait_for(lambda: any("m0.store" in line and "not a database" in line for line in made.log_lines))
         assert made.popen.wait(30) == 2
     finally:
         made.end()
--- a/tests/test_fleet_terms.py
+++ b/tests/test_fleet_terms.py
@@ -13,7 +13,7 @@
 import pytest
 from msgspec.structs import replace
 
-from spoolbarrow.lab.cold import Figures
+from spoolbarrow.lab.cold_engine import ColdEngineParameters
 from tests.fleet_record import COLD_FAULTS, FAULTS, Scene, draw_scene, play, report
 
 
@@ -39,7 +39,7 @@
 def few_left(seed: int, routers: int, attempts: int) -> Scene:
     """Of six engines two are left, both begin anew, and all that the six were asked for comes to them."""
     each = 30
-    figures = Figures(per_s=20.0, cold_from=0.12, cold_ms=4000.0, overload_factor=2.5, tip_after_ms=1000.0)
+    figures = ColdEngineParameters(per_s=20.0, cold_from=0.12, cold_ms=4000.0, overload_factor=2.5, tip_after_ms=1000.0)
     drawn = draw_scene(seed, routers, 4.5, each)
     chat = {"Name": "chat", "AimMs": 2000.0, "DeadlineMs": 4000.0, "Effect": "retryable", "Stream": True}
     settings = {
--- a/tests/test_lab_sites.py
+++ b/tests/test_lab_sites.py
@@ -7,7 +7,7 @@
 import pytest
 
 from spoolbarrow.lab.arrivals import draw_requests
-from spoolbarrow.lab.fleet import fleet, stream
+from spoolbarrow.lab.fleet import fleet, random_stream
 from spoolbarrow.lab.random_scenarios import capacity, random_scenario
 from spoolbarrow.lab.simulate import simulate
 
@@ -20,7 +20,7 @@
 
 def test_lengths_have_heavy_tails_within_their_bounds() -> None:
     drawn = random_scenario(1, True, 4, 20, 0.5, 60.0)
-    day = draw_requests(drawn, (), stream(1, "arrivals"))
+    day = draw_requests(drawn, (), random_stream(1, "arrivals"))
     for n, shape in enumerate(drawn.classes.values()):
         answers = sorted(one.answer for one in day if one.cls == n)
         assert answers[-1] <= shape.max_answer
@@ -30,7 +30,7 @@
 
 
 def test_the_list_tells_sizes_more_or_less_only_where_it_is_to() -> None:
-    specs = fleet(random_scenario(1, True, 4, 40, 0.5, 10.0), stream(1, "fleet"))
+    specs = fleet(random_scenario(1, True, 4, 40, 0.5, 10.0), random_stream(1, "fleet"))
     ratios = [spec.weight / spec.figures.speed for spec in specs]
     assert 0.85 < median(ratios) < 1.15 and len(set(ratios)) == len(ratios)
 
--- a/tests/test_lab_sockets.py
+++ b/tests/test_lab_sockets.py
@@ -11,11 +11,11 @@
 import pytest
 from gevent import socket
 
-from spoolbarrow.lab import sockets
+from spoolbarrow.lab import socket_run
 from spoolbarrow.lab.emulator import EmulatedDiscovery
-from spoolbarrow.lab.fleet import fleet, stream
+from spoolbarrow.lab.fleet import fleet, random_stream
 from spoolbarrow.lab.scenario import Scenario, convert
-from spoolbarrow.lab.wire import HOST, Clock, WireEngine
+from spoolbarrow.lab.wire_engine import HOST, Clock, WireEngine
 from spoolbarrow.net.http1 import HttpError, ResponseParser
 from tests.router_harness import ask, wait_until
 
@@ -39,7 +39,7 @@
 def engine() -> Iterator[WireEngine]:
     scenario = day()
     told: list[dict[str, Any]] = []
-    made = WireEngine(fleet(scenario, stream(1, "fleet"))[0], 2, Clock(), Random(1), told.append)
+    made = WireEngine(fleet(scenario, random_stream(1, "fleet"))[0], 2, Clock(), Random(1), told.append)
     made.told = told  # type: ignore[attr-defined]
     yield made
     made.close()
@@ -175,7 +175,7 @@
         troubles=[{"name": "router_death", "begin_s": 0.8, "length_s": 0.2, "part": 0.5}],
         front={"notice_s": 0.1},
     )
-    report = sockets.play(scenario, 3, processes=1)
+    report = socket_run.run_on_sockets(scenario, 3, processes=1)
     gevent.sleep(0)
     assert sum(report["outcomes"].values()) == report["requests"] > 5
     assert report["outcomes"]["served"] > 0 and report["tokens_worked"] > 0
--- a/tests/test_pacing.py
+++ b/tests/test_pacing.py
@@ -18,10 +18,10 @@
     hung_retry_ms,
     silent_retry_ms,
 )
-from spoolbarrow.lab.callers import BEGINNINGS, CASES, CLASSES, RATES, WAYS, Beginning, Result, heard, play
+from spoolbarrow.lab.list_call_simulation import START_CONDITIONS, CASES, CLASSES, RATES_PER_S, STRATEGIES, StartCondition, Result, simulate_notifications, simulate
 from spoolbarrow.router import Router
 
-BEFORE, *_, TOLD, BOUND, CHOSEN = WAYS
+BEFORE, *_, TOLD, BOUND, CHOSEN = STRATEGIES
 QUEUE_MS = 2_000.0  # longest wait of a call at a service that answers all within the deadline
 MARGIN_MS = 500.0
 
@@ -34,7 +34,7 @@
 
 def plays(way: str, case: int, rate: float, routers: int = 200) -> list[Result]:
     _, known, down = CASES[case]
-    return [play(WAYS[way], routers, rate, known, down, seed) for seed in range(3)]
+    return [simulate(STRATEGIES[way], routers, rate, known, down, seed) for seed in range(3)]
 
 
 @settings(derandomize=True, max_examples=300, deadline=None)
@@ -88,7 +88,7 @@
         assert 0.4 * len(times) / 10 <= len(part) <= 1.6 * len(times) / 10 + 1
 
 
-@pytest.mark.parametrize("rate", RATES)
+@pytest.mark.parametrize("rate", RATES_PER_S)
 @pytest.mark.parametrize("case", range(2))
 def test_a_configured_rate_prevents_overload(case: int, rate: float) -> None:
     """200 routers start in one second: at most 1.1 calls each, 1 % failed, and half the timeout waited."""
@@ -100,23 +100,23 @@
 @pytest.mark.parametrize("case", range(len(CASES)))
 def test_without_a_rate_the_service_is_never_idle_and_every_router_gets_the_list(case: int) -> None:
     """A service too slow for the deadline: all have the list within 1.25 times the least time it needs."""
-    for rate in RATES:
+    for rate in RATES_PER_S:
         for result in plays(CHOSEN, case, rate):
             assert result.last <= 1.25 and result.half <= 1.25
             assert result.calls <= 1.0 + 60.0 / rate  # of one router in the 200 / RATE s: one in 3.3 s
 
 
-@pytest.mark.parametrize("beginning", BEGINNINGS)
+@pytest.mark.parametrize("beginning", START_CONDITIONS)
 @pytest.mark.parametrize("routers, rate", [(1, 10.0), (40, 15.0), (200, 45.0), (200, 75.0)])
 def test_all_routers_have_changes_within_the_deadline_at_a_sufficient_rate(
-    beginning: Beginning, routers: int, rate: float
+    beginning: StartCondition, routers: int, rate: float
 ) -> None:
     """Limits: 5.5 s after the service is reachable; 1.5 calls per router, 1 % of them failed."""
     if beginning == "silent at once" and rate == 45.0:
         return  # all calls come within 0.25 s, after 2.5 s, which needs a rate of 75 per second
     for seed in range(20):
-        found = heard(beginning, routers, rate, seed)
-        assert max(found.told) <= LIST_DEADLINE_MS - MARGIN_MS
+        found = simulate_notifications(beginning, routers, rate, seed)
+        assert max(found.notified_after_ms) <= LIST_DEADLINE_MS - MARGIN_MS
         assert found.calls <= 1.5 * routers and found.failed <= 0.01 * found.calls
 
 
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -16,7 +16,7 @@
 
 from spoolbarrow.interface import ListKind, ReplicaEntry, ReplicaList, RequestArrived
 from spoolbarrow.lab.cluster import Load, cluster
-from spoolbarrow.lab.cold import Figures
+from spoolbarrow.lab.cold_engine import ColdEngineParameters
 from spoolbarrow.lab.slow_start_exposure import Rule, Traffic, play
 from spoolbarrow.router import ClassStats, ReplicaPool, Request, Router
 from tests.world import make_settings, serving_list
@@ -123,7 +123,7 @@
 
     Their capacity is so low that their reports, which arrive late, cannot protect them alone.
     """
-    figures = Figures(
+    figures = ColdEngineParameters(
         per_s=PER_S,
         cold_from=0.02,
         cold_ms=4 * COLD_MS,
--- a/tests/test_slow_start_load.py
+++ b/tests/test_slow_start_load.py
@@ -13,7 +13,7 @@
 import pytest
 
 from spoolbarrow.interface import RequestClass, Settings
-from spoolbarrow.lab.cold import bears
+from spoolbarrow.lab.cold_engine import tolerated_requests
 from spoolbarrow.lab.slow_start_load import Burst, Case, play
 
 # Seeds of `drawn` at which engines fell while the chance to be sent somewhere was that of each request asked.
@@ -93,7 +93,7 @@
 
 @pytest.mark.parametrize("budget, limit", [(9.0, 21.0), (25.0, 43.0), (36.0, 50.0), (100.0, 122.0)])
 def test_the_limit_is_the_stricter_terms_own(budget: float, limit: float) -> None:
-    assert bears(budget) == pytest.approx(limit)
+    assert tolerated_requests(budget) == pytest.approx(limit)
 
 
 @pytest.mark.parametrize("seed", FELL, ids=FELL.values())
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -11,8 +11,8 @@
 import msgspec
 import pytest
 
-from spoolbarrow.lab import quorum
-from spoolbarrow.lab.quorum import survives
+from spoolbarrow.lab import raft_histories
+from spoolbarrow.lab.raft_histories import find_violation
 from spoolbarrow.store import raft as r
 from spoolbarrow.store import state
 from spoolbarrow.store.disk import Disk, DiskError
@@ -205,7 +205,7 @@
     dialogue(Raft)
 
 
-@pytest.mark.parametrize("mutant", quorum.MUTANTS)
+@pytest.mark.parametrize("mutant", raft_histories.MUTANTS)
 def test_each_bug_put_in_on_purpose_is_found_by_a_dialogue(mutant: type[Raft]) -> None:
     found = []
     for dialogue in DIALOGUES:
@@ -266,30 +266,30 @@
 @pytest.mark.parametrize("size", [3, 5])
 @pytest.mark.parametrize("seed", range(25))
 def test_histories_under_faults_keep_what_must_hold(seed: int, size: int) -> None:
-    assert survives(seed, size) == ""
+    assert find_violation(seed, size) == ""
 
 
-@pytest.mark.parametrize("aim", [quorum.LEADERS, quorum.OLDER])
+@pytest.mark.parametrize("aim", [raft_histories.LEADER_FAULTS, raft_histories.OLD_FILE_FAULTS])
 @pytest.mark.parametrize("seed", range(10))
-def test_histories_that_aim_at_leaders_and_older_files_keep_it_too(seed: int, aim: quorum.Aim) -> None:
-    assert [survives(seed, size, aim=aim) for size in (3, 5)] == ["", ""]
+def test_histories_that_aim_at_leaders_and_older_files_keep_it_too(seed: int, aim: raft_histories.FaultMix) -> None:
+    assert [find_violation(seed, size, aim=aim) for size in (3, 5)] == ["", ""]
 
 
 @pytest.mark.parametrize(
     ("mutant", "seed", "size", "aim"),
     [
-        (quorum.CommitsOldTerm, 92, 5, quorum.LEADERS),
-        (quorum.CommitsBeyond, 2, 3, quorum.LEADERS),
-        (quorum.TrustsItsFile, 42, 3, quorum.OLDER),
-        (quorum.SureTooSoon, 57, 3, quorum.ANY),
+        (raft_histories.CommitsOldTerm, 92, 5, raft_histories.LEADER_FAULTS),
+        (raft_histories.CommitsBeyond, 2, 3, raft_histories.LEADER_FAULTS),
+        (raft_histories.TrustsItsFile, 42, 3, raft_histories.OLD_FILE_FAULTS),
+        (raft_histories.SureTooSoon, 57, 3, raft_histories.ANY_FAULTS),
     ],
 )
 def test_a_history_loses_what_was_committed_by_a_bug(
-    mutant: type[Raft], seed: int, size: int, aim: quorum.Aim
+    mutant: type[Raft], seed: int, size: int, aim: raft_histories.FaultMix
 ) -> None:
-    found = survives(seed, size, mutant, aim)
+    found = find_violation(seed, size, mutant, aim)
     assert "was applied" in found or "never replaced" in found
-    assert survives(seed, size, aim=aim) == ""
+    assert find_violation(seed, size, aim=aim) == ""
 
 
 @pytest.mark.parametrize(
--- a/tests/test_watch_races.py
+++ b/tests/test_watch_races.py
@@ -21,7 +21,7 @@
 from spoolbarrow import interface as i
 from spoolbarrow.config import Config, HostList, ListEntry
 from spoolbarrow.fleet.pacing import call_spread_ms
-from spoolbarrow.lab.wire import PLAIN
+from spoolbarrow.lab.wire_engine import PLAIN_RESPONSE
 from spoolbarrow.net import discovery_client, http1
 from spoolbarrow.net.destinations import DestinationSet
 from spoolbarrow.net.host import Host
@@ -68,7 +68,7 @@
             self.watches.append(sock)
             sock.sendall(self.watch_start)
         elif self.whole_list:
-            sock.sendall(PLAIN % (b"200 OK", b"", len(self.whole_list), self.whole_list))
+            sock.sendall(PLAIN_RESPONSE % (b"200 OK", b"", len(self.whole_list), self.whole_list))
         return None
 
     def watched_from(self) -> list[bytes]:
@@ -390,7 +390,7 @@
         for index in (8, 9) if first == 8 else (9, 8):
             status = "in_service" if index == 8 else "terminating"
             text = list_line(index, endpoint_entry("e0", 1, status=status), whole=True)
-            call_sockets[index - 8].sendall(PLAIN % (b"200 OK", b"", len(text), text))
+            call_sockets[index - 8].sendall(PLAIN_RESPONSE % (b"200 OK", b"", len(text), text))
         wait_until(lambda: service.watches)
         assert service.watched_from() == [b"9"]
         assert watched.states("e0") == [*before, i.ReplicaState.DRAINING]
@@ -413,7 +413,7 @@
         wait_until(lambda: len(call_sockets) == 4)
         texts = [list_line(8, whole=True), list_line(9, whole=True), list_line(8, whole=True), b"[]"]
         for sock, text in zip(call_sockets, texts, strict=True):
-            sock.sendall(PLAIN % (b"200 OK", b"", len(text), text))
+            sock.sendall(PLAIN_RESPONSE % (b"200 OK", b"", len(text), text))
         wait_until(lambda: len(watched.reported) > 1)
         assert watched.kinds()[:2] == [i.ListKind.RESTORED, i.ListKind.WHOLE] and watched.set.seen()[0] == 9
 
