--- a/spoolbarrow/lab/policies.py
+++ b/spoolbarrow/lab/policies.py
@@ -266,9 +266,9 @@
 
 def admission_policy(settings: Settings, seed: int, truth: EngineOracle) -> RoutingPolicy:
     """The router's own decisions behind its admission service."""
-    from spoolbarrow.lab.doored import Doored
+    from spoolbarrow.lab.admission_policy import AdmissionPolicy
 
-    return Doored(settings, seed)
+    return AdmissionPolicy(settings, seed)
 
 
 def failover_router(settings: Settings, seed: int, truth: EngineOracle) -> RoutingPolicy:
--- a/spoolbarrow/lab/random_scenarios.py
+++ b/spoolbarrow/lab/random_scenarios.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 from spoolbarrow.lab.arrivals import PlannedRequest, draw_requests
-from spoolbarrow.lab.fleet import Spec, fleet, stream
+from spoolbarrow.lab.fleet import EngineSpec, fleet, random_stream
 from spoolbarrow.lab.scenario import Scenario, convert
 
 # By whether there are many shared prefixes: slots, memory in tokens, step in ms, ms for a stream, ms for
@@ -97,7 +97,7 @@
     seed: int, many: bool, routers: int, engines: int, load: float, length_s: float
 ) -> Scenario:
     """A random deployment and its scenario: `load` is a share of the engines' capacity."""
-    rng = stream(seed, "site")
+    rng = random_stream(seed, "site")
     shares = [rng.uniform(0.2, 0.5) for _ in range(KIND_COUNT)]
     parts = [rng.uniform(0.2, 0.45) for _ in range(CLASS_COUNT)]
     raw: dict[str, Any] = {
@@ -128,11 +128,11 @@
     rate x answer x T running requests, so T = step / (1 - rate x cost), where cost is what a request adds to
     steps.
     """
-    requests = draw_requests(scenario, (), stream(seed, "arrivals"))
-    return _mean_rate(requests, fleet(scenario, stream(seed, "fleet")), scenario)
+    requests = draw_requests(scenario, (), random_stream(seed, "arrivals"))
+    return _mean_rate(requests, fleet(scenario, random_stream(seed, "fleet")), scenario)
 
 
-def _mean_rate(requests: Iterable[PlannedRequest], specs: list[Spec], scenario: Scenario) -> float:
+def _mean_rate(requests: Iterable[PlannedRequest], specs: list[EngineSpec], scenario: Scenario) -> float:
     ended: dict[int, int] = {}
     count = new = answer = context = pairs = 0.0
     for one in requests:
--- a/spoolbarrow/lab/simulate.py
+++ b/spoolbarrow/lab/simulate.py
@@ -13,8 +13,8 @@
 from time import perf_counter
 from typing import Any
 
-from spoolbarrow.lab.directory import Directory
-from spoolbarrow.lab.fleet import Planned, plan, stream
+from spoolbarrow.lab.simulated_discovery import SimulatedDiscovery
+from spoolbarrow.lab.fleet import PlannedTrouble, plan, random_stream
 from spoolbarrow.lab.kinds import draw
 from spoolbarrow.lab.run_report import build_report
 from spoolbarrow.lab.scenario import Scenario
@@ -42,7 +42,7 @@
         self.plans = plan(scenario, self.stream("troubles"))
         self.violations: dict[str, int] = {}
         self.engines = Engines(self)
-        self.directory = Directory(
+        self.directory = SimulatedDiscovery(
             scenario.discovery, [m.entry() for m in self.engines.by_id.values()], self.stream("discovery")
         )
         self.routers = Routers(self)
@@ -51,7 +51,7 @@
     def stream(self, name: str) -> Random:
         """A random generator for one purpose, independent of the draws of the others."""
         label = f"{name} {self.replay}" if self.replay and name not in REPLAYED_STREAMS else name
-        return stream(self.seed, label)
+        return random_stream(self.seed, label)
 
     def delay(self, low_high: Any) -> float:
         """A one-way delay, with jitter."""
@@ -102,7 +102,7 @@
 
     # --- faults
 
-    def _schedule(self, planned: Planned) -> None:
+    def _schedule(self, planned: PlannedTrouble) -> None:
         t = planned.trouble
         begin = self.scenario.lead_ms() + t.begin_s * 1000.0
         end = begin + t.length_s * 1000.0
@@ -126,7 +126,7 @@
                 machines.schedule_trouble(machines.initial[number], planned, begin, end)
 
     def _down(self, until: float) -> None:
-        for change in self.directory.down(self.clock.now, until):
+        for change in self.directory.fail_until(self.clock.now, until):
             self.clock.at(change.at, self.routers.list_received, change)
 
     def _stale(self, behind_ms: float) -> None:
--- a/spoolbarrow/lab/simulated_engines.py
+++ b/spoolbarrow/lab/simulated_engines.py
@@ -13,7 +13,7 @@
 from spoolbarrow import interface as i
 from spoolbarrow.lab.arrivals import PlannedRequest
 from spoolbarrow.lab.engine import Engine, EngineRequest, EventKind, SubmitResult
-from spoolbarrow.lab.fleet import Planned, Spec, fleet, moves
+from spoolbarrow.lab.fleet import PlannedTrouble, EngineSpec, fleet, engine_actions
 from spoolbarrow.lab.run_report import Record, work_report
 from spoolbarrow.lab.simulation_state import Attempt, EngineProcess, RouterProcess, SimulationContext
 
@@ -44,7 +44,7 @@
             "put": setattr,
         }
 
-    def _engine(self, spec: Spec, now: float, cold: bool) -> Engine:
+    def _engine(self, spec: EngineSpec, now: float, cold: bool) -> Engine:
         return Engine(spec.figures, Random(self.rng.random()), now, cold)
 
     # --- attempts and probes on the network
@@ -208,11 +208,11 @@
 
     # --- faults
 
-    def schedule_trouble(self, machine: EngineProcess, planned: Planned, begin: float, end: float) -> None:
+    def schedule_trouble(self, machine: EngineProcess, planned: PlannedTrouble, begin: float, end: float) -> None:
         """Schedule the effects of a fault on one engine."""
         # When a trickle ends, the rest of a stream arrives at once.
         machine.trickle_end = end if planned.trouble.name == "trickle" else machine.trickle_end
-        for at, move, args in moves(planned, machine.spec.figures, self.rng, begin):
+        for at, move, args in engine_actions(planned, machine.spec.figures, self.rng, begin):
             self.clock.at(at, self.moves[move], machine, *args)
 
     def _stall(self, machine: EngineProcess, until: float) -> None:
@@ -232,11 +232,11 @@
             machine.cut[number] = until
 
     def _change(self, machine: EngineProcess, silent: bool = False) -> None:
-        at = self.sim.directory.changed(self.clock.now, machine.entry(), silent)
+        at = self.sim.directory.record_change(self.clock.now, machine.entry(), silent)
         self.clock.at(at, self._publish_changes)
 
     def _publish_changes(self) -> None:
-        for change in self.sim.directory.due(self.clock.now):
+        for change in self.sim.directory.deliver_due(self.clock.now):
             self.clock.at(change.at, self.sim.routers.list_received, change)
 
     def _drain(self, machine: EngineProcess) -> None:
--- a/spoolbarrow/lab/simulated_routers.py
+++ b/spoolbarrow/lab/simulated_routers.py
@@ -8,7 +8,7 @@
 from time import perf_counter_ns
 
 from spoolbarrow import interface as i
-from spoolbarrow.lab.directory import Told
+from spoolbarrow.lab.simulated_discovery import Notification
 from spoolbarrow.lab.policies import POLICIES
 from spoolbarrow.lab.simulation_state import (
     ROUTER_UP_DELAY_MS,
@@ -33,7 +33,7 @@
     def begin(self) -> None:
         """Start all routers, each with the present list."""
         for router in self.all:
-            router.list = dict(self.sim.directory.shown)
+            router.list = dict(self.sim.directory.listed)
             self._start(router)
 
     def _start(self, router: RouterProcess) -> None:
@@ -62,7 +62,7 @@
             self.sim.clients.connection_lost(pending.call)
             del self.sim.clients.calls[pending.id]
         router.opens.clear()
-        self.sim.directory.leave(router.number)
+        self.sim.directory.remove_caller(router.number)
         self.sim.clients.router_died(router)
 
     def drain(self, router: RouterProcess, grace_ms: float) -> None:
@@ -108,14 +108,14 @@
                 assert isinstance(action, (i.Refuse, i.Fail))
                 self._answer(router, action)
             else:
-                change = self.sim.directory.call(now, router.number)
+                change = self.sim.directory.request_list(now, router.number)
                 self.clock.at(change.at, self.list_received, change, router.life)
 
     def _fire(self, router: RouterProcess, life: int, token: str) -> None:
         if router.life == life:
             self.process_events(router, [i.TimerFired(token)])
 
-    def list_received(self, change: Told, life: int = -1) -> None:
+    def list_received(self, change: Notification, life: int = -1) -> None:
         """Deliver a list or an update from discovery to a router."""
         router = self.all[change.caller]
         if router.policy is None or (life >= 0 and life != router.life):
@@ -125,7 +125,7 @@
             if router.number not in self.sim.directory.watches:
                 kind = i.ListKind.FAILED  # discovery went down while the call waited
             else:
-                entries = self.sim.directory.whole()
+                entries = self.sim.directory.full_list()
                 for gone in set(router.list) - {e.replica for e in entries}:
                     del router.list[gone]
                     router.away.setdefault(gone, self.clock.now)
--- a/spoolbarrow/lab/simulation_state.py
+++ b/spoolbarrow/lab/simulation_state.py
@@ -13,9 +13,9 @@
 
 from spoolbarrow import interface as i
 from spoolbarrow.lab.arrivals import PlannedRequest
-from spoolbarrow.lab.directory import Directory, Told
+from spoolbarrow.lab.simulated_discovery import SimulatedDiscovery, Notification
 from spoolbarrow.lab.engine import Engine
-from spoolbarrow.lab.fleet import Planned, Spec
+from spoolbarrow.lab.fleet import PlannedTrouble, EngineSpec
 from spoolbarrow.lab.policies import EngineOracle, RoutingPolicy
 from spoolbarrow.lab.run_report import Record
 from spoolbarrow.lab.scenario import Scenario
@@ -32,7 +32,7 @@
         "spoilt", "trickle", "trickle_end", "flights", "armed", "started_at",
     )  # fmt: skip
 
-    def __init__(self, spec: Spec, name: str, engine: Engine) -> None:
+    def __init__(self, spec: EngineSpec, name: str, engine: Engine) -> None:
         self.spec = spec
         self.id = name
         self.engine = engine
@@ -142,7 +142,7 @@
 
     all: list[RouterProcess]
 
-    def list_received(self, change: Told, life: int = -1) -> None:
+    def list_received(self, change: Notification, life: int = -1) -> None:
         """Deliver a list or an update from discovery to a router."""
 
     def started(self, attempt: Attempt) -> None:
@@ -208,8 +208,8 @@
     scenario: Scenario
     policy: str
     clock: VirtualClock
-    plans: list[Planned]
-    directory: Directory
+    plans: list[PlannedTrouble]
+    directory: SimulatedDiscovery
 
     @property
     def engines(self) -> SimulatedEngines:
--- a/tests/test_slow_start_load.py
+++ b/tests/test_slow_start_load.py
@@ -13,7 +13,7 @@
 import pytest
 
 from spoolbarrow.interface import RequestClass, Settings
-from spoolbarrow.lab.cold import bears
+from spoolbarrow.lab.cold_engine import tolerated_requests
 from spoolbarrow.lab.slow_start_load import Burst, Case, play
 
 # Seeds of `random_case` at which engines crashed while the chance to be sent to an engine in slow start was
@@ -94,7 +94,7 @@
 
 @pytest.mark.parametrize("budget, limit", [(9.0, 21.0), (25.0, 43.0), (36.0, 50.0), (100.0, 122.0)])
 def test_the_limit_is_the_stricter_of_both_terms(budget: float, limit: float) -> None:
-    assert bears(budget) == pytest.approx(limit)
+    assert tolerated_requests(budget) == pytest.approx(limit)
 
 
 @pytest.mark.parametrize("seed", CRASH_SEEDS, ids=CRASH_SEEDS.values())
