--- a/benchmarks/door.py
+++ b/benchmarks/admission.py
@@ -1,6 +1,6 @@
 """The door measured: shares under contention, promises kept, memory, cost, worth against no door.
 
-    python benchmarks/door.py [--short]
+    python benchmarks/admission.py [--short]
 
 The short form plays fewer and shorter days. All of it in the lab, from fixed seeds; the memory of the door
 alone, in a process of its own.
@@ -25,7 +25,7 @@
 ROOT = Path(__file__).resolve().parent.parent
 sys.path[:0] = [str(ROOT), str(ROOT / "benchmarks")]
 
-from rig import anonymous_kb  # noqa: E402
+from paired_routers import anonymous_kb  # noqa: E402
 
 from spoolbarrow import interface as i  # noqa: E402
 from spoolbarrow.admission import controller as d  # noqa: E402
--- a/benchmarks/gone.py
+++ b/benchmarks/client_disconnects.py
@@ -1,6 +1,6 @@
 """Clients that go: attempts begun over 0.1 s after that, by routers with little processor time.
 
-    python benchmarks/gone.py [--short]
+    python benchmarks/client_disconnects.py [--short]
 
 Pairs of routers get the same requests at the same times, from clients that go the same way: one as it is,
 one that knows of a client's end only what it has read. Each runs for a part of the time only, as one that
@@ -30,7 +30,7 @@
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 
-import standin
+import stub_servers
 from gevent import socket
 
 from spoolbarrow.net import tcpinfo
@@ -51,7 +51,7 @@
 MORE = 8  # requests that some send at once: more than a router reads ahead
 LATE_S = 1.5  # between two connections that the late engine takes
 TURNED_AWAY = b"HTTP/1.1 503 Service Unavailable\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n"
-SERVED = standin.HEAD + standin.chunk(standin.EVENT) + standin.chunk(b"data: [DONE]\n\n") + b"0\r\n\r\n"
+SERVED = stub_servers.HEAD + stub_servers.chunk(stub_servers.EVENT) + stub_servers.chunk(b"data: [DONE]\n\n") + b"0\r\n\r\n"
 ANSWERS = (TURNED_AWAY, SERVED, b"", SERVED)  # of each engine; nothing: it stays silent
 
 
@@ -64,7 +64,7 @@
         for number, answer in enumerate(ANSWERS):
             late = number == len(ANSWERS) - 1
             listener = socket.socket()
-            listener.bind((standin.HOST, 0))
+            listener.bind((stub_servers.HOST, 0))
             listener.listen(0 if late else 1024)
             self.ports.append(listener.getsockname()[1])
             gevent.spawn(self._accept, listener, answer, late)
@@ -92,13 +92,13 @@
 
 def settings(port: int, engines: list[int]) -> dict[str, Any]:
     """A router's configuration: its list is known, and discovery is down."""
-    made = standin.config(port, 1)
+    made = stub_servers.config(port, 1)
     made["settings"]["Limits"]["ConnectTimeoutMs"] = 4000.0
     made["known"] = {
         "index": 1,
         "snapshot": True,
         "endpoints": [
-            {"name": f"e{n}", "address": f"{standin.HOST}:{one}", "zone": "a", "type": "m"}
+            {"name": f"e{n}", "address": f"{stub_servers.HOST}:{one}", "zone": "a", "type": "m"}
             for n, one in enumerate(engines)
         ],
     }
@@ -108,7 +108,7 @@
 def start(directory: Path, name: str, before: str, engines: list[int]) -> tuple[subprocess.Popen[bytes], int]:
     """A router, and its port; it serves."""
     with socket.socket() as probe:
-        probe.bind((standin.HOST, 0))
+        probe.bind((stub_servers.HOST, 0))
         port: int = probe.getsockname()[1]
     file = directory / f"{name}.json"
     file.write_bytes(orjson.dumps(settings(port, engines)))
@@ -118,7 +118,7 @@
         process = subprocess.Popen([sys.executable, "-c", code], cwd=ROOT, env=told, stderr=log)
     for _ in range(600):
         with socket.socket() as sock:
-            if not sock.connect_ex((standin.HOST, port)):
+            if not sock.connect_ex((stub_servers.HOST, port)):
                 return process, port
         gevent.sleep(0.05)
     process.kill()
@@ -149,7 +149,7 @@
     """Ask, and go (or read what comes); notes when it went by the name of each of its requests."""
     sock = socket.socket()
     with suppress(OSError), sock:
-        sock.connect((standin.HOST, port))
+        sock.connect((stub_servers.HOST, port))
         sock.sendall(b"".join(map(request, names)))
         if way == "stay":
             sock.settimeout(4.0)
@@ -211,7 +211,7 @@
 def look_us(times: int = 50_000) -> float:
     """What one look for a client's end takes, us."""
     with socket.socket() as listener:
-        listener.bind((standin.HOST, 0))
+        listener.bind((stub_servers.HOST, 0))
         listener.listen(1)
         ours = socket.create_connection(listener.getsockname())
         theirs, _ = listener.accept()
--- a/benchmarks/told.py
+++ b/benchmarks/drain_propagation.py
@@ -1,6 +1,6 @@
 """How late a fleet hears of a drain that its list service could tell, whatever calls failed before.
 
-    python benchmarks/told.py [--short] [--before TREE]
+    python benchmarks/drain_propagation.py [--short] [--before TREE]
 
 Real routers (1 and 40; 12 in the short form) with clients, and an engine that drains while the service fails
 in each way of `lab/told.py`: seconds from when a new call could be answered to a router's last request
--- a/benchmarks/drains.py
+++ b/benchmarks/drains.py
@@ -2,7 +2,7 @@
 
     python benchmarks/drains.py [--short] [--seeds 50] [--from 1] [--beside 3] [--shim]
 
-Each seed draws a run of real processes (`tests/drain_scenes.py`); `--beside` of them are played at once. With
+Each seed draws a run of real processes (`tests/drain_runs.py`); `--beside` of them are played at once. With
 `--shim` the routers' system calls fail and fall short, and wall clocks differ (`benchmarks/shims`).
 """
 
@@ -19,7 +19,7 @@
 ROOT = Path(__file__).resolve().parent.parent
 sys.path.insert(0, str(ROOT))
 
-from tests.drain_scenes import broken, draw  # noqa: E402
+from tests.drain_runs import violation_report, draw_drain_run  # noqa: E402
 
 LONGEST_S = 120.0  # of one run, its processes' start among it
 
@@ -49,7 +49,7 @@
         os.environ["PYTHONPATH"] = str(ROOT / "benchmarks" / "shims")
     if given.one is not None:
         with tempfile.TemporaryDirectory() as folder:
-            print(broken(Path(folder), draw(given.one)), end="")
+            print(violation_report(Path(folder), draw_drain_run(given.one)), end="")
         return 0
     seeds = range(given.first, given.first + (2 if given.short else given.seeds))
     failed = 0
--- a/benchmarks/event_delay.py
+++ b/benchmarks/event_delay.py
@@ -31,7 +31,7 @@
 import gevent
 import msgspec
 import orjson
-import standin
+import stub_servers
 from gevent import socket
 
 from spoolbarrow import config
@@ -45,7 +45,7 @@
 STREAMS, GAP_S = 20, 0.05  # of timed events at once; between the events of one
 ALLOWED_S = 0.3
 BURST, BURST_EVERY_S = 100, 3.0  # requests that come at once
-FLOOD = standin.chunk(b"data: " + b"x" * 60 + b"\n\n") * 200
+FLOOD = stub_servers.chunk(b"data: " + b"x" * 60 + b"\n\n") * 200
 COLLECTED = ((1000, 2000), (480, 480))  # open requests and connections
 
 
@@ -53,16 +53,16 @@
     """Streams by the name of the request: timed, flooding, or one that has begun and says no more."""
 
     def __init__(self) -> None:
-        self.listener = standin.listen()
-        gevent.spawn(standin.serve, self.listener, self._answer)
+        self.listener = stub_servers.listen()
+        gevent.spawn(stub_servers.serve, self.listener, self._answer)
 
     def _answer(self, sock: Any, message: Message) -> None:
         name = message.fields[b"x-correlation-id"]
-        sock.sendall(standin.HEAD + standin.chunk(standin.EVENT))
+        sock.sendall(stub_servers.HEAD + stub_servers.chunk(stub_servers.EVENT))
         if name.startswith(b"timed"):
             for _ in range(200):
                 gevent.sleep(random.uniform(0.5, 1.5) * GAP_S)
-                sock.sendall(standin.chunk(b"data: %.6f\n\n" % time.monotonic()))
+                sock.sendall(stub_servers.chunk(b"data: %.6f\n\n" % time.monotonic()))
         while name.startswith((b"flood", b"slow")):
             sock.sendall(FLOOD)
             gevent.sleep(0)
@@ -72,8 +72,8 @@
 
 def settings(port: int, engine: Engine) -> dict[str, Any]:
     """A router's configuration: its list is known, and discovery is down."""
-    made = standin.config(port, 1)
-    address = f"{standin.HOST}:{engine.listener.getsockname()[1]}"
+    made = stub_servers.config(port, 1)
+    address = f"{stub_servers.HOST}:{engine.listener.getsockname()[1]}"
     made["known"] = {
         "index": 1,
         "snapshot": True,
@@ -95,7 +95,7 @@
 
 def connect(port: int, name: str = "") -> Any:
     """A client's connection, with a request on it where it has a name."""
-    sock = socket.create_connection((standin.HOST, port))
+    sock = socket.create_connection((stub_servers.HOST, port))
     if name:
         sock.sendall(request(name))
     return sock
@@ -139,7 +139,7 @@
     """The delays of events, with trouble `beside` them or without."""
     engine, delays, stops, bursts = Engine(), list[float](), list[float](), 0
     with socket.socket() as probe:
-        probe.bind((standin.HOST, 0))
+        probe.bind((stub_servers.HOST, 0))
         port: int = probe.getsockname()[1]
     with tempfile.TemporaryDirectory() as directory:
         file = Path(directory) / "router.json"
@@ -152,7 +152,7 @@
         try:
             for _ in range(600):
                 with socket.socket() as sock:
-                    if not sock.connect_ex((standin.HOST, port)):
+                    if not sock.connect_ex((stub_servers.HOST, port)):
                         break
                 gevent.sleep(0.05)
             running.append(gevent.spawn(throttle, router, share, stops))
@@ -189,7 +189,7 @@
 def collection(requests: int, connections: int) -> dict[str, Any]:
     """Processor time of full collections, with so many open; clients and the engine are another process."""
     with socket.socket() as probe:
-        probe.bind((standin.HOST, 0))
+        probe.bind((stub_servers.HOST, 0))
         port: int = probe.getsockname()[1]
     others = subprocess.Popen(
         [sys.executable, __file__, "--others", str(port), str(requests), str(connections)],
@@ -255,7 +255,7 @@
     """Processor time of deciding on so many requests of one tick, and the longest part without a switch."""
     made = settings(1, Engine())
     endpoints = [
-        {"name": f"e{n}", "address": f"{standin.HOST}:{n + 1}", "zone": "a", "type": "m"} for n in range(100)
+        {"name": f"e{n}", "address": f"{stub_servers.HOST}:{n + 1}", "zone": "a", "type": "m"} for n in range(100)
     ]
     made["known"]["endpoints"] = endpoints
     host = Host(config.parse(msgspec.json.encode(made)))
--- a/benchmarks/follow.py
+++ b/benchmarks/fleet_updates.py
@@ -1,6 +1,6 @@
 """Following the store measured: how soon all routers act on a change, on another holder, or on none.
 
-    python benchmarks/follow.py [--short]
+    python benchmarks/fleet_updates.py [--short]
 
 Five routers on three members under load. Times are given as shares of the settings that bound them, since a
 busy machine stretches all of them: a change as shares of `period_ms`; from a holder's death to another's
--- a/benchmarks/flows.py
+++ b/benchmarks/flows.py
@@ -24,8 +24,8 @@
 ROOT = Path(__file__).resolve().parent.parent
 sys.path[:0] = [str(ROOT), str(ROOT / "benchmarks")]
 
-import standin  # noqa: E402
-from rig import ENGINES, WORKERS, Load, Rig, anonymous_kb, apart, compared  # noqa: E402
+import stub_servers  # noqa: E402
+from paired_routers import ENGINES, WORKERS, Load, Rig, anonymous_kb, apart, compared  # noqa: E402
 
 from spoolbarrow.flows import encode  # noqa: E402
 from spoolbarrow.flows.collector import Listener  # noqa: E402
@@ -47,17 +47,17 @@
 
     def __init__(self, directory: Path) -> None:
         self.messages: list[Message] = []
-        self.collector = Listener(Collector("tcp", standin.HOST, 0), OWN, self._hear)
+        self.collector = Listener(Collector("tcp", stub_servers.HOST, 0), OWN, self._hear)
         self.deaf = socket.socket()
         self.deaf.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-        self.deaf.bind((standin.HOST, 0))
+        self.deaf.bind((stub_servers.HOST, 0))
         self.deaf.listen()
         table = (
             '[flows]\ncollectors = ["tcp://{}:{}"]\n'
             "active_timeout_ms = 100.0\nqueue_records = 200\nwrite_timeout_ms = 2000.0\n"
         )
-        on = table.format(standin.HOST, self.collector.port)
-        stalled = table.format(standin.HOST, self.deaf.getsockname()[1])
+        on = table.format(stub_servers.HOST, self.collector.port)
+        stalled = table.format(stub_servers.HOST, self.deaf.getsockname()[1])
         super().__init__(directory, {"off": "", "off_again": "", "on": on, "stalled": stalled})
 
     def _hear(self, exporter: str, message: Message, data: bytes) -> None:
@@ -143,8 +143,8 @@
         nonlocal seen
         seen += len(message.records)
 
-    listener = Listener(Collector("tcp", standin.HOST, 0), OWN, hear)
-    where = Collector("tcp", standin.HOST, listener.port)
+    listener = Listener(Collector("tcp", stub_servers.HOST, 0), OWN, hear)
+    where = Collector("tcp", stub_servers.HOST, listener.port)
     table = FlowsTable([str(where)], flush_ms=1.0)
     statistics_record = encode.statistics_writer.record(1, 0, 0, 0, 0, 0, 0)
     sender = Sender(where, table, list, lambda stream, queue: statistics_record, 0.0)
--- a/benchmarks/lab.py
+++ b/benchmarks/lab.py
@@ -73,7 +73,7 @@
 
 def router_kb(engines: int) -> int:
     """Memory that one router's decisions hold once they have the list of so many engines."""
-    from rig import anonymous_kb
+    from paired_routers import anonymous_kb
 
     from spoolbarrow.interface import ListKind, ReplicaEntry, ReplicaList
     from spoolbarrow.router import Router
--- a/benchmarks/rig.py
+++ b/benchmarks/paired_routers.py
@@ -18,7 +18,7 @@
 import gevent
 import orjson
 import psutil
-import standin
+import stub_servers
 from gevent import socket
 
 ROOT = Path(__file__).resolve().parent.parent
@@ -45,7 +45,7 @@
 
     def __init__(self, directory: Path, tables: Mapping[str, str]) -> None:
         self._directory = directory
-        engines = [str(ROOT / "benchmarks" / "standin.py"), *map(str, (FIRST_MS, EVENTS, GAP_MS, ENGINES))]
+        engines = [str(ROOT / "benchmarks" / "stub_servers.py"), *map(str, (FIRST_MS, EVENTS, GAP_MS, ENGINES))]
         environment = {**os.environ, "PYTHONPATH": str(ROOT)}
         self.engines = subprocess.Popen([sys.executable, *engines], stdout=subprocess.PIPE, env=environment)
         assert self.engines.stdout is not None
@@ -54,10 +54,10 @@
         self.ports: dict[str, int] = {}
         for kind, table in tables.items():
             with socket.socket() as probe:
-                probe.bind((standin.HOST, 0))
+                probe.bind((stub_servers.HOST, 0))
                 self.ports[kind] = probe.getsockname()[1]
             file = directory / f"{kind}.json"
-            file.write_bytes(orjson.dumps(standin.config(self.ports[kind], discovery)))
+            file.write_bytes(orjson.dumps(stub_servers.config(self.ports[kind], discovery)))
             told = {**environment, "NODE_CONFIG": str(file)}
             if table:
                 (directory / f"{kind}.toml").write_text(table)
@@ -75,7 +75,7 @@
         for kind in self.ports:
             for _ in range(400):
                 try:
-                    if standin.Client(self.ports[kind]).ask("up").status == 200:
+                    if stub_servers.Client(self.ports[kind]).ask("up").status == 200:
                         break
                 except OSError:
                     pass
@@ -100,7 +100,7 @@
     def __init__(self, rig: Rig, seconds: float) -> None:
         self._rig, self._end = rig, time.monotonic() + seconds
         self._count_from = time.monotonic() + SETTLE_S
-        self.rounds: list[dict[str, standin.Timed]] = []
+        self.rounds: list[dict[str, stub_servers.Timed]] = []
         self.counted: dict[int, Any] = {}  # of connections to the exporting router, by the client's port
         self._kinds = list(rig.ports)
         self.asked = dict.fromkeys(self._kinds, 0)
@@ -113,7 +113,7 @@
     def _work(self, worker: int) -> None:
         luck, n = random.Random(worker), 0
         while time.monotonic() < self._end:
-            clients = {kind: standin.Client(self._rig.ports[kind]) for kind in self._kinds}
+            clients = {kind: stub_servers.Client(self._rig.ports[kind]) for kind in self._kinds}
             for _ in range(ROUNDS_A_CONNECTION):
                 n += 1
                 found, session = {}, luck.getrandbits(60) + 1
@@ -132,7 +132,7 @@
 FIELDS = ("first_ms", "whole_ms")
 
 
-def compared(rounds: list[dict[str, standin.Timed]], kinds: Iterable[str]) -> dict[str, Any]:
+def compared(rounds: list[dict[str, stub_servers.Timed]], kinds: Iterable[str]) -> dict[str, Any]:
     """Each router's times."""
     return {kind: {field: compare(rounds, kind, field) for field in FIELDS} for kind in kinds}
 
@@ -143,7 +143,7 @@
     return max(map(abs, paired))
 
 
-def compare(rounds: list[dict[str, standin.Timed]], kind: str, field: str) -> dict[str, float]:
+def compare(rounds: list[dict[str, stub_servers.Timed]], kind: str, field: str) -> dict[str, float]:
     """A router's times against those of the first without export, paired by round."""
     base = [getattr(found["off"], field) for found in rounds]
     these = [getattr(found[kind], field) for found in rounds]
--- a/benchmarks/keep.py
+++ b/benchmarks/publish_result.py
@@ -1,6 +1,6 @@
 """Keep the result of a long run: a table and a chart in docs/measurements/.
 
-    python benchmarks/NAME.py | tail -n 1 | python benchmarks/keep.py "what was measured, and on what"
+    python benchmarks/NAME.py | tail -n 1 | python benchmarks/publish_result.py "what was measured, and on what"
 
 The chart has a pair of bars, median and 99th percentile, for each kind under `times`; the lab's shows cost
 by size, and how far sockets and the simulator agree.
--- a/benchmarks/served.py
+++ b/benchmarks/served_share.py
@@ -1,6 +1,6 @@
 """Who is served: the share answered by length of prompt, and the sessions that are refused throughout.
 
-    python benchmarks/served.py [--short] [--module FILE ...] [--day NAME ...] [--seeds N] [--routers N]
+    python benchmarks/served_share.py [--short] [--module FILE ...] [--day NAME ...] [--seeds N] [--routers N]
                                 [--engines N] [--length S] [--jobs N]
 
 Played on sites drawn at random (`spoolbarrow/lab/random_scenarios.py`), of both sorts: at four loads, and on a
--- a/benchmarks/service.py
+++ b/benchmarks/service.py
@@ -27,8 +27,8 @@
 ROOT = Path(__file__).resolve().parent.parent
 sys.path[:0] = [str(ROOT), str(ROOT / "benchmarks")]
 
-import standin  # noqa: E402
-from rig import ENGINES, EVENTS, FIRST_MS, GAP_MS  # noqa: E402
+import stub_servers  # noqa: E402
+from paired_routers import ENGINES, EVENTS, FIRST_MS, GAP_MS  # noqa: E402
 
 from spoolbarrow.config import INHERITED_FD_VARIABLE  # noqa: E402
 from spoolbarrow.net.http1 import HttpError, ResponseParser  # noqa: E402
@@ -48,7 +48,7 @@
 
     def __init__(self, folder: Path, discovery: int) -> None:
         self._folder, self._discovery = folder, discovery
-        self.listener = standin.listen()
+        self.listener = stub_servers.listen()
         self.port: int = self.listener.getsockname()[1]
         self.processes: list[subprocess.Popen[bytes]] = []
         self.control = 0  # where the newest process listens for calls
@@ -56,11 +56,11 @@
     def start(self) -> None:
         """One more process; returns when it is ready."""
         with socket.socket() as probe:
-            probe.bind((standin.HOST, 0))
+            probe.bind((stub_servers.HOST, 0))
             control = probe.getsockname()[1]
         number, descriptor = len(self.processes), self.listener.fileno()
         file = self._folder / f"{number}.json"
-        raw = standin.config(self.port, self._discovery) | {"control": f"{standin.HOST}:{control}"}
+        raw = stub_servers.config(self.port, self._discovery) | {"control": f"{stub_servers.HOST}:{control}"}
         file.write_bytes(orjson.dumps(raw))
         told = {"NODE_CONFIG": str(file), "TMPDIR": str(self._folder), INHERITED_FD_VARIABLE: str(descriptor)}
         with (self._folder / f"{number}.log").open("wb") as log:
@@ -99,7 +99,7 @@
     """A call to the operators' listener: its status, 0 where none came, and ms to its last byte."""
     begun, parser, buffer = time.perf_counter(), ResponseParser(16_384), bytearray(65_536)
     try:
-        with socket.create_connection((standin.HOST, port), 5.0) as sock:
+        with socket.create_connection((stub_servers.HOST, port), 5.0) as sock:
             sock.sendall(f"GET /v1/{path} HTTP/1.1\r\n\r\n".encode())
             while not parser.complete:
                 parser.read(sock, buffer)
@@ -114,12 +114,12 @@
 
     def __init__(self, port: int) -> None:
         self._port, self.ended = port, False
-        self.answers: list[tuple[float, float, standin.Timed]] = []
+        self.answers: list[tuple[float, float, stub_servers.Timed]] = []
         self.failed = self.unheard = self.told_to_go = 0
 
     def work(self, worker: int) -> None:
         """Until `ended`."""
-        client, number = standin.Client(self._port), 0
+        client, number = stub_servers.Client(self._port), 0
         while not self.ended:
             number += 1
             begun = time.monotonic()
@@ -127,13 +127,13 @@
                 timed = client.ask(f"{worker}-{number}", worker * 100_003 + number)
             except (OSError, HttpError):
                 self.unheard += 1  # the connection was closed under the request
-                client = standin.Client(self._port)
+                client = stub_servers.Client(self._port)
                 continue
             self.answers.append((begun, time.monotonic(), timed))
             self.failed += timed.status != 200
             if timed.closing:
                 self.told_to_go += 1
-                client = standin.Client(self._port)
+                client = stub_servers.Client(self._port)
 
 
 def fetch(platform: Platform, count: int) -> list[tuple[int, float]]:
@@ -161,7 +161,7 @@
     """A caller that connects, says nothing until it is sent off, and comes again."""
     while not load.ended:
         try:
-            with socket.create_connection((standin.HOST, platform.control), 5.0) as sock:
+            with socket.create_connection((stub_servers.HOST, platform.control), 5.0) as sock:
                 sock.recv(4096)
         except OSError:
             pass  # it gave way to others
@@ -173,7 +173,7 @@
     arguments = argparse.ArgumentParser(description=(__doc__ or "").splitlines()[0])
     arguments.add_argument("--short", action="store_true", help="ends within 45 s")
     upgrades = 3 if arguments.parse_args().short else 15
-    command = [str(ROOT / "benchmarks" / "standin.py"), *map(str, (FIRST_MS, EVENTS, GAP_MS, ENGINES))]
+    command = [str(ROOT / "benchmarks" / "stub_servers.py"), *map(str, (FIRST_MS, EVENTS, GAP_MS, ENGINES))]
     environment = {**os.environ, "PYTHONPATH": str(ROOT)}
     engines = subprocess.Popen([sys.executable, *command], stdout=subprocess.PIPE, env=environment)
     assert engines.stdout is not None
--- a/benchmarks/shadow.py
+++ b/benchmarks/shadow.py
@@ -23,8 +23,8 @@
 ROOT = Path(__file__).resolve().parent.parent
 sys.path[:0] = [str(ROOT), str(ROOT / "benchmarks")]
 
-import standin  # noqa: E402
-from rig import ENGINES, WORKERS, Load, Rig, anonymous_kb, apart, compared  # noqa: E402
+import stub_servers  # noqa: E402
+from paired_routers import ENGINES, WORKERS, Load, Rig, anonymous_kb, apart, compared  # noqa: E402
 
 from spoolbarrow.shadow import copy_controller  # noqa: E402
 
@@ -43,9 +43,9 @@
         self.came: list[float] = []
         self.stalled_at = 0.0
         self.port: int
-        listener = standin.listen()
+        listener = stub_servers.listen()
         self.port = listener.getsockname()[1]
-        gevent.spawn(standin.serve, listener, self._answer)
+        gevent.spawn(stub_servers.serve, listener, self._answer)
 
     def stall(self) -> None:
         """From now on nothing is said."""
@@ -74,17 +74,17 @@
             gevent.sleep(60.0)
             return
         gevent.sleep(0.02)
-        sock.sendall(standin.HEAD + standin.chunk(standin.EVENT))
+        sock.sendall(stub_servers.HEAD + stub_servers.chunk(stub_servers.EVENT))
         for _ in range(5):
             gevent.sleep(0.008)
-            sock.sendall(standin.chunk(standin.EVENT))
-        sock.sendall(standin.chunk(b"data: [DONE]\n\n") + b"0\r\n\r\n")
+            sock.sendall(stub_servers.chunk(stub_servers.EVENT))
+        sock.sendall(stub_servers.chunk(b"data: [DONE]\n\n") + b"0\r\n\r\n")
 
 
 def table(candidate: Candidate) -> str:
     """The operator's file of a copying router."""
     return (
-        f'[shadow]\nshare = {SHARE}\ncandidates = ["{standin.HOST}:{candidate.port}"]\n'
+        f'[shadow]\nshare = {SHARE}\ncandidates = ["{stub_servers.HOST}:{candidate.port}"]\n'
         f"requests_per_s = {LIMIT}\nslow_first_ms = {SLOW_MS}\ndeadline_ms = {DEADLINE_MS}\n"
         "bad_copies = 3\nopen_ms = 2000.0\nin_flight = 16\nengine_in_flight = 16\n"
     )
--- a/benchmarks/cold_engines.py
+++ b/benchmarks/slow_start_overload.py
@@ -1,6 +1,6 @@
 """Cold engines: the chance that one falls when all it is open to is sent there, and what share that is.
 
-    python benchmarks/cold_engines.py [--short]
+    python benchmarks/slow_start_overload.py [--short]
 
 Several sites' rule 4, 1 to 200 routers, and traffic of many kinds (`lab/slow_start_exposure.py`). The share of starts that
 fell is told with its interval (Clopper and Pearson, 95 %). `holds`: of all judged starts together no more
--- a/benchmarks/ready.py
+++ b/benchmarks/startup_cpu.py
@@ -1,6 +1,6 @@
 """Starts measured in processor time: imports, a whole start, and one beside many others on a busy machine.
 
-    python benchmarks/ready.py [--short] [--at-once N]
+    python benchmarks/startup_cpu.py [--short] [--at-once N]
 
 A router that begins with a list of 100 engines, its discovery away, is measured until `/up` says 200, by the
 scheduler's own count. What else runs on the machine moves such a figure, too: each round measures a bare
--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -23,7 +23,7 @@
 ROOT = Path(__file__).resolve().parent.parent
 sys.path[:0] = [str(ROOT)]
 
-from rig import anonymous_kb  # noqa: E402
+from paired_routers import anonymous_kb  # noqa: E402
 
 from spoolbarrow.cli.errors import NoAnswer  # noqa: E402
 from spoolbarrow.cli.http_client import request_json  # noqa: E402
--- a/benchmarks/standin.py
+++ b/benchmarks/stub_servers.py
@@ -1,6 +1,6 @@
 """Stand-ins for measurements: engines that stream at a set pace, discovery, and a client that times answers.
 
-python benchmarks/standin.py FIRST_MS EVENTS GAP_MS ENGINES      prints discovery's port, then serves
+python benchmarks/stub_servers.py FIRST_MS EVENTS GAP_MS ENGINES      prints discovery's port, then serves
 """
 
 from __future__ import annotations
--- a/tests/drain_scenes.py
+++ b/tests/drain_runs.py
@@ -6,7 +6,7 @@
 from random import Random
 
 from spoolbarrow.lab.recorded_clients import DRAIN_HABITS, HABITS
-from tests.fleet_record import Scene, play, report
+from tests.fleet_runs import RunSpec, play, report
 
 STREAMS_MS = [20.0, 400.0, 800.0, 1100.0, 2400.0]  # between two of four events: answers of 0.06 to 7.2 s
 CROWD = 24  # clients of each router, where there is one
@@ -15,7 +15,7 @@
 BESIDE = ("term_kill", "term", "hang_up", "hang", "slow", "restart", "odd", "stop", "call_activate")
 
 
-def scene(
+def drain_run(
     routers: int,
     habits: list[str],
     faults: list[tuple[float, str]],
@@ -24,7 +24,7 @@
     resumes: bool = False,
     sockets: int = 512,
     length_s: float = 8.5,
-) -> Scene:
+) -> RunSpec:
     """Routers before engines that have room for all; each habit has one client at each router."""
     chat = {
         "Name": "chat",
@@ -33,7 +33,7 @@
         "Effect": "retryable",
         "Stream": True,
     }
-    return Scene(
+    return RunSpec(
         seed=seed,
         zones={"a": 3},
         routers=["a"] * routers,
@@ -60,14 +60,14 @@
     )
 
 
-def draw(seed: int) -> Scene:
+def draw_drain_run(seed: int) -> RunSpec:
     """A run by its seed: one to four routers, one drain by hand at least, clients of all habits."""
     rng = Random(seed)
     deadline_ms = rng.choice([300.0, 1000.0, 1500.0, 3000.0, 5000.0])
     count = rng.choice([6, 10, CROWD])
     drains = [(round(rng.uniform(0.5, 3.5), 2), "call_drain") for _ in range(rng.randint(1, 2))]
     beside = [(round(rng.uniform(0.5, 6.0), 2), rng.choice(BESIDE)) for _ in range(rng.randint(0, 3))]
-    return scene(
+    return drain_run(
         rng.choice([1, 1, 2, 4]),
         [rng.choice(HABITS + DRAIN_HABITS) for _ in range(count)],
         sorted(drains + beside),
@@ -79,7 +79,7 @@
     )
 
 
-def broken(folder: Path, made: Scene) -> str:
+def violation_report(folder: Path, made: RunSpec) -> str:
     """Play a scene: what it broke, empty where nothing."""
     run, record, violations = play(folder, made)
     unexpected = [line for log in run.logs.values() for line in log if '"unexpected"' in line]
--- a/tests/fleet_record.py
+++ b/tests/fleet_runs.py
@@ -46,7 +46,7 @@
 )
 
 
-class Scene(Struct, frozen=True):
+class RunSpec(Struct, frozen=True):
     """What a run is made of: all of it drawn from the seed."""
 
     seed: int
@@ -120,7 +120,7 @@
     each: int = 4,
     faults: Sequence[str] = FAULTS,
     least: float = 0.3,
-) -> Scene:
+) -> RunSpec:
     """A run by its seed; clients ask for the share `least` at least of what warm engines can do."""
     rng = Random(seed)
     figures = Figures(
@@ -158,7 +158,7 @@
         "memory_mb": rng.choice([2.0, 192.0]),
         "sockets": rng.choice([64, 100, 256, 1024]),
     }
-    return Scene(
+    return RunSpec(
         seed=seed,
         zones=zones,
         routers=[rng.choice(list(zones)) for _ in range(routers)],
@@ -176,7 +176,7 @@
 class Run:
     """A scene's processes while it is played."""
 
-    def __init__(self, folder: Path, scene: Scene) -> None:
+    def __init__(self, folder: Path, scene: RunSpec) -> None:
         self.scene, self.rng = scene, Random(scene.seed + 1)
         self.told: list[Told] = []
         self.deaths: list[Death] = []
@@ -489,7 +489,7 @@
     return "\n".join(lines)
 
 
-def play(folder: Path, scene: Scene) -> tuple[Run, Record, list[Violation]]:
+def play(folder: Path, scene: RunSpec) -> tuple[Run, Record, list[Violation]]:
     """A scene's run, its record, and what it broke."""
     run = Run(folder, scene)
     record = run.play()
--- a/tests/test_drain_terms.py
+++ b/tests/test_drain_terms.py
@@ -12,7 +12,7 @@
 import pytest
 
 from spoolbarrow.lab.recorded_clients import DRAIN_HABITS
-from tests.drain_scenes import broken, draw, scene
+from tests.drain_runs import violation_report, draw_drain_run, drain_run
 
 MIXED = ["eager", "keeps", "renews", "pipelines", "bytewise", "slow", "closes", *DRAIN_HABITS]
 SHIMS = Path(__file__).resolve().parent.parent / "benchmarks" / "shims"
@@ -27,7 +27,7 @@
     tmp_path: Path, routers: int, habit: str
 ) -> None:
     """Clients of the only router reconnect to it; otherwise it keeps only the clients that it has."""
-    assert broken(tmp_path, scene(routers, [habit] * 10, DRAIN)) == ""
+    assert violation_report(tmp_path, drain_run(routers, [habit] * 10, DRAIN)) == ""
 
 
 @pytest.mark.parametrize("routers", [2, 3])
@@ -35,12 +35,12 @@
 def test_a_drained_router_of_several_holds_nothing_recent(
     tmp_path: Path, routers: int, faults: list[tuple[float, str]]
 ) -> None:
-    assert broken(tmp_path, scene(routers, MIXED * 2, faults)) == ""
+    assert violation_report(tmp_path, drain_run(routers, MIXED * 2, faults)) == ""
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_random_drains_and_faults_violate_no_term(tmp_path: Path, seed: int) -> None:
-    assert broken(tmp_path, draw(seed)) == ""
+    assert violation_report(tmp_path, draw_drain_run(seed)) == ""
 
 
 def test_random_drains_violate_no_term_if_system_calls_fail_or_are_partial(
@@ -48,4 +48,4 @@
 ) -> None:
     """Failures of accept and connect, short reads and writes, and wall clocks that differ between routers."""
     monkeypatch.setenv("PYTHONPATH", str(SHIMS))
-    assert broken(tmp_path, draw(100)) == ""
+    assert violation_report(tmp_path, draw_drain_run(100)) == ""
--- a/tests/test_fleet_terms.py
+++ b/tests/test_fleet_terms.py
@@ -14,10 +14,10 @@
 from msgspec.structs import replace
 
 from spoolbarrow.lab.cold import Figures
-from tests.fleet_record import COLD_FAULTS, FAULTS, Scene, draw_scene, play, report
+from tests.fleet_runs import COLD_FAULTS, FAULTS, RunSpec, draw_scene, play, report
 
 
-def kept(folder: Path, scene: Scene, least: int) -> None:
+def kept(folder: Path, scene: RunSpec, least: int) -> None:
     """No term is broken on a run in which so many requests at least were asked."""
     run, record, violations = play(folder, scene)
     assert not violations, report(run, record, violations)
@@ -36,7 +36,7 @@
     kept(tmp_path, draw_scene(400, 22, 5.0, 3, COLD_FAULTS), 100)
 
 
-def few_left(seed: int, routers: int, attempts: int) -> Scene:
+def few_left(seed: int, routers: int, attempts: int) -> RunSpec:
     """Of six engines two are left, both begin anew, and all that the six were asked for comes to them."""
     each = 30
     figures = Figures(per_s=20.0, cold_from=0.12, cold_ms=4000.0, overload_factor=2.5, tip_after_ms=1000.0)
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -99,7 +99,7 @@
 def test_all_that_slow_start_admits_overloads_hardly_any_engine(traffic: Traffic) -> None:
     """At most 2 of 144 starts may fail.
 
-    At a chance of 0.002 for each (`benchmarks/cold_engines.py`), 1 run in 300 has more.
+    At a chance of 0.002 for each (`benchmarks/slow_start_overload.py`), 1 run in 300 has more.
     """
     started = [
         one
