--- a/benchmarks/client_disconnects.py
+++ b/benchmarks/client_disconnects.py
@@ -51,7 +51,12 @@
 MORE = 8  # requests that some send at once: more than a router reads ahead
 LATE_S = 1.5  # between two connections that the late engine takes
 TURNED_AWAY = b"HTTP/1.1 503 Service Unavailable\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n"
-SERVED = stub_servers.HEAD + stub_servers.chunk(stub_servers.EVENT) + stub_servers.chunk(b"data: [DONE]\n\n") + b"0\r\n\r\n"
+SERVED = (
+    stub_servers.HEAD
+    + stub_servers.chunk(stub_servers.EVENT)
+    + stub_servers.chunk(b"data: [DONE]\n\n")
+    + b"0\r\n\r\n"
+)
 ANSWERS = (TURNED_AWAY, SERVED, b"", SERVED)  # of each engine; nothing: it stays silent
 
 
--- a/benchmarks/cold_start.py
+++ b/benchmarks/cold_start.py
@@ -28,8 +28,8 @@
 from spoolbarrow.lab import cluster  # noqa: E402
 from spoolbarrow.lab.cluster import Cluster  # noqa: E402
 from spoolbarrow.lab.cold_engine import ColdEngineParameters  # noqa: E402
+from spoolbarrow.lab.fault_script import SCRIPTS, cluster_options, run_script  # noqa: E402
 from spoolbarrow.lab.process import end_all_at_sigterm  # noqa: E402
-from spoolbarrow.lab.fault_script import SCRIPTS, run_script, cluster_options  # noqa: E402
 
 RATES, KNOWN = (5.0, 10.0, 20.0), ("none", "old")
 TIMEOUT_S = 3.0
@@ -54,7 +54,10 @@
     """One start: its figures, each goal's among them."""
     script, engines = SCRIPTS[name], max(2, routers // A_ROUTER)
     with tempfile.TemporaryDirectory() as folder:
-        options = cluster_options(script, engines, rate, routers, known) | {"timeout_s": TIMEOUT_S, "tree": tree}
+        options = cluster_options(script, engines, rate, routers, known) | {
+            "timeout_s": TIMEOUT_S,
+            "tree": tree,
+        }
         made = Cluster(Path(folder), {"a": engines}, ["a"] * routers, **options)
         try:
             made.prepare()
--- a/benchmarks/drain_propagation.py
+++ b/benchmarks/drain_propagation.py
@@ -25,10 +25,10 @@
 
 from spoolbarrow.fleet.pacing import LIST_DEADLINE_MS  # noqa: E402
 from spoolbarrow.lab import cluster  # noqa: E402
-from spoolbarrow.lab.list_call_simulation import START_CONDITIONS, simulate_notifications  # noqa: E402
 from spoolbarrow.lab.cluster import Cluster, Load  # noqa: E402
-from spoolbarrow.lab.process import end_all_at_sigterm  # noqa: E402
 from spoolbarrow.lab.drain_propagation import FAILURE_CASES, measure_drain_delays, undo_drain  # noqa: E402
+from spoolbarrow.lab.list_call_simulation import START_CONDITIONS, simulate_notifications  # noqa: E402
+from spoolbarrow.lab.process import end_all_at_sigterm  # noqa: E402
 
 BOUND_S = LIST_DEADLINE_MS / 1000 + 0.25  # and a drain's grace
 FITS_S = LIST_DEADLINE_MS / 1000 - 0.5
--- a/benchmarks/drains.py
+++ b/benchmarks/drains.py
@@ -19,7 +19,7 @@
 ROOT = Path(__file__).resolve().parent.parent
 sys.path.insert(0, str(ROOT))
 
-from tests.drain_runs import violation_report, draw_drain_run  # noqa: E402
+from tests.drain_runs import draw_drain_run, violation_report  # noqa: E402
 
 LONGEST_S = 120.0  # of one run, its processes' start among it
 
--- a/benchmarks/event_delay.py
+++ b/benchmarks/event_delay.py
@@ -255,7 +255,8 @@
     """Processor time of deciding on so many requests of one tick, and the longest part without a switch."""
     made = settings(1, Engine())
     endpoints = [
-        {"name": f"e{n}", "address": f"{stub_servers.HOST}:{n + 1}", "zone": "a", "type": "m"} for n in range(100)
+        {"name": f"e{n}", "address": f"{stub_servers.HOST}:{n + 1}", "zone": "a", "type": "m"}
+        for n in range(100)
     ]
     made["known"]["endpoints"] = endpoints
     host = Host(config.parse(msgspec.json.encode(made)))
--- a/benchmarks/fleet_updates.py
+++ b/benchmarks/fleet_updates.py
@@ -24,8 +24,8 @@
 sys.path[:0] = [str(ROOT)]
 
 from spoolbarrow.lab.cluster import Cluster, Load, Process  # noqa: E402
-from spoolbarrow.lab.store_following_cluster import poll_until  # noqa: E402
 from spoolbarrow.lab.lease_histories import InvariantViolated, play  # noqa: E402
+from spoolbarrow.lab.store_following_cluster import poll_until  # noqa: E402
 from tests.test_fleet_follow import ALL, NAMES, OPERATOR, TTL_S, Fleet  # noqa: E402
 
 PERIOD_S = 0.1  # of OPERATOR
--- a/benchmarks/paired_routers.py
+++ b/benchmarks/paired_routers.py
@@ -45,7 +45,10 @@
 
     def __init__(self, directory: Path, tables: Mapping[str, str]) -> None:
         self._directory = directory
-        engines = [str(ROOT / "benchmarks" / "stub_servers.py"), *map(str, (FIRST_MS, EVENTS, GAP_MS, ENGINES))]
+        engines = [
+            str(ROOT / "benchmarks" / "stub_servers.py"),
+            *map(str, (FIRST_MS, EVENTS, GAP_MS, ENGINES)),
+        ]
         environment = {**os.environ, "PYTHONPATH": str(ROOT)}
         self.engines = subprocess.Popen([sys.executable, *engines], stdout=subprocess.PIPE, env=environment)
         assert self.engines.stdout is not None
--- a/spoolbarrow/lab/cluster.py
+++ b/spoolbarrow/lab/cluster.py
@@ -29,10 +29,10 @@
 from spoolbarrow.lab.cold_engine import ColdEngineParameters
 from spoolbarrow.lab.line_commands import CommandFailed
 from spoolbarrow.lab.loopback import router_address
-from spoolbarrow.lab.store_members import StoreMembers
 from spoolbarrow.lab.process import LISTEN as LISTEN
 from spoolbarrow.lab.process import Process as Process
 from spoolbarrow.lab.process import free_ports as free_ports
+from spoolbarrow.lab.store_members import StoreMembers
 
 HOST = "127.0.0.1"
 STANDIN_LIFETIME_S = 150.0  # of every stand-in that a cluster starts
@@ -126,9 +126,13 @@
         if self._gated:
             gates = [f"{router_address(n)}:{port}" for n in range(count) for port in self._engine_ports]
             gates += [f"{router_address(n)}:{told}" for n in range(count)]
-            self.proxy = self._start("-m", "spoolbarrow.lab.fault_proxy", str(STANDIN_LIFETIME_S), *gates, stdin=True)
+            self.proxy = self._start(
+                "-m", "spoolbarrow.lab.fault_proxy", str(STANDIN_LIFETIME_S), *gates, stdin=True
+            )
             self.proxy_ports = self.proxy.first_output_line().split()
-            self._discovery = [f"{HOST}:{port}" for port in self.proxy_ports[count * len(self.engine_names) :]]
+            self._discovery = [
+                f"{HOST}:{port}" for port in self.proxy_ports[count * len(self.engine_names) :]
+            ]
         else:
             self._discovery = [f"{router_address(n)}:{told}" for n in range(count)]
         if self._with_members:
@@ -244,7 +248,10 @@
         return self._start("-m", "spoolbarrow", env={**env, "TMPDIR": str(scratch)}, cwd=self._tree)
 
     def release(
-        self, numbers: Iterable[int], seconds: float = START_TIMEOUT_S, before: Callable[[], object] = lambda: None
+        self,
+        numbers: Iterable[int],
+        seconds: float = START_TIMEOUT_S,
+        before: Callable[[], object] = lambda: None,
     ) -> None:
         """Let routers that were held begin, all in one instant; AssertionError where one never comes up.
 
--- a/spoolbarrow/lab/emulator.py
+++ b/spoolbarrow/lab/emulator.py
@@ -19,9 +19,9 @@
 from gevent.queue import Empty, Queue
 
 from spoolbarrow import interface as i
-from spoolbarrow.lab.simulated_discovery import SimulatedDiscovery, Notification
 from spoolbarrow.lab.fleet import GLOBAL_TROUBLES, ROUTER_TROUBLES, PlannedTrouble, fleet, plan, random_stream
 from spoolbarrow.lab.scenario import Scenario
+from spoolbarrow.lab.simulated_discovery import Notification, SimulatedDiscovery
 from spoolbarrow.lab.wire_engine import HOST, PLAIN_RESPONSE, Clock, WireEngine, chunk, listen
 from spoolbarrow.net.http1 import RequestParser
 from spoolbarrow.wire import STATES
--- a/spoolbarrow/lab/fault_script.py
+++ b/spoolbarrow/lab/fault_script.py
@@ -186,7 +186,9 @@
     return f"[fleet]\nmembers = {json.dumps(made.members.fronts[router])}\nperiod_ms = 200\n"
 
 
-def cluster_options(script: Script, engines: int, rate: float, routers: int, known: str = "") -> dict[str, Any]:
+def cluster_options(
+    script: Script, engines: int, rate: float, routers: int, known: str = ""
+) -> dict[str, Any]:
     """What a cluster needs for a script, as options of `Cluster`; a rate of 0: by WORK_S."""
     return {
         "operator": follower_config,
@@ -220,7 +222,9 @@
     if begin:
         made.begin(lambda: [ACTIONS[step.action](made, step.value) for step in first])
     elif first:
-        raise CommandFailed(first[0].action, "this fault lies before the routers' begin: play it with `begin`")
+        raise CommandFailed(
+            first[0].action, "this fault lies before the routers' begin: play it with `begin`"
+        )
     else:
         made.mark_begin()
     load = Load(made, pause_s=pause_s)
@@ -288,7 +292,9 @@
             "early": early,
             "answers": dict(Counter(str(one.status) for one in answers)),
         }
-    goodput: Counter[int] = Counter(int(one.ended_at - begun) for one in list(load.answers) if one.status == 200)
+    goodput: Counter[int] = Counter(
+        int(one.ended_at - begun) for one in list(load.answers) if one.status == 200
+    )
     by_second = [goodput[second] for second in range(max(goodput, default=-1) + 1)]
     return {
         "goodput": by_second,
--- a/spoolbarrow/lab/list_call_simulation.py
+++ b/spoolbarrow/lab/list_call_simulation.py
@@ -106,7 +106,9 @@
     "a spread that suits 5 a second (15 calls in 3 s)": lambda n, me, rate, rng: FixedBackoff(
         n * TIMEOUT_MS / 15.0, rng
     ),
-    "a spread within the time for asking (6 s)": lambda n, me, rate, rng: FixedBackoff(min(6000.0, 200.0 * n), rng),
+    "a spread within the time for asking (6 s)": lambda n, me, rate, rng: FixedBackoff(
+        min(6000.0, 200.0 * n), rng
+    ),
     "places at the rate told, no time for asking": lambda n, me, rate, rng: paced(n, me, 0.0, rate, rng),
     "chosen, the rate told: within the clock": lambda n, me, rate, rng: paced(n, me, MUST_ASK_MS, rate, rng),
     "chosen, no rate told: within the clock": lambda n, me, rate, rng: paced(n, me, MUST_ASK_MS, 0.0, rng),
@@ -191,7 +193,12 @@
     """Calls of many routers, each from its first until it has the list; the service is back at `down`."""
 
     def __init__(
-        self, ways: Sequence[PacingStrategy], turn: float, rng: Random, down: float = 0.0, fault: Fault = "refuses"
+        self,
+        ways: Sequence[PacingStrategy],
+        turn: float,
+        rng: Random,
+        down: float = 0.0,
+        fault: Fault = "refuses",
     ) -> None:
         self._ways, self._turn, self._rng, self._down, self._fault = ways, turn, rng, down, fault
         self._options = Options()
--- a/spoolbarrow/lab/list_service.py
+++ b/spoolbarrow/lab/list_service.py
@@ -235,7 +235,9 @@
         self._changed = Event()  # set, and replaced, with each change of the list or of a mode
         self._woken = Event()
         self.door = FaultListener(
-            lambda sock, router: serve_connection(sock, lambda sock, message: self._answer(sock, message, router)),
+            lambda sock, router: serve_connection(
+                sock, lambda sock, message: self._answer(sock, message, router)
+            ),
             self._admits,
         )
         gevent.spawn(self._work)
--- a/spoolbarrow/lab/raft_histories.py
+++ b/spoolbarrow/lab/raft_histories.py
@@ -102,7 +102,9 @@
 class History:
     """One history by its seed. `make` builds members: a mutant, to see that it is found."""
 
-    def __init__(self, seed: int, size: int = 3, make: Callable[..., Raft] = Raft, aim: FaultMix = ANY_FAULTS) -> None:
+    def __init__(
+        self, seed: int, size: int = 3, make: Callable[..., Raft] = Raft, aim: FaultMix = ANY_FAULTS
+    ) -> None:
         self.rng, self.make, self.aim = Random(seed), make, aim
         # Small batches, so that a log is mended in many steps.
         self.settings = Settings(batch_entries=2, election_jitter=SPREADS[seed % len(SPREADS)])
@@ -284,7 +286,9 @@
         member.state = json.loads(snapshot.data) if snapshot.data else []
         wanted = [e.data.decode() for i in range(1, snapshot.index + 1) if (e := self.applied[i]).data]
         if member.state != wanted:
-            raise InvariantViolation(f"{member.name} loads another state at {snapshot.index} than was applied")
+            raise InvariantViolation(
+                f"{member.name} loads another state at {snapshot.index} than was applied"
+            )
 
     # The network and its faults
 
@@ -319,7 +323,9 @@
             self.crash(rng.choice(self.names))
         elif kind in ("leader apart", "leader dies"):
             leads = [name for name, one in self.members.items() if one.raft and one.raft.role is Role.LEADER]
-            self.net = NetworkConditions(rng.uniform(0.0, 0.5), rng.uniform(0.3, 0.9), (1.0, rng.choice((30.0, 100.0))))
+            self.net = NetworkConditions(
+                rng.uniform(0.0, 0.5), rng.uniform(0.3, 0.9), (1.0, rng.choice((30.0, 100.0)))
+            )
             self.at(end, self.calm)
             if leads and kind == "leader dies":
                 self.crash(leads[-1])
@@ -367,7 +373,9 @@
                         raise InvariantViolation(f"logs that agree at {same[0]} differ at {index}")
 
 
-def find_violation(seed: int, size: int = 3, make: Callable[..., Raft] = Raft, aim: FaultMix = ANY_FAULTS) -> str:
+def find_violation(
+    seed: int, size: int = 3, make: Callable[..., Raft] = Raft, aim: FaultMix = ANY_FAULTS
+) -> str:
     """Play one seed: empty where all holds, else what does not."""
     try:
         History(seed, size, make, aim).run()
--- a/spoolbarrow/lab/recorded_engines.py
+++ b/spoolbarrow/lab/recorded_engines.py
@@ -28,8 +28,15 @@
 from spoolbarrow.lab import loopback
 from spoolbarrow.lab.cold_engine import ColdEngineParameters
 from spoolbarrow.lab.line_commands import serve_commands
-from spoolbarrow.lab.standin import IDLE_LOAD_REPORT, EVENTS_PER_ANSWER, EVENT_GAP_S, StandinEngine, handle_command, reset_connection
-from spoolbarrow.lab.wire_engine import STREAM_HEAD, PLAIN_RESPONSE, chunk, parse_facts
+from spoolbarrow.lab.standin import (
+    EVENT_GAP_S,
+    EVENTS_PER_ANSWER,
+    IDLE_LOAD_REPORT,
+    StandinEngine,
+    handle_command,
+    reset_connection,
+)
+from spoolbarrow.lab.wire_engine import PLAIN_RESPONSE, STREAM_HEAD, chunk, parse_facts
 from spoolbarrow.net import tcpinfo
 from spoolbarrow.net.http1 import RequestParser
 
--- a/spoolbarrow/lab/simulate.py
+++ b/spoolbarrow/lab/simulate.py
@@ -13,12 +13,12 @@
 from time import perf_counter
 from typing import Any
 
-from spoolbarrow.lab.simulated_discovery import SimulatedDiscovery
 from spoolbarrow.lab.fleet import PlannedTrouble, plan, random_stream
 from spoolbarrow.lab.kinds import draw
 from spoolbarrow.lab.run_report import build_report
 from spoolbarrow.lab.scenario import Scenario
 from spoolbarrow.lab.simulated_clients import Clients
+from spoolbarrow.lab.simulated_discovery import SimulatedDiscovery
 from spoolbarrow.lab.simulated_engines import SAMPLE_INTERVAL_MS, Engines
 from spoolbarrow.lab.simulated_routers import Routers
 from spoolbarrow.lab.virtual_time import VirtualClock
--- a/spoolbarrow/lab/simulated_discovery.py
+++ b/spoolbarrow/lab/simulated_discovery.py
@@ -28,7 +28,9 @@
         self.shape = shape
         self.rng = rng
         self.listed = {entry.replica: entry for entry in entries}  # as the service knows it
-        self.pending_changes: deque[tuple[float, ReplicaEntry]] = deque()  # changes it has not noticed yet, in order
+        self.pending_changes: deque[tuple[float, ReplicaEntry]] = (
+            deque()
+        )  # changes it has not noticed yet, in order
         self.watches: set[int] = set()
         self.busy_until = 0.0
         self.down_until = -inf
--- a/spoolbarrow/lab/simulated_engines.py
+++ b/spoolbarrow/lab/simulated_engines.py
@@ -13,7 +13,7 @@
 from spoolbarrow import interface as i
 from spoolbarrow.lab.arrivals import PlannedRequest
 from spoolbarrow.lab.engine import Engine, EngineRequest, EventKind, SubmitResult
-from spoolbarrow.lab.fleet import PlannedTrouble, EngineSpec, fleet, engine_actions
+from spoolbarrow.lab.fleet import EngineSpec, PlannedTrouble, engine_actions, fleet
 from spoolbarrow.lab.run_report import Record, work_report
 from spoolbarrow.lab.simulation_state import Attempt, EngineProcess, RouterProcess, SimulationContext
 
@@ -208,7 +208,9 @@
 
     # --- faults
 
-    def schedule_trouble(self, machine: EngineProcess, planned: PlannedTrouble, begin: float, end: float) -> None:
+    def schedule_trouble(
+        self, machine: EngineProcess, planned: PlannedTrouble, begin: float, end: float
+    ) -> None:
         """Schedule the effects of a fault on one engine."""
         # When a trickle ends, the rest of a stream arrives at once.
         machine.trickle_end = end if planned.trouble.name == "trickle" else machine.trickle_end
--- a/spoolbarrow/lab/simulated_routers.py
+++ b/spoolbarrow/lab/simulated_routers.py
@@ -8,8 +8,8 @@
 from time import perf_counter_ns
 
 from spoolbarrow import interface as i
-from spoolbarrow.lab.simulated_discovery import Notification
 from spoolbarrow.lab.policies import POLICIES
+from spoolbarrow.lab.simulated_discovery import Notification
 from spoolbarrow.lab.simulation_state import (
     ROUTER_UP_DELAY_MS,
     Attempt,
--- a/spoolbarrow/lab/simulation_state.py
+++ b/spoolbarrow/lab/simulation_state.py
@@ -13,12 +13,12 @@
 
 from spoolbarrow import interface as i
 from spoolbarrow.lab.arrivals import PlannedRequest
-from spoolbarrow.lab.simulated_discovery import SimulatedDiscovery, Notification
 from spoolbarrow.lab.engine import Engine
-from spoolbarrow.lab.fleet import PlannedTrouble, EngineSpec
+from spoolbarrow.lab.fleet import EngineSpec, PlannedTrouble
 from spoolbarrow.lab.policies import EngineOracle, RoutingPolicy
 from spoolbarrow.lab.run_report import Record
 from spoolbarrow.lab.scenario import Scenario
+from spoolbarrow.lab.simulated_discovery import Notification, SimulatedDiscovery
 from spoolbarrow.lab.virtual_time import VirtualClock
 
 ROUTER_UP_DELAY_MS = 200.0  # from a router's restart until the load balancer uses it
--- a/spoolbarrow/lab/slow_start_load.py
+++ b/spoolbarrow/lab/slow_start_load.py
@@ -101,7 +101,9 @@
 class Engine:
     """One engine: its queue of work, and the work received during slow start."""
 
-    def __init__(self, name: str, kind: int, figures: ColdEngineParameters, started_at: float, cold: bool) -> None:
+    def __init__(
+        self, name: str, kind: int, figures: ColdEngineParameters, started_at: float, cold: bool
+    ) -> None:
         self.name, self.kind, self.started_at = name, kind, started_at
         self.zone = 0
         self.machine = ColdEngine(figures, started_at, cold)
--- a/spoolbarrow/lab/socket_run.py
+++ b/spoolbarrow/lab/socket_run.py
@@ -207,7 +207,9 @@
     }
 
 
-def _deaths(scenario: Scenario, seed: int, fleet: Emulator, routers: RouterProcesses, load: LoadGenerator) -> None:
+def _deaths(
+    scenario: Scenario, seed: int, fleet: Emulator, routers: RouterProcesses, load: LoadGenerator
+) -> None:
     """Kill and start routers as the day has it, and let the front notice late."""
     rng = random_stream(seed, "front")
     steps: list[tuple[float, str, int]] = []
--- a/spoolbarrow/lab/standin.py
+++ b/spoolbarrow/lab/standin.py
@@ -29,7 +29,15 @@
 from spoolbarrow.lab import loopback
 from spoolbarrow.lab.cold_engine import ColdEngine, ColdEngineParameters
 from spoolbarrow.lab.line_commands import serve_commands
-from spoolbarrow.lab.wire_engine import EVENT_TEMPLATE, STREAM_HEAD, PLAIN_RESPONSE, LINGER_RESET, USAGE_TEMPLATE, chunk, parse_facts
+from spoolbarrow.lab.wire_engine import (
+    EVENT_TEMPLATE,
+    LINGER_RESET,
+    PLAIN_RESPONSE,
+    STREAM_HEAD,
+    USAGE_TEMPLATE,
+    chunk,
+    parse_facts,
+)
 from spoolbarrow.net.http1 import RequestParser
 
 EVENTS_PER_ANSWER, EVENT_GAP_S = 4, 0.02  # of an answer, and between them
@@ -218,7 +226,9 @@
         if self.mode == "full" or taken is None:
             self.full += 1
             later = b"Retry-After: %g\r\n" % self.value if self.value else b""
-            sock.sendall(PLAIN_RESPONSE % (b"503 Service Unavailable", b"X-Unprocessed: 1\r\n" + later, 0, b""))
+            sock.sendall(
+                PLAIN_RESPONSE % (b"503 Service Unavailable", b"X-Unprocessed: 1\r\n" + later, 0, b"")
+            )
             return
         late = self.value if self.mode == "slow" else 0.0
         gap_s, end = EVENT_GAP_S, b""
--- a/spoolbarrow/lab/store_following_cluster.py
+++ b/spoolbarrow/lab/store_following_cluster.py
@@ -38,7 +38,9 @@
         super().__init__(folder, {"a": engines}, ["a"] * routers, self._told, **options)
         self._text, self._asked = operator, list(controls)
         targets = self._asked * routers
-        self.store_proxy = Process("-m", "spoolbarrow.lab.fault_proxy", str(STANDIN_LIFETIME_S), *targets, stdin=True)
+        self.store_proxy = Process(
+            "-m", "spoolbarrow.lab.fault_proxy", str(STANDIN_LIFETIME_S), *targets, stdin=True
+        )
         self.processes.append(self.store_proxy)
         self.store_gate_ports = self.store_proxy.first_output_line().split()
 
@@ -60,7 +62,9 @@
         count = len(self._asked)
         chosen = list(range(count) if members is None else members)
         numbers = range(len(self.ports)) if routers is None else routers
-        self.store_proxy.send_command(f"{','.join(str(count * n + m) for n in numbers for m in chosen)} {mode}")
+        self.store_proxy.send_command(
+            f"{','.join(str(count * n + m) for n in numbers for m in chosen)} {mode}"
+        )
 
     def applied_version(self, number: int, item: str) -> tuple[int, str]:
         """Number and digest of what a router acts on; (0, "") for nothing."""
@@ -98,7 +102,10 @@
         """Until these routers act on that version of the suspensions, and suspend these engines."""
         numbers = list(range(len(self.ports)) if routers is None else routers)
         wanted = {(revision, digest(sorted(engines)))}
-        poll_until(lambda: {self.applied_version(n, SUSPENSIONS_KEY) for n in numbers} == wanted, seconds or self.bound_s)
+        poll_until(
+            lambda: {self.applied_version(n, SUSPENSIONS_KEY) for n in numbers} == wanted,
+            seconds or self.bound_s,
+        )
 
     def wait_for_roll(self, names: Sequence[str], routers: Iterable[int] | None = None) -> None:
         """Until these routers act on one decision of the roll, which names these."""
--- a/spoolbarrow/lab/wire_engine.py
+++ b/spoolbarrow/lab/wire_engine.py
@@ -21,7 +21,7 @@
 from gevent.queue import Queue
 
 from spoolbarrow.lab.engine import Engine, EngineRequest, EventKind, SubmitResult
-from spoolbarrow.lab.fleet import PlannedTrouble, EngineSpec, engine_actions
+from spoolbarrow.lab.fleet import EngineSpec, PlannedTrouble, engine_actions
 from spoolbarrow.net.http1 import Message, RequestParser
 
 HOST = "127.0.0.1"
@@ -317,7 +317,9 @@
 
     def plan(self, planned: PlannedTrouble) -> None:
         """Schedule a trouble that hits this engine."""
-        for at, move, told in engine_actions(planned, self.spec.figures, self.rng, planned.trouble.begin_s * 1000.0):
+        for at, move, told in engine_actions(
+            planned, self.spec.figures, self.rng, planned.trouble.begin_s * 1000.0
+        ):
             self.clock.later(at, self.moves[move], *told)
 
     def _stall(self, until: float) -> None:
@@ -358,7 +360,9 @@
 
     def _rise(self) -> None:
         self.listeners = [listen(port) for port in self.ports]
-        self.engine = Engine(self.spec.figures, Random(self.rng.random()), self.clock.now(), True, TOKENS_PER_EVENT)
+        self.engine = Engine(
+            self.spec.figures, Random(self.rng.random()), self.clock.now(), True, TOKENS_PER_EVENT
+        )
         self.alive, self.draining = True, False
         self.tasks = [gevent.spawn(self._drive), *self._accepting()]
         self._changed("in_service")
--- a/tests/drain_runs.py
+++ b/tests/drain_runs.py
@@ -5,7 +5,7 @@
 from pathlib import Path
 from random import Random
 
-from spoolbarrow.lab.recorded_clients import DRAIN_BEHAVIORS, BEHAVIORS
+from spoolbarrow.lab.recorded_clients import BEHAVIORS, DRAIN_BEHAVIORS
 from tests.fleet_runs import RunSpec, play, report
 
 STREAMS_MS = [20.0, 400.0, 800.0, 1100.0, 2400.0]  # between two of four events: answers of 0.06 to 7.2 s
--- a/tests/fleet_runs.py
+++ b/tests/fleet_runs.py
@@ -15,7 +15,7 @@
 import msgspec
 from msgspec import Struct
 
-from spoolbarrow.lab.cluster import STANDIN_LIFETIME_S, LISTEN, Cluster, Process
+from spoolbarrow.lab.cluster import LISTEN, STANDIN_LIFETIME_S, Cluster, Process
 from spoolbarrow.lab.cold_engine import ColdEngineParameters
 from spoolbarrow.lab.recorded_clients import BEHAVIORS, ClientPlan
 from tests.terms import Arrival, Connection, Death, Drained, Record, Starved, Terms, Told, Violation, check
--- a/tests/test_drain_terms.py
+++ b/tests/test_drain_terms.py
@@ -12,7 +12,7 @@
 import pytest
 
 from spoolbarrow.lab.recorded_clients import DRAIN_BEHAVIORS
-from tests.drain_runs import violation_report, draw_drain_run, drain_run
+from tests.drain_runs import drain_run, draw_drain_run, violation_report
 
 MIXED = ["eager", "keeps", "renews", "pipelines", "bytewise", "slow", "closes", *DRAIN_BEHAVIORS]
 SHIMS = Path(__file__).resolve().parent.parent / "benchmarks" / "shims"
--- a/tests/test_fleet_cold.py
+++ b/tests/test_fleet_cold.py
@@ -19,7 +19,7 @@
 from spoolbarrow.fleet.documents import SUSPENSIONS_KEY
 from spoolbarrow.lab import fault_script
 from spoolbarrow.lab.cluster import TRUNCATED, Cluster
-from spoolbarrow.lab.fault_script import SCRIPTS, run_script, cluster_options
+from spoolbarrow.lab.fault_script import SCRIPTS, cluster_options, run_script
 
 ROUTERS, ENGINES = 16, 6
 RATE = 8.0  # calls a second: a call of each router takes 2 s
--- a/tests/test_fleet_follow.py
+++ b/tests/test_fleet_follow.py
@@ -57,7 +57,10 @@
         """Write a document through whoever leads."""
 
         def written() -> tuple[int, dict[str, Any]] | None:
-            told = [request_member(member, "PUT", document_path(key, expect), text.encode()) for member in self.store.controls]
+            told = [
+                request_member(member, "PUT", document_path(key, expect), text.encode())
+                for member in self.store.controls
+            ]
             return next((one for one in told if one[0] == 200 or "revision" in one[1]), None)
 
         found: tuple[int, dict[str, Any]] = poll_until(written)
@@ -162,7 +165,10 @@
     fleet.set_store_fault("drop", [0, 1], others)
     for n in (0, 1):
         poll_until(lambda n=n: "behind" in str(fleet.fleet_status(n)["members"]), SILENT_S)  # type: ignore[misc]
-        poll_until(lambda n=n: fleet.document_mode(n) == "safer" and fleet.part_status(n)["routers"] is None, SILENT_S)  # type: ignore[misc]
+        poll_until(
+            lambda n=n: fleet.document_mode(n) == "safer" and fleet.part_status(n)["routers"] is None,
+            SILENT_S,
+        )  # type: ignore[misc]
     for n in (0, 1):
         number, contents = fleet.applied_version(n, SUSPENSIONS_KEY)
         assert number == newest and contents in {digest(["e2"]), digest(["e1", "e2"])}
@@ -186,7 +192,9 @@
     before = {n: len(fleet.routers[n].events("fleet_decided")) for n in alive}
     fleet.set_store_fault("delay 120")  # each way: so long is a write on its way
     fleet.kill_router(other)
-    holder = poll_until(lambda: [n for n in alive if len(fleet.routers[n].events("fleet_decided")) > before[n]])[0]
+    holder = poll_until(
+        lambda: [n for n in alive if len(fleet.routers[n].events("fleet_decided")) > before[n]]
+    )[0]
     fleet.kill_router(holder)
     left = [n for n in alive if n != holder]
     fleet.set_store_fault("reset", [holder])
@@ -227,7 +235,10 @@
     poll_until(lambda: all(fleet.part_status(n)["routers"] is None for n in cut), SILENT_S)
     poll_until(lambda: {fleet.document_mode(n) for n in cut} == {"safer"}, SILENT_S)
     for n in cut:  # within_s is shorter than it may have heard of the change: both are right, and stated
-        assert fleet.applied_version(n, SUSPENSIONS_KEY) in {(newest, digest(["e1"])), (newest, digest(["e0", "e1"]))}
+        assert fleet.applied_version(n, SUSPENSIONS_KEY) in {
+            (newest, digest(["e1"])),
+            (newest, digest(["e0", "e1"])),
+        }
     fleet.wait_for_roll([f"r{n}" for n in left], left)
     fleet.set_store_fault("pass")
     fleet.wait_suspended(newest, "e1")
@@ -240,7 +251,9 @@
     fleet.put(SUSPENSIONS_KEY, '{"e0": true}')
     fleet.put(f"{STANDING_PREFIX}roll", "\0" * 500)
     fleet.put("fleet/evidence/roll/nobody", '{"router": "nobody", "incarnation": "x", "sequence": -1}')
-    poll_until(lambda: all(fleet.fleet_status(n)["documents"][SUSPENSIONS_KEY]["garbage"] for n in ALL), HEARD_S)
+    poll_until(
+        lambda: all(fleet.fleet_status(n)["documents"][SUSPENSIONS_KEY]["garbage"] for n in ALL), HEARD_S
+    )
     assert {fleet.applied_version(n, SUSPENSIONS_KEY) for n in ALL} == {(revision, digest(["e2"]))}
     poll_until(lambda: all(fleet.decision_epoch(n) > epoch for n in ALL), TAKEN_S)
     assert {"fleet_document"} <= {e["event"] for e in fleet.routers[0].events("fleet_document")}
--- a/tests/test_fleet_harness.py
+++ b/tests/test_fleet_harness.py
@@ -224,7 +224,9 @@
     spread = ColdEngine(figures, 0.0)
     early = max(0.0, age - 4_000.0)
     assert not any(spread.overloads(early) for _ in range(math.floor(spread.tolerated_work(early))))
-    assert not spread.overloads(early + 2_000.0) or early + 2_000.0 >= 10_000.0  # the first have left the window
+    assert (
+        not spread.overloads(early + 2_000.0) or early + 2_000.0 >= 10_000.0
+    )  # the first have left the window
 
 
 def test_an_engine_works_in_turn_at_its_present_capacity_and_holds_so_many() -> None:
@@ -325,5 +327,7 @@
     with pytest.raises(CommandFailed, match="known"):
         Cluster(Path(), {"a": 1}, ["a"], "", known="young")
     with pytest.raises(CommandFailed, match="begin"):  # a fault of the start, on routers that run
-        fault_script.run_script(Cluster(Path(), {"a": 1}, ["a"], ""), fault_script.SCRIPTS["third-gone"], begin=False)
+        fault_script.run_script(
+            Cluster(Path(), {"a": 1}, ["a"], ""), fault_script.SCRIPTS["third-gone"], begin=False
+        )
     assert router_at(router_address(70_000)) == "r70000" and router_at("127.0.0.1") == ""
--- a/tests/test_fleet_pools.py
+++ b/tests/test_fleet_pools.py
@@ -162,7 +162,8 @@
         text = encode_document(Summary(router, "by-hand", sequence, time.time() * 1000.0, body))
         poll_until(
             lambda: any(
-                request_member(member, "PUT", document_path(f"{EVIDENCE_PREFIX}{KIND}/{router}"), text)[0] == 200
+                request_member(member, "PUT", document_path(f"{EVIDENCE_PREFIX}{KIND}/{router}"), text)[0]
+                == 200
                 for member in self.store.controls
             )
         )
@@ -267,7 +268,10 @@
     text = file.read_text()
     file.write_text(text.replace(f'parts = ["{KIND}"]', "parts = []").replace("revision = 1", "revision = 2"))
     fleet.send_sighup([0])
-    poll_until(lambda: fleet.fleet_status(0)["parts"] == {} and fleet.applied_version(0, f"fleet/{KIND}") == (0, ""), LOST_S)
+    poll_until(
+        lambda: fleet.fleet_status(0)["parts"] == {} and fleet.applied_version(0, f"fleet/{KIND}") == (0, ""),
+        LOST_S,
+    )
     file.write_text(text.replace("revision = 1", "revision = 3"))
     fleet.send_sighup([0])
     poll_until(lambda: fleet.fleet_status(0)["parts"], LOST_S)
--- a/tests/test_fleet_terms.py
+++ b/tests/test_fleet_terms.py
@@ -39,7 +39,9 @@
 def few_left(seed: int, routers: int, attempts: int) -> RunSpec:
     """Of six engines two are left, both begin anew, and all that the six were asked for comes to them."""
     each = 30
-    figures = ColdEngineParameters(per_s=20.0, cold_from=0.12, cold_ms=4000.0, overload_factor=2.5, tip_after_ms=1000.0)
+    figures = ColdEngineParameters(
+        per_s=20.0, cold_from=0.12, cold_ms=4000.0, overload_factor=2.5, tip_after_ms=1000.0
+    )
     drawn = draw_scene(seed, routers, 4.5, each)
     chat = {"Name": "chat", "AimMs": 2000.0, "DeadlineMs": 4000.0, "Effect": "retryable", "Stream": True}
     settings = {
--- a/tests/test_pacing.py
+++ b/tests/test_pacing.py
@@ -18,7 +18,17 @@
     hung_retry_ms,
     silent_retry_ms,
 )
-from spoolbarrow.lab.list_call_simulation import START_CONDITIONS, CASES, CLASSES, RATES_PER_S, STRATEGIES, StartCondition, Result, simulate_notifications, simulate
+from spoolbarrow.lab.list_call_simulation import (
+    CASES,
+    CLASSES,
+    RATES_PER_S,
+    START_CONDITIONS,
+    STRATEGIES,
+    Result,
+    StartCondition,
+    simulate,
+    simulate_notifications,
+)
 from spoolbarrow.router import Router
 
 BEFORE, *_, TOLD, BOUND, CHOSEN = STRATEGIES
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -274,7 +274,9 @@
 
 @pytest.mark.parametrize("aim", [raft_histories.LEADER_FAULTS, raft_histories.OLD_FILE_FAULTS])
 @pytest.mark.parametrize("seed", range(10))
-def test_histories_with_leader_faults_and_older_files_keep_the_invariants(seed: int, aim: raft_histories.FaultMix) -> None:
+def test_histories_with_leader_faults_and_older_files_keep_the_invariants(
+    seed: int, aim: raft_histories.FaultMix
+) -> None:
     assert [find_violation(seed, size, aim=aim) for size in (3, 5)] == ["", ""]
 
 
