--- a/spoolbarrow/lab/emulator.py
+++ b/spoolbarrow/lab/emulator.py
@@ -101,9 +101,7 @@
         self.directory = Directory(scenario.discovery, entries, stream(seed, "discovery"))
         self.index = 1
         self.unix_ms = 0.0  # of the scenario's beginning
-        self.withdrawn: dict[
-            tuple[str, int], float
-        ] = {}  # when each router was notified that an engine drains
+        self.withdrawn: dict[tuple[str, int], float] = {}  # time each router knew that an engine drains
         self.watchers: dict[int, list[Queue[bytes | None]]] = {n: [] for n in range(scenario.routers)}
         self.listeners = [listen(first_port and first_port + n) for n in range(scenario.routers)]
         self.addresses = [f"{HOST}:{one.getsockname()[1]}" for one in self.listeners]
--- a/spoolbarrow/lab/kinds.py
+++ b/spoolbarrow/lab/kinds.py
@@ -30,9 +30,7 @@
     cold_ms: Range = 0.0  # duration of slow start; 0: none
     warm_by: Literal["time", "work"] = "time"
     fall_multiple: float = 0.0  # N: prompts admitted within fall_ms, as a multiple of what slow start could
-    fall_ms: float = (
-        2000.0  # prefill in that time; beyond N + 2 x root of N + 2 it crashes; multiple 0: never
-    )
+    fall_ms: float = 2000.0  # prefill in that time; beyond N + 2 x root of N + 2 it crashes; N 0: never
     restart_ms: Range = 3000.0  # from a crash to the next slow start
     connections: Range = 1000
     handshake_rtts: Range = 2.0
--- a/spoolbarrow/lab/memory.py
+++ b/spoolbarrow/lab/memory.py
@@ -45,9 +45,7 @@
         self.held = 0  # blocks that running requests use
         self.size = 0  # blocks in all runs
         self.runs: dict[Key, Run] = {}
-        self.idle: OrderedDict[Key, None] = (
-            OrderedDict()
-        )  # runs with unused blocks, least recently used first
+        self.idle: OrderedDict[Key, None] = OrderedDict()  # runs with unused blocks, least recent first
 
     def kept(self, key: Key) -> int:
         """The number of blocks of this text that need no prefill."""
