--- a/spoolbarrow/lab/admission_policy.py
+++ b/spoolbarrow/lab/admission_policy.py
@@ -1,4 +1,4 @@
-"""The door before the decisions, as a policy of the lab. A session's last digits stand for its client."""
+"""The admission gate in front of a router, as a policy of the lab; clients are derived from sessions."""
 
 from __future__ import annotations
 
@@ -10,24 +10,27 @@
 from spoolbarrow.admission.gate import AdmissionGate, Caller, tenant_weights
 from spoolbarrow.router import Router
 
-CLIENTS = 40  # of a tenant
+CLIENTS_PER_TENANT = 40  # per tenant
 
 
 def caller_of(event: i.RequestArrived) -> Caller:
-    """Who asks, in the lab."""
+    """The client that sent a request, in the lab."""
     return Caller(
-        _client(event.tenant * CLIENTS + event.session % CLIENTS), event.session ^ event.prompt_tokens
+        _client_hash(event.tenant * CLIENTS_PER_TENANT + event.session % CLIENTS_PER_TENANT),
+        event.session ^ event.prompt_tokens,
     )
 
 
 @lru_cache(maxsize=10_000)
-def _client(number: int) -> int:
+def _client_hash(number: int) -> int:
     return Random(number).getrandbits(64)
 
 
 class AdmissionPolicy(AdmissionGate):
-    """A router with a door."""
+    """A router behind an admission gate."""
 
     def __init__(self, settings: i.Settings, seed: int) -> None:
-        told = d.Settings(weights=tenant_weights(settings), max_retry_after_ms=settings.max_retry_after_ms)
-        super().__init__(Router(settings, seed), told, seed, caller_of)
+        gate_settings = d.Settings(
+            weights=tenant_weights(settings), max_retry_after_ms=settings.max_retry_after_ms
+        )
+        super().__init__(Router(settings, seed), gate_settings, seed, caller_of)
--- a/spoolbarrow/lab/cluster.py
+++ b/spoolbarrow/lab/cluster.py
@@ -1,11 +1,11 @@
-"""Several processes of the program on loopback: stand-in engines, list service, fault proxy, routers, store.
-
-Between each router and each engine, and before each router's list service, stands a gate of the fault proxy
-of its own, so that any router can be cut off from any of them. With `gates=False` there are none, and the
-service itself cuts routers off: so hundreds of routers fit on one machine. Who calls a stand-in is known by
-the loopback address that it was called at. With `at_once` all routers begin in the same instant: their
-processes wait, with everything imported, for their configuration. Stand-ins end by themselves after LIFE_S,
-or with whoever started them; `Cluster` ends all processes that it started, by id.
+"""Runs a cluster on loopback: stand-in engines, list service, fault proxy, routers and store members.
+
+The fault proxy has a listener (a gate) for each pair of router and engine and for each router's list service,
+so that any router can be cut off from any of them. With `gates=False` there is no proxy and the list service
+itself cuts routers off, so that hundreds of routers fit on one machine. Stand-ins identify a calling router
+by the loopback address that it connected to. With `at_once` all routers start at the same time: their
+processes wait for their configuration with everything imported. Stand-ins end after STANDIN_LIFETIME_S, or
+with the process that started them; `Cluster` ends all processes that it started, by id.
 """
 
 from __future__ import annotations
@@ -29,16 +29,16 @@
 from spoolbarrow.lab.cold_engine import ColdEngineParameters
 from spoolbarrow.lab.line_commands import CommandFailed
 from spoolbarrow.lab.loopback import router_address
-from spoolbarrow.lab.store_members import StoreMembers
 from spoolbarrow.lab.process import LISTEN as LISTEN
 from spoolbarrow.lab.process import Process as Process
 from spoolbarrow.lab.process import free_ports as free_ports
+from spoolbarrow.lab.store_members import StoreMembers
 
 HOST = "127.0.0.1"
-STANDIN_LIFETIME_S = 150.0  # of every stand-in that a cluster starts
+STANDIN_LIFETIME_S = 150.0  # of stand-in processes
 POLL_INTERVAL_S = 0.02
-START_TIMEOUT_S = 60.0  # for processes to come up: hundreds at once on a busy machine
-INITIAL_LISTS = ("none", "empty", "old")  # lists that routers may begin with
+START_TIMEOUT_S = 60.0  # hundreds of processes may start at once on a busy machine
+INITIAL_LISTS = ("none", "empty", "old")  # lists that routers may start with
 
 
 def _has_engine(router: Process) -> bool:
@@ -47,14 +47,14 @@
 
 
 class Cluster:
-    """What is running: routers `0..`, each in a zone, and engines `0..`, by zone in `of_zone`.
-
-    `operator`: the text of each router's operator file (none where it is empty), or what makes it.
-    `known`: the list that routers begin with: none, an empty one, or that of all engines, both of a version
-    before the one that the service tells. `figures`: engines have a capacity, and fall when they are cold.
-    `rate` (calls a second; 0: any number), `line_ms`, `timeout_s`: the list service's. `limits`: what
-    routers are told that their machine allows. `engines`: the module that stands in for these. `tree`: where
-    the routers' program lies, if it is another than this one.
+    """Running processes: routers `0..`, each in a zone, and engines `0..`, listed by zone in `of_zone`.
+
+    `operator`: the text of each router's operator file (no file if empty), or a function that returns it.
+    `known`: the list that routers start with: none, an empty one, or one of all engines, both of a version
+    older than the service's. `figures`: engines have a capacity and crash when overloaded in slow start.
+    `rate` (calls per second; 0: unlimited), `line_ms`, `timeout_s`: of the list service. `limits`: the
+    machine limits in the routers' configuration. `engines`: the module of the stand-in engines. `tree`: the
+    directory of the routers' program, if not this one.
     """
 
     def __init__(
@@ -81,64 +81,73 @@
         if known not in INITIAL_LISTS:
             raise CommandFailed("known", f"one of {', '.join(INITIAL_LISTS)}")
         self.folder, self.zones, self.zone_of, self._operator = folder, list(zones), list(routers), operator
-        self._gated, self._control, self._at_once, self._with_members = gates, control, at_once, members
+        self._has_gates, self._control, self._at_once, self._with_members = gates, control, at_once, members
         self._known, self._figures, self._settings = known, figures, dict(settings or {})
-        self._limits, self._standin, self._tree = dict(limits or {}), engines, tree
-        self.rate, self._service = rate, (rate, line_ms, timeout_s)
+        self._limits, self._engine_module, self._tree = dict(limits or {}), engines, tree
+        self.rate, self._service_arguments = rate, (rate, line_ms, timeout_s)
         self.engine_names = [f"e{n}" for n in range(sum(zones.values()))]
         self.of_zone: dict[str, list[int]] = {}
         for zone, count in zones.items():
             first = sum(len(found) for found in self.of_zone.values())
             self.of_zone[zone] = list(range(first, first + count))
         self.unlisted: set[int] = set()  # engines that the service does not list
-        self.draining: set[int] = set()  # of those listed, engines that want nothing new
-        self.since = [0.0] * len(self.engine_names)  # when engines were started, Unix ms; 0: long ago
-        self.killed_routers: set[int] = set()  # routers that were killed at some time
+        self.draining: set[int] = set()  # listed engines that drain
+        self.since = [0.0] * len(self.engine_names)  # start times of engines, Unix ms; 0: long ago
+        self.killed_routers: set[int] = set()  # routers that have been killed at any time
         self.processes: list[Process] = []
         self.routers: list[Process] = []
         self.members: StoreMembers | None = None
         self.list_version = 0  # version of the service's list
-        self.begun_unix_s = self.begun_monotonic_s = 0.0  # when the routers were begun: Unix s, monotonic s
+        self.begun_unix_s = self.begun_monotonic_s = 0.0  # when the routers were started
 
     def start(self, wait: bool = True) -> None:
-        """Start everything; returns when every router has a list, or without `wait` when they have begun."""
+        """Start everything; with `wait` return once each router has a list, else once they are started."""
         self.prepare()
         self.begin()
         if wait:
             self.wait_listed(range(len(self.ports)))
 
     def prepare(self) -> None:
-        """Start all but the routers."""
+        """Start everything except the routers."""
         count = len(self.zone_of)
         figures = [] if self._figures is None else [msgspec.json.encode(self._figures).decode()]
         life = str(STANDIN_LIFETIME_S)
         self.engines = self._start(
-            "-m", f"spoolbarrow.lab.{self._standin}", life, str(len(self.engine_names)), *figures, stdin=True
+            "-m",
+            f"spoolbarrow.lab.{self._engine_module}",
+            life,
+            str(len(self.engine_names)),
+            *figures,
+            stdin=True,
         )
         self.service = self._start(
-            "-m", "spoolbarrow.lab.list_service", life, *map(str, self._service), stdin=True
+            "-m", "spoolbarrow.lab.list_service", life, *map(str, self._service_arguments), stdin=True
         )
         self._engine_ports = self.engines.first_output_line().split()
-        told = self.service.first_output_line()
-        # After those of the stand-ins: these can then be nobody else's.
-        free = free_ports(2 * count)
-        self.ports, self.controls = free[::2], free[1::2]
-        if self._gated:
+        list_service_port = self.service.first_output_line()
+        # Chosen after the stand-ins have their ports, so that they cannot take these.
+        ports = free_ports(2 * count)
+        self.ports, self.controls = ports[::2], ports[1::2]
+        if self._has_gates:
             gates = [f"{router_address(n)}:{port}" for n in range(count) for port in self._engine_ports]
-            gates += [f"{router_address(n)}:{told}" for n in range(count)]
-            self.proxy = self._start("-m", "spoolbarrow.lab.fault_proxy", str(STANDIN_LIFETIME_S), *gates, stdin=True)
+            gates += [f"{router_address(n)}:{list_service_port}" for n in range(count)]
+            self.proxy = self._start(
+                "-m", "spoolbarrow.lab.fault_proxy", str(STANDIN_LIFETIME_S), *gates, stdin=True
+            )
             self.proxy_ports = self.proxy.first_output_line().split()
-            self._discovery = [f"{HOST}:{port}" for port in self.proxy_ports[count * len(self.engine_names) :]]
+            self._discovery = [
+                f"{HOST}:{port}" for port in self.proxy_ports[count * len(self.engine_names) :]
+            ]
         else:
-            self._discovery = [f"{router_address(n)}:{told}" for n in range(count)]
+            self._discovery = [f"{router_address(n)}:{list_service_port}" for n in range(count)]
         if self._with_members:
             self.members = StoreMembers(self.folder, count, STANDIN_LIFETIME_S, self._start)
         if self._known != "none":
-            self._tell([] if self._known == "empty" else range(len(self.engine_names)))
+            self._publish([] if self._known == "empty" else range(len(self.engine_names)))
         self.publish_list()
 
     def begin(self, before: Callable[[], object] = lambda: None) -> None:
-        """Start the routers, at once where that is wanted; `before` is called just before they begin."""
+        """Start the routers, at the same time with `at_once`; `before` is called just before that."""
         numbers = range(len(self.ports))
         for number in numbers:
             text = self._operator if isinstance(self._operator, str) else self._operator(self, number)
@@ -156,7 +165,7 @@
             self.release(numbers, before=ready)
 
     def wait_listed(self, numbers: Iterable[int], seconds: float = START_TIMEOUT_S) -> None:
-        """Until each of these routers has an engine in service."""
+        """Wait until each of these routers has an engine in service."""
         for number in numbers:
             router = self.routers[number]
             router.wait_for(partial(_has_engine, router), seconds)
@@ -164,12 +173,12 @@
     def _start(
         self, *argv: str, stdin: bool = False, env: dict[str, str] | None = None, cwd: Path | None = None
     ) -> Process:
-        made = Process(*argv, stdin=stdin, env=env, cwd=cwd)
-        self.processes.append(made)
-        return made
+        process = Process(*argv, stdin=stdin, env=env, cwd=cwd)
+        self.processes.append(process)
+        return process
 
     def config(self, number: int) -> dict[str, Any]:
-        """A router's configuration; probes on, so that it hears of engines it sends little to."""
+        """A router's configuration; probing is on, to get reports of engines that receive few requests."""
         chat = {"Name": "chat", "AimMs": 2000.0, "DeadlineMs": 5000.0, "Effect": "retryable", "Stream": True}
         settings = {
             "Balancers": len(self.ports),
@@ -199,7 +208,7 @@
                 "OverloadFactor": cold.overload_factor,
                 "TipAfterMs": cold.tip_after_ms,
             }
-        made = {
+        config = {
             "name": f"r{number}",
             "listen": f"{LISTEN}:{self.ports[number]}",
             "seed": f"8c1f{number}",
@@ -207,12 +216,12 @@
             "settings": settings | self._settings,
         }
         if self._limits:
-            made["limits"] = self._limits
+            config["limits"] = self._limits
         if self._control:
-            made["control"] = f"{LISTEN}:{self.controls[number]}"
+            config["control"] = f"{LISTEN}:{self.controls[number]}"
         if self._known != "none":
             engines = range(len(self.engine_names)) if self._known == "old" else []
-            made["known"] = {
+            config["known"] = {
                 "index": 1,
                 "snapshot": True,
                 "endpoints": [
@@ -220,15 +229,15 @@
                     for n, line in zip(engines, self._lines(engines), strict=True)
                 ],
             }
-        return made
+        return config
 
     def _address(self, router: int, engine: int) -> str:
-        if self._gated:
+        if self._has_gates:
             return f"{HOST}:{self.proxy_ports[router * len(self.engine_names) + engine]}"
         return f"{router_address(router)}:{self._engine_ports[engine]}"
 
     def start_router(self, number: int, held: bool = False) -> Process:
-        """One process of a router; `held`: it waits for `release` before it reads its configuration."""
+        """Start a router process; `held`: it waits for `release` before it reads its configuration."""
         file = self.folder / f"r{number}.json"
         if held:
             file.unlink(missing_ok=True)
@@ -239,16 +248,19 @@
         operator = self.folder / f"operator{number}.toml"
         if operator.exists():
             env["SPOOLBARROW_OPERATOR"] = str(operator)
-        scratch = self.folder / f"tmp{number}"
-        scratch.mkdir(exist_ok=True)
-        return self._start("-m", "spoolbarrow", env={**env, "TMPDIR": str(scratch)}, cwd=self._tree)
+        temporary = self.folder / f"tmp{number}"
+        temporary.mkdir(exist_ok=True)
+        return self._start("-m", "spoolbarrow", env={**env, "TMPDIR": str(temporary)}, cwd=self._tree)
 
     def release(
-        self, numbers: Iterable[int], seconds: float = START_TIMEOUT_S, before: Callable[[], object] = lambda: None
+        self,
+        numbers: Iterable[int],
+        seconds: float = START_TIMEOUT_S,
+        before: Callable[[], object] = lambda: None,
     ) -> None:
-        """Let routers that were held begin, all in one instant; AssertionError where one never comes up.
+        """Let held routers start, all at the same time; AssertionError if one does not come up.
 
-        `before` is called when they are all up.
+        `before` is called once all of them are up.
         """
         end, opened = time.monotonic() + seconds, []
         for number in numbers:
@@ -257,8 +269,8 @@
                 try:
                     opened.append((file, number, os.open(file, os.O_WRONLY | os.O_NONBLOCK)))
                     break
-                except OSError:  # it is not there yet to read
-                    assert time.monotonic() < end, f"router {number} never came up"
+                except OSError:  # the router does not read it yet
+                    assert time.monotonic() < end, f"router {number} did not come up"
                     time.sleep(POLL_INTERVAL_S)
         texts = [json.dumps(self.config(number)).encode() for _, number, _ in opened]
         before()
@@ -266,17 +278,17 @@
             os.set_blocking(pipe, True)
             os.write(pipe, text)
             os.close(pipe)
-            fresh = file.with_suffix(".new")  # it is read again at SIGHUP
+            fresh = file.with_suffix(".new")  # read again on SIGHUP
             fresh.write_bytes(text)
             fresh.replace(file)
 
     def kill_router(self, number: int) -> None:
-        """End a router's process without warning: what its clients get meanwhile is no test of it."""
+        """Kill a router's process; tests do not judge what its clients get afterwards."""
         self.killed_routers.add(number)
         self.routers[number].kill()
 
     def restart_routers(self, numbers: Iterable[int]) -> None:
-        """Kill routers without warning and begin them anew, all in one instant."""
+        """Kill routers and start them again, all at the same time."""
         chosen = list(numbers)
         for number in chosen:
             self.kill_router(number)
@@ -285,7 +297,7 @@
         self.release(chosen)
 
     def configure(self, settings: Mapping[str, Any]) -> None:
-        """Write other settings into all routers' files; they read them at SIGHUP."""
+        """Write changed settings to all routers' files, which are read on SIGHUP."""
         self._settings |= settings
         for number in range(len(self.ports)):
             file = self.folder / f"r{number}.json"
@@ -294,13 +306,13 @@
             fresh.replace(file)
 
     def send_sighup(self, numbers: Iterable[int]) -> None:
-        """SIGHUP to routers: they read their files again."""
+        """Send SIGHUP to routers, which makes them reload their files."""
         for number in numbers:
             self.routers[number].popen.send_signal(signal.SIGHUP)
 
     def publish_list(self) -> None:
-        """The service lists all engines but those in `out`, in a new version."""
-        self._tell([n for n in range(len(self.engine_names)) if n not in self.unlisted])
+        """Publish a new version of the service's list: all engines except those in `unlisted`."""
+        self._publish([n for n in range(len(self.engine_names)) if n not in self.unlisted])
 
     def _lines(self, engines: Iterable[int]) -> list[dict[str, Any]]:
         zone = {n: name for name, found in self.of_zone.items() for n in found}
@@ -315,12 +327,12 @@
             for n in engines
         ]
 
-    def _tell(self, engines: Iterable[int]) -> None:
+    def _publish(self, engines: Iterable[int]) -> None:
         self.list_version += 1
         chosen = list(engines)
         lines = [
             {**line, "addresses": [self._address(router, n) for router in range(len(self.ports))]}
-            if self._gated
+            if self._has_gates
             else {**line, "address": f"@:{self._engine_ports[n]}"}
             for n, line in zip(chosen, self._lines(chosen), strict=True)
         ]
@@ -329,7 +341,7 @@
         self.service.send_command(f"list {file}")
 
     def restart_engines(self, engines: Iterable[int]) -> None:
-        """These engines are new processes, with nothing kept and cold where they can be; and listed so."""
+        """Restart engines, with empty state and in slow start if they have one, and publish that."""
         chosen = list(engines)
         since = float(self.engines.send_command(f"{','.join(map(str, chosen))} restart"))
         for n in chosen:
@@ -337,63 +349,65 @@
         self.publish_list()
 
     def gates(self, engines: Iterable[int], routers: Iterable[int] | None = None) -> list[int]:
-        """The gates between these routers (all, where none are named) and these engines."""
+        """The proxy listeners between these routers (by default all) and these engines."""
         numbers = range(len(self.ports)) if routers is None else routers
         chosen = list(engines)
         return [number * len(self.engine_names) + n for number in numbers for n in chosen]
 
     def fault(self, mode: str, gates: Iterable[int]) -> None:
-        """Have the proxy do so at these gates from now on: `reset`, `delay 250`, `pass` ..."""
+        """Set the proxy's mode at these listeners: `reset`, `delay 250`, `pass` ..."""
         self.proxy.send_command(f"{','.join(map(str, gates))} {mode}")
 
     def counts(self) -> list[dict[str, Any]]:
-        """What each engine has been sent: `asked` by router (`r0` ...), `probes`, more (`StandinEngine.report_counts`)."""
-        told: list[dict[str, Any]] = self.engines.send_query("counts")
-        return told
+        """Counts by engine: `asked` by router (`r0` ...), `probes`, ... (`StandinEngine.report_counts`)."""
+        counts: list[dict[str, Any]] = self.engines.send_query("counts")
+        return counts
 
     def list_service_counts(self) -> dict[str, Any]:
-        """What the list service counted."""
-        told: dict[str, Any] = self.service.send_query("counts")
-        return told
+        """The counts of the list service."""
+        counts: dict[str, Any] = self.service.send_query("counts")
+        return counts
 
     def mark_begin(self) -> None:
-        """Routers begin now, or what they do is counted from now on."""
+        """Record that routers start, or are counted, from now on."""
         self.begun_unix_s, self.begun_monotonic_s = time.time(), time.monotonic()
         self.reset_counters()
 
     def reset_counters(self) -> None:
-        """Stand-ins count seconds from now on."""
+        """Reset the counts of the stand-ins."""
         self.engines.send_command("mark")
         self.service.send_command("mark")
 
     def up_to_date_routers(self) -> list[int]:
-        """Routers whose watch is open and has told them the newest list."""
-        told = self.list_service_counts()["known"]
-        return [n for n in range(len(self.ports)) if told.get(f"r{n}") == self.list_version]
+        """Routers whose open watch has sent them the latest list."""
+        known = self.list_service_counts()["known"]
+        return [n for n in range(len(self.ports)) if known.get(f"r{n}") == self.list_version]
 
     def control(self, number: int, path: str, method: str = "GET") -> Any:
-        """A call to a router's control listener: the answer's JSON."""
+        """Call a router's control listener; the response's JSON."""
         status, raw = send_request(self.controls[number], f"{method} /v1/{path} HTTP/1.1\r\n\r\n".encode())
         if status != 200:
             raise OSError(f"{path}: {status}")
         return json.loads(raw.partition(b"\r\n\r\n")[2])
 
     def states(self, number: int, place: str) -> list[str]:
-        """The verdicts that a router has reached on a zone or region, oldest first."""
-        return [told["state"] for told in self.routers[number].events("failover") if told["place"] == place]
+        """The states that a router has assigned to a zone or region, oldest first."""
+        return [
+            event["state"] for event in self.routers[number].events("failover") if event["place"] == place
+        ]
 
     def wait_state(self, numbers: Iterable[int], place: str, state: str, since: int = 0) -> None:
-        """Until each of these routers has reached a state of a place, after the first `since` verdicts."""
+        """Wait until these routers have assigned this state to a place, after the first `since` ones."""
         for n in numbers:
             self.routers[n].wait_for(lambda n=n: state in self.states(n, place)[since:])  # type: ignore[misc]
 
     def end(self, kill: bool = False) -> None:
-        """End all processes; `kill`: without the grace that routers take."""
+        """End all processes; `kill`: without the routers' grace period."""
         if self.members is not None:
             self.members.end()
         for process in self.processes:
             if process.popen.poll() is None:
-                process.popen.kill() if kill else process.popen.terminate()  # all at once
+                process.popen.kill() if kill else process.popen.terminate()  # all at the same time
         for process in self.processes:
             process.end()
 
@@ -406,10 +420,10 @@
     operator: str | Callable[[Cluster, int], str] = "",
     **options: Any,
 ) -> Iterator[Cluster]:
-    """Engines by zone, and a router for each zone named, all of which serve; `options` as of `Cluster`."""
-    made = Cluster(folder, zones, routers, operator, **options)
+    """Run engines by zone and a router for each zone named, ready to serve; `options` as for `Cluster`."""
+    running = Cluster(folder, zones, routers, operator, **options)
     try:
-        made.start()
-        yield made
+        running.start()
+        yield running
     finally:
-        made.end()
+        running.end()
--- a/spoolbarrow/lab/fault_proxy.py
+++ b/spoolbarrow/lab/fault_proxy.py
@@ -1,14 +1,14 @@
-"""A fault proxy on loopback: between routers and engines, it passes, drops, resets, delays or slows bytes.
+"""A fault-injecting proxy on loopback that passes, drops, resets, delays or slows connections.
 
-    python -m spoolbarrow.lab.fault_proxy SECONDS [HOST:]PORT...     prints one listening port a target, then obeys
+    python -m spoolbarrow.lab.fault_proxy SECONDS [HOST:]PORT...     prints a port per target, reads commands
 
-Each target gets a listener of its own on 127.0.0.1. Lines on standard input set the fault of listeners, by
-index (`0,3,4`, or `*` for all): `pass`, `drop` (connections are taken and nothing passes either way),
-`reset` (new and open connections are reset), `delay MS` (each piece waits so long), `slow BYTES_PER_S`,
-`oneway` (what the router sends passes, nothing comes back). Connections that lost bytes so are reset when
-the fault ends, as those of a machine that is back, or GIVE_UP_S after the first, as by a kernel's timers.
-Each line is answered `ok` or `error: ...` on standard output. It ends after SECONDS, or when standard input
-closes. Connections are bounded (`MOST_OPEN` a listener; beyond that, new ones are reset and counted).
+Each target gets a listener of its own on 127.0.0.1. Commands on standard input set the fault of listeners, by
+index (`0,3,4`, or `*` for all): `pass`, `drop` (connections are accepted and nothing passes in either
+direction), `reset` (new and open connections are reset), `delay MS` (for each piece), `slow BYTES_PER_S`,
+`oneway` (what the router sends passes, nothing comes back). Connections that lost bytes are reset when the
+fault ends, as by a machine that is back, or LOSS_TIMEOUT_S after the first loss, as by a kernel's timers.
+Each command is answered `ok` or `error: ...` on standard output. It ends after SECONDS, or when standard
+input closes. Connections are bounded (`MAX_CONNECTIONS` per listener; further ones are reset and counted).
 """
 
 from __future__ import annotations
@@ -27,29 +27,29 @@
 from spoolbarrow.lab.line_commands import serve_commands
 
 HOST = "127.0.0.1"
-MOST_OPEN = 512
-CONNECT_S = 2.0
-GIVE_UP_S = 2.0
-PIECE = 65536
+MAX_CONNECTIONS = 512
+CONNECT_TIMEOUT_S = 2.0
+LOSS_TIMEOUT_S = 2.0
+PIECE_BYTES = 65536
 MODES = ("pass", "drop", "reset", "delay", "slow", "oneway")
 
 
 def _reset(sock: Any) -> None:
-    """Close with RST rather than FIN."""
+    """Close with RST instead of FIN."""
     with suppress(OSError):
         sock.setsockopt(plain.SOL_SOCKET, plain.SO_LINGER, struct.pack("ii", 1, 0))
     sock.close()
 
 
 class ProxyListener:
-    """One listener before one target, and its fault."""
+    """A listener in front of one target, with its fault."""
 
     def __init__(self, target: tuple[str, int]) -> None:
         self.target = target
         self.mode, self.value = "pass", 0.0
         self.open: set[Any] = set()
-        self.torn: set[Any] = set()  # of them, those that lost bytes
-        self.refused = 0  # connections reset because MOST_OPEN were open
+        self.lossy: set[Any] = set()  # open connections that have lost bytes
+        self.refused = 0  # connections reset because MAX_CONNECTIONS were open
         self.listener = socket.socket()
         self.listener.setsockopt(plain.SOL_SOCKET, plain.SO_REUSEADDR, 1)
         self.listener.bind((HOST, 0))
@@ -57,57 +57,57 @@
         self.port: int = self.listener.getsockname()[1]
 
     def set(self, mode: str, value: float) -> None:
-        """Apply a fault from now on; `reset` ends what is open, any other what lost bytes before."""
+        """Set the fault; `reset` ends open connections, any other those that have lost bytes."""
         self.mode, self.value = mode, value
-        for sock in list(self.open if mode == "reset" else self.torn):
+        for sock in list(self.open if mode == "reset" else self.lossy):
             _reset(sock)
             self.open.discard(sock)
-        self.torn.clear()
+        self.lossy.clear()
 
     def serve(self) -> None:
-        """Accept for ever."""
+        """Accept connections for ever."""
         while True:
             client, _ = self.listener.accept()
-            if self.mode == "reset" or len(self.open) >= MOST_OPEN:
+            if self.mode == "reset" or len(self.open) >= MAX_CONNECTIONS:
                 self.refused += self.mode != "reset"
                 _reset(client)
                 continue
-            gevent.spawn(self._join, client)
+            gevent.spawn(self._connect, client)
 
-    def _join(self, client: Any) -> None:
+    def _connect(self, client: Any) -> None:
         try:
-            engine = socket.create_connection(self.target, CONNECT_S)
+            engine = socket.create_connection(self.target, CONNECT_TIMEOUT_S)
         except OSError:
             return _reset(client)
-        engine.settimeout(None)  # guards against cutting off what is merely silent, as a watch is for 2 s
+        engine.settimeout(None)  # idle connections must not time out: a watch is idle for 2 s
         self.open |= {client, engine}
-        ends = [gevent.spawn(self._pump, client, engine, True)]
-        ends.append(gevent.spawn(self._pump, engine, client, False))
+        ends = [gevent.spawn(self._copy, client, engine, True)]
+        ends.append(gevent.spawn(self._copy, engine, client, False))
         gevent.joinall(ends, count=1)
         gevent.killall(ends, block=False)
         for sock in (client, engine):
             self.open.discard(sock)
-            self.torn.discard(sock)
+            self.lossy.discard(sock)
             sock.close()
 
     def _give_up(self, *ends: Any) -> None:
         for sock in ends:
-            if sock in self.torn:  # else the fault has ended, and the connection with it
+            if sock in self.lossy:  # otherwise the fault has ended, and the connection with it
                 _reset(sock)
 
-    def _pump(self, source: Any, sink: Any, outward: bool) -> None:
+    def _copy(self, source: Any, sink: Any, to_target: bool) -> None:
         try:
-            while data := source.recv(PIECE):
-                if self.mode == "drop" or (self.mode == "oneway" and not outward):
-                    if source not in self.torn:
-                        gevent.spawn_later(GIVE_UP_S, self._give_up, source, sink)
-                    self.torn |= {source, sink}
+            while data := source.recv(PIECE_BYTES):
+                if self.mode == "drop" or (self.mode == "oneway" and not to_target):
+                    if source not in self.lossy:
+                        gevent.spawn_later(LOSS_TIMEOUT_S, self._give_up, source, sink)
+                    self.lossy |= {source, sink}
                 else:
-                    self._pass(sink, data)
+                    self._forward(sink, data)
         except OSError:
             pass
 
-    def _pass(self, sink: Any, data: bytes) -> None:
+    def _forward(self, sink: Any, data: bytes) -> None:
         mode = self.mode
         if mode == "delay":
             gevent.sleep(self.value / 1000)
@@ -120,30 +120,30 @@
 
 
 def handle_command(gates: list[ProxyListener], line: str) -> str:
-    """Carry out one line of standard input; its answer."""
+    """Execute one command; its response."""
     words = line.split()
     if len(words) not in (2, 3) or words[1] not in MODES:
-        return f"error: want INDEX MODE [VALUE], MODE one of {', '.join(MODES)}"
+        return f"error: expected INDEX MODE [VALUE], MODE one of {', '.join(MODES)}"
     chosen = gates
     if words[0] != "*":
-        named = words[0].split(",")
-        if not all(one.isdigit() and int(one) < len(gates) for one in named):
+        indices = words[0].split(",")
+        if not all(index.isdigit() and int(index) < len(gates) for index in indices):
             return f"error: no listener {words[0]}"
-        chosen = [gates[int(one)] for one in named]
+        chosen = [gates[int(index)] for index in indices]
     needs = words[1] in ("delay", "slow")
     try:
         value = float(words[2]) if needs else 0.0
     except (IndexError, ValueError):
-        return f"error: {words[1]} wants a positive number"
+        return f"error: {words[1]} needs a positive number"
     if needs and value <= 0:
-        return f"error: {words[1]} wants a positive number"
+        return f"error: {words[1]} needs a positive number"
     for gate in chosen:
         gate.set(words[1], value)
     return "ok"
 
 
 def main(argv: list[str]) -> None:
-    """Serve the listeners, obey standard input, end in time."""
+    """Run the listeners and the commands."""
     loopback.raise_descriptor_limit()
     seconds, targets = float(argv[0]), [target.rpartition(":") for target in argv[1:]]
     gates = [ProxyListener((host or HOST, int(port))) for host, _, port in targets]
--- a/spoolbarrow/lab/fleet.py
+++ b/spoolbarrow/lab/fleet.py
@@ -1,4 +1,4 @@
-"""The fleet of a day and its troubles, drawn by seed: which engines there are, and whom each trouble hits."""
+"""Draws a scenario's engines and troubles by seed: which engines there are and which ones a trouble hits."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from spoolbarrow.lab.kinds import EngineParameters, draw, draw_engine
 from spoolbarrow.lab.scenario import Scenario, Trouble
 
-CELL = 8  # engines that are close to each other
+ENGINES_PER_CELL = 8  # number of neighbouring engines
 DEFAULT_TROUBLE_SIZES = {
     "pauses": 300.0,
     "slow": 4.0,
@@ -23,12 +23,12 @@
     "router_restart": 3.7,
 }
 ROUTER_TROUBLES = ("router_death", "router_restart")  # troubles that hit routers
-GLOBAL_TROUBLES = ("burst", "discovery_down", "discovery_stale")  # or no single machine
+GLOBAL_TROUBLES = ("burst", "discovery_down", "discovery_stale")  # troubles that hit no single machine
 PAUSE_EVERY_MS = 1500.0
 
 
 def random_stream(seed: int, name: str) -> Random:
-    """Random numbers of one concern, the same whatever others draw."""
+    """A random number generator for one purpose, independent of what others draw."""
     return Random(f"{seed}:{name}")
 
 
@@ -40,79 +40,79 @@
     kind: int
     cell: int
     figures: EngineParameters
-    weight: float = 1.0  # that the list tells
+    weight: float = 1.0  # in the list
 
 
 class PlannedTrouble(Struct, frozen=True):
-    """A trouble with all that was left open decided."""
+    """A trouble whose open choices are drawn."""
 
     trouble: Trouble
     victims: tuple[int, ...]  # engines or routers, by number
-    routers: tuple[int, ...]  # those cut off from the victims, of a partition
+    routers: tuple[int, ...]  # cut off from the victims by a partition
     size: float
 
 
 def fleet(scenario: Scenario, rng: Random) -> list[EngineSpec]:
-    """Engines of each kind by its share, zone by zone in turn."""
+    """Draw engines of each kind by its share, assigned to the zones in turn."""
     names = list(scenario.kinds)
     total = sum(kind.share for kind in scenario.kinds.values())
     wanted = [kind.share / total * scenario.engines for kind in scenario.kinds.values()]
     counts = [int(w) for w in wanted]
     for n in sorted(range(len(names)), key=lambda k: counts[k] - wanted[k])[: scenario.engines - sum(counts)]:
         counts[n] += 1
-    which = [n for n, count in enumerate(counts) for _ in range(count)]
-    rng.shuffle(which)
+    kinds = [n for n, count in enumerate(counts) for _ in range(count)]
+    rng.shuffle(kinds)
     specs = [
         EngineSpec(
             f"e{rng.getrandbits(32):08x}{n:04x}",
             n % scenario.zones,
             kind,
-            n // CELL,
+            n // ENGINES_PER_CELL,
             draw_engine(scenario.kinds[names[kind]], rng),
         )
-        for n, kind in enumerate(which)
+        for n, kind in enumerate(kinds)
     ]
     if not scenario.discovery.weights:
         return specs
-    return [replace(s, weight=_rough(s, scenario.discovery.weight_noise)) for s in specs]
+    return [replace(s, weight=_noisy_weight(s, scenario.discovery.weight_noise)) for s in specs]
 
 
-def _rough(spec: EngineSpec, noise: float) -> float:
-    """An engine's size, more or less, as the list tells it."""
+def _noisy_weight(spec: EngineSpec, noise: float) -> float:
+    """An engine's size with the noise that the list's weights have."""
     return spec.figures.speed * max(0.2, 1.0 + noise * Random(spec.id).gauss(0.0, 1.0))
 
 
 def plan(scenario: Scenario, rng: Random) -> list[PlannedTrouble]:
-    """The scenario's troubles and those drawn at random, with their victims."""
+    """The scenario's own troubles and the random ones, with their victims."""
     drawn = scenario.drawn
     troubles = list(scenario.troubles)
     for _ in range(drawn.count):
         length = draw(drawn.length_s, rng)
         begin = rng.uniform(0.1, 0.9) * max(0.0, scenario.length_s - length)
-        part = draw(drawn.part, rng)
-        troubles.append(Trouble(name=rng.choice(drawn.names), begin_s=begin, length_s=length, part=part))
-    return [_planned(scenario, trouble, rng) for trouble in troubles]
+        share = draw(drawn.part, rng)
+        troubles.append(Trouble(name=rng.choice(drawn.names), begin_s=begin, length_s=length, part=share))
+    return [_draw_victims(scenario, trouble, rng) for trouble in troubles]
 
 
 def engine_actions(
     planned: PlannedTrouble, figures: EngineParameters, rng: Random, begin: float
 ) -> list[tuple[float, str, tuple[Any, ...]]]:
-    """What happens to one engine that a trouble hits: when, ms, which move, and with what.
+    """The effects of a trouble on one engine: time in ms, action and arguments.
 
-    `stall` until a time, `slowed` by a factor, `crash` for so long, `drain`, `replace` and `vanish` until a
-    time, `cut` off from routers until a time, `put` a value in place of one of its own.
+    `stall` until a time, `slowed` by a factor, `crash` for a duration, `drain`, `replace` and `vanish` until
+    a time, `cut` off from routers until a time, `put` a value into an attribute.
     """
     name, size = planned.trouble.name, planned.size
     end = begin + planned.trouble.length_s * 1000.0
     if name == "hang":
         return [(begin, "stall", (end,))]
     if name == "pauses":
-        found: list[tuple[float, str, tuple[Any, ...]]] = []
+        pauses: list[tuple[float, str, tuple[Any, ...]]] = []
         when = begin + PAUSE_EVERY_MS * rng.random()
         while when < end:
-            found.append((when, "stall", (when + size,)))
+            pauses.append((when, "stall", (when + size,)))
             when += PAUSE_EVERY_MS * (0.5 + rng.random())
-        return found
+        return pauses
     if name == "slow":
         return [(begin, "slowed", (size,)), (end, "slowed", (1.0,))]
     if name == "cold_restart":
@@ -128,18 +128,18 @@
     return [(begin, "put", (name, size)), (end, "put", (name, 0.0))]
 
 
-def _planned(scenario: Scenario, trouble: Trouble, rng: Random) -> PlannedTrouble:
+def _draw_victims(scenario: Scenario, trouble: Trouble, rng: Random) -> PlannedTrouble:
     size = trouble.size or DEFAULT_TROUBLE_SIZES.get(trouble.name, 0.0)
     if trouble.name in GLOBAL_TROUBLES:
         return PlannedTrouble(trouble, (), (), size)
-    of = scenario.routers if trouble.name in ROUTER_TROUBLES else scenario.engines
-    among: range | list[int] = range(of)
+    population = scenario.routers if trouble.name in ROUTER_TROUBLES else scenario.engines
+    candidates: range | list[int] = range(population)
     if trouble.zone >= 0 and trouble.name not in ROUTER_TROUBLES:
-        among = [n for n in among if n % scenario.zones == trouble.zone]
-    hit = max(1, min(len(among), round(trouble.part * len(among))))
-    victims = tuple(sorted(rng.sample(among, hit)))
+        candidates = [n for n in candidates if n % scenario.zones == trouble.zone]
+    count = max(1, min(len(candidates), round(trouble.part * len(candidates))))
+    victims = tuple(sorted(rng.sample(candidates, count)))
     cut: tuple[int, ...] = ()
     if trouble.name == "partition":
-        many = max(1, round(trouble.size * scenario.routers))
-        cut = tuple(rng.sample(range(scenario.routers), many))
+        cut_count = max(1, round(trouble.size * scenario.routers))
+        cut = tuple(rng.sample(range(scenario.routers), cut_count))
     return PlannedTrouble(trouble, victims, cut, size)
--- a/spoolbarrow/lab/list_call_simulation.py
+++ b/spoolbarrow/lab/list_call_simulation.py
@@ -1,7 +1,8 @@
-"""Many routers that call one list service whose capacity nobody told: ways weighed, in virtual time.
+"""Compares pacing strategies of many routers that call one list service of unknown capacity, in virtual time.
 
-The service works calls off in turn, one in 1 / RATE s (a whole list takes two such turns), and ends one that
-has waited 3 s with 503. No router hears of another's calls. Pure; times in ms unless named otherwise.
+The service processes calls in order, one per 1 / RATE s (a whole list takes two such slots), and answers 503
+to a call that has waited 3 s. Routers do not know of each other's calls. No I/O; times are in ms unless
+named otherwise.
 """
 
 from __future__ import annotations
@@ -19,85 +20,87 @@
 from spoolbarrow.interface import RequestClass, Settings
 
 TIMEOUT_MS = 3000.0
-WHOLE = 2.0  # turns of the service for a whole list; changes since a known version take one
-START_MS = 300.0  # processes that start together are up within this
+WHOLE_LIST_SLOTS = 2.0  # service slots for a whole list; changes since a known version take one
+START_MS = 300.0  # processes that start together are up within this time
 MUST_ASK_MS = 10_000.0
 RATES_PER_S = (5.0, 10.0, 20.0)  # calls a second
 CASES = (("start, known list", True, 0.0), ("start, no list", False, 0.0), ("back after 25 s", True, 25.0))
-MOST_CALLS = 2  # of one router open at once, as of `net/discovery_client.py`
-BASE_MS = 1000.0  # of a back-off
+MAX_OPEN_CALLS = 2  # open at once per router, as in `net/discovery_client.py`
+BASE_BACKOFF_MS = 1000.0  # of a backoff
 CLASSES = (RequestClass(aim_ms=1000.0, deadline_ms=5000.0, worth=1.0),)
 
 
 class PacingStrategy(Protocol):
-    """One router's part; times in ms."""
+    """When one router calls the service; times in ms."""
 
     def first_call_ms(self) -> float:
-        """From the start to the first call."""
+        """Delay from the start to the first call."""
 
     def call_answered(self) -> None:
-        """A call was answered."""
+        """Record that a call was answered."""
 
     def watch_ended_ms(self) -> float:
-        """To the next call after a watch ended."""
+        """Delay to the next call after a watch has ended."""
 
     def call_failed_ms(self, waited: float) -> float:
-        """To the next call after one that failed."""
+        """Delay to the next call after a failed one."""
 
     def hangs(self, full: bool) -> float:
-        """To the next call while one has no answer; `full`: the one before was refused after a wait."""
+        """Delay to another call while one is open; `full`: the previous one was rejected after a wait."""
 
 
 class FixedBackoff:
-    """A spread of the first call, then a back-off that doubles from 1 s to `most`, evenly or decorrelated."""
+    """Spreads first calls, then backs off by doubling from 1 s up to `most`, evenly or decorrelated."""
 
     def __init__(self, spread: float, rng: Random, most: float = 8000.0, decorrelated: bool = False) -> None:
         self._spread, self._rng, self._most, self._decorrelated = spread, rng, most, decorrelated
-        self._last = BASE_MS
+        self._last = BASE_BACKOFF_MS
 
     def first_call_ms(self) -> float:
-        """Anywhere within the spread."""
+        """A random delay within the spread."""
         return self._rng.random() * self._spread
 
     def call_answered(self) -> None:
-        """The back-off begins anew."""
-        self._last = BASE_MS
+        """Reset the backoff."""
+        self._last = BASE_BACKOFF_MS
 
     def watch_ended_ms(self) -> float:
-        """As after a call that failed."""
+        """The delay after a failed call."""
         return self.call_failed_ms(0.0)
 
     def call_failed_ms(self, waited: float) -> float:
-        """Whatever it waited."""
+        """The backoff, independent of how long the call waited."""
         if self._decorrelated:
-            self._last = min(self._most, self._rng.uniform(BASE_MS / 2, 3.0 * self._last))
+            self._last = min(self._most, self._rng.uniform(BASE_BACKOFF_MS / 2, 3.0 * self._last))
             return self._last
         pause = self._last * (0.5 + 0.5 * self._rng.random())
         self._last = min(self._most, 2.0 * self._last)
         return pause
 
     def hangs(self, full: bool) -> float:
-        """No call beside another."""
+        """Never: calls do not overlap."""
         return inf
 
 
 class ProgramPacing(Pacing):
-    """The program's own."""
+    """The strategy that the router uses."""
 
     def hangs(self, full: bool) -> float:
-        """As its watch does."""
+        """The delay that the router's watch uses."""
         return hung_retry_ms(self.settings, self._rng, full)
 
 
 def paced(nodes: int, node: int, must_ask: float, rate: float, rng: Random) -> ProgramPacing:
-    """The program's own, of a router that was told so much."""
+    """The router's own strategy with these settings."""
     settings = Settings(nodes=nodes, classes=CLASSES, node=node, must_ask_ms=must_ask, list_rate=rate)
     return ProgramPacing(settings, rng)
 
 
-Make = Callable[[int, int, float, Random], PacingStrategy]  # routers, this one's number, true rate, chance
+Make = Callable[
+    [int, int, float, Random], PacingStrategy
+]  # number of routers, index of this one, true rate, random numbers
 STRATEGIES: dict[str, Make] = {
-    "before: 40 ms a router, 3 s at most; back-off 1 to 8 s": lambda n, me, rate, rng: FixedBackoff(
+    "before: 40 ms a router, 3 s at most; backoff 1 to 8 s": lambda n, me, rate, rng: FixedBackoff(
         min(3000.0, 40.0 * n), rng
     ),
     "decorrelated jitter, 0.5 to 28 s": lambda n, me, rate, rng: FixedBackoff(
@@ -106,7 +109,9 @@
     "a spread that suits 5 a second (15 calls in 3 s)": lambda n, me, rate, rng: FixedBackoff(
         n * TIMEOUT_MS / 15.0, rng
     ),
-    "a spread within the time for asking (6 s)": lambda n, me, rate, rng: FixedBackoff(min(6000.0, 200.0 * n), rng),
+    "a spread within the time for asking (6 s)": lambda n, me, rate, rng: FixedBackoff(
+        min(6000.0, 200.0 * n), rng
+    ),
     "places at the rate told, no time for asking": lambda n, me, rate, rng: paced(n, me, 0.0, rate, rng),
     "chosen, the rate told: within the clock": lambda n, me, rate, rng: paced(n, me, MUST_ASK_MS, rate, rng),
     "chosen, no rate told: within the clock": lambda n, me, rate, rng: paced(n, me, MUST_ASK_MS, 0.0, rng),
@@ -114,152 +119,170 @@
 
 
 class Result(NamedTuple):
-    """Of one play."""
-
-    calls: float  # for each router
-    failed: float  # share of them
-    queue: float  # the longest wait, over the time-out
-    busiest: float  # calls in one second
-    half: float  # when half of the routers had their list, over the least time that the service needs for it
-    last: float  # when all had it, likewise
+    """Figures of one simulation."""
+
+    calls: float  # per router
+    failed: float  # share of calls
+    queue: float  # longest wait, as a multiple of the timeout
+    busiest: float  # most calls in one second
+    half: (
+        float  # when half of the routers had their list, over the minimum time that the service needs for it
+    )
+    last: float  # when all routers had it, likewise
 
 
 def simulate(make: Make, routers: int, rate: float, known: bool, down: float, seed: int) -> Result:
-    """All start at once; where the service was then `down` s long, what counts begins with that."""
+    """Start all routers at once; with an outage of `down` s afterwards, only what follows is counted."""
     rng = Random(seed)
-    turn = (1.0 if known else WHOLE) * 1000.0 / rate
-    ways = [make(routers, me, 1000.0 / turn, Random(rng.getrandbits(32))) for me in range(routers)]
-    found = CallSimulation(ways, turn, rng)
-    found.run([START_MS * rng.random() + way.first_call_ms() for way in ways])
+    slot_ms = (1.0 if known else WHOLE_LIST_SLOTS) * 1000.0 / rate
+    strategies = [
+        make(routers, router, 1000.0 / slot_ms, Random(rng.getrandbits(32))) for router in range(routers)
+    ]
+    simulation = CallSimulation(strategies, slot_ms, rng)
+    simulation.run([START_MS * rng.random() + strategy.first_call_ms() for strategy in strategies])
     if down:
-        found = CallSimulation(ways, turn, rng, down * 1000.0, "refuses")
-        found.run([way.watch_ended_ms() for way in ways])
-    least, waits = routers * turn, found.notified_after_ms
+        simulation = CallSimulation(strategies, slot_ms, rng, down * 1000.0, "refuses")
+        simulation.run([strategy.watch_ended_ms() for strategy in strategies])
+    least_ms, waits = routers * slot_ms, simulation.notified_after_ms
     return Result(
-        found.calls / routers,
-        found.failed / found.calls,
-        found.longest / TIMEOUT_MS,
-        max(found.seconds.values()),
-        median(waits) / least * 2.0,
-        max(waits) / least,
+        simulation.calls / routers,
+        simulation.failed / simulation.calls,
+        simulation.longest / TIMEOUT_MS,
+        max(simulation.seconds.values()),
+        median(waits) / least_ms * 2.0,
+        max(waits) / least_ms,
     )
 
 
-Fault = Literal["refuses", "hangs", "half"]  # calls fail at once; get no answer, ever; half an answer
+Fault = Literal["refuses", "hangs", "half"]  # calls fail at once; never get an answer; get half an answer
 StartCondition = Literal["starts", "reset", "silent", "silent at once", Fault]
 START_CONDITIONS: tuple[StartCondition, ...] = (*get_args(StartCondition)[:4], *get_args(Fault))
-DOWN_MS = 20_000.0  # before the service is back
-KEEPALIVE_MS = 2000.0  # between the words of a watch
+DOWN_MS = 20_000.0  # outage of the service
+KEEPALIVE_MS = 2000.0  # between messages of a watch
 
 
 def simulate_notifications(beginning: StartCondition, routers: int, rate: float, seed: int) -> CallSimulation:
-    """How long after the service could be reached each router hears of what changed: `notified_after_ms`.
+    """Measure how long after the service became reachable each router is notified: `notified_after_ms`.
 
-    All start; or all watches are reset, or fall silent while new calls are answered (at once: their last
-    words came in one instant); or the service is back after it refused, hung or answered half.
+    All routers start; or all watches are reset, or become idle while new calls are answered (at once: the
+    last messages of all came at the same time); or the service is back after it refused calls, hung or sent
+    half answers.
     """
     rng, options = Random(seed), Options()
-    ways = [paced(routers, me, MUST_ASK_MS, 0.0, Random(rng.getrandbits(32))) for me in range(routers)]
+    strategies = [
+        paced(routers, router, MUST_ASK_MS, 0.0, Random(rng.getrandbits(32))) for router in range(routers)
+    ]
     if beginning in get_args(Fault):
-        found = CallSimulation(ways, 1000.0 / rate, rng, DOWN_MS, beginning)  # type: ignore[arg-type]
-        found.run([way.watch_ended_ms() for way in ways])
-        return found
+        simulation = CallSimulation(strategies, 1000.0 / rate, rng, DOWN_MS, beginning)  # type: ignore[arg-type]
+        simulation.run([strategy.watch_ended_ms() for strategy in strategies])
+        return simulation
     first = []
-    for way in ways:
+    for strategy in strategies:
         last = 0.0 if beginning == "silent at once" else -KEEPALIVE_MS * rng.random()
         silent = last + options.watch_silence_ms + silent_retry_ms(0, rng)
         first.append(
-            {"starts": way.first_call_ms, "reset": way.watch_ended_ms}.get(
+            {"starts": strategy.first_call_ms, "reset": strategy.watch_ended_ms}.get(
                 beginning, lambda silent=silent: silent
             )()
         )
-    found = CallSimulation(ways, 1000.0 / rate, rng)
-    found.run(first)
-    return found
+    simulation = CallSimulation(strategies, 1000.0 / rate, rng)
+    simulation.run(first)
+    return simulation
 
 
-class _Asker:
-    """One router's calls: those open, and which of the events to come still hold."""
+class _RouterCalls:
+    """Open calls of one router, and which pending events are still valid."""
 
     def __init__(self) -> None:
         self.open, self.since, self.due, self.mute = 0, 0.0, 0.0, 0
-        self.headed = self.full = False  # an answer has begun; a call was refused after a wait
-        self.round = 0  # calls begun together with one that was answered, or until none was open
+        self.headed = self.full = False  # a response has begun; a call was rejected after a wait
+        self.round = 0  # increases when a call is answered or no call is open any more
 
 
 class CallSimulation:
-    """Calls of many routers, each from its first until it has the list; the service is back at `down`."""
+    """Simulates calls of many routers, each until it has the list; the service is back at `down`."""
 
     def __init__(
-        self, ways: Sequence[PacingStrategy], turn: float, rng: Random, down: float = 0.0, fault: Fault = "refuses"
+        self,
+        ways: Sequence[PacingStrategy],
+        turn: float,
+        rng: Random,
+        down: float = 0.0,
+        fault: Fault = "refuses",
     ) -> None:
-        self._ways, self._turn, self._rng, self._down, self._fault = ways, turn, rng, down, fault
+        self._strategies, self._slot_ms, self._rng, self._back_at_ms, self._fault = (
+            ways,
+            turn,
+            rng,
+            down,
+            fault,
+        )
         self._options = Options()
-        self._askers = [_Asker() for _ in ways]
-        self._free = 0.0  # when the service has worked off what it has
-        self._events: list[tuple[float, int, int, str]] = []  # when, whose, of which round, what
-        self.calls = self.failed = 0  # since the service was back
-        self.longest = 0.0  # wait, ms
+        self._routers = [_RouterCalls() for _ in ways]
+        self._free = 0.0  # when the service will be idle
+        self._events: list[tuple[float, int, int, str]] = []  # time, router, round, kind
+        self.calls = self.failed = 0  # since the service has been back
+        self.longest = 0.0  # longest wait, ms
         self.seconds = Counter[int]()
-        self.notified_after_ms = [inf] * len(ways)  # after the service was back, ms
+        self.notified_after_ms = [inf] * len(ways)  # by router; since the service has been back
 
     def run(self, first: list[float]) -> None:
-        """Until all have the list; `first`: when each calls first."""
-        self._events = [(at, me, 0, "due") for me, at in enumerate(first)]
+        """Run until all routers have the list; `first`: times of their first calls."""
+        self._events = [(at, router, 0, "due") for router, at in enumerate(first)]
         heapify(self._events)
         while self._events:
-            now, me, number, what = heappop(self._events)
-            one = self._askers[me]
-            if self.notified_after_ms[me] < inf or number != one.round:
+            now, router, round_number, kind = heappop(self._events)
+            calls = self._routers[router]
+            if self.notified_after_ms[router] < inf or round_number != calls.round:
                 continue
-            if what == "due":
-                self._due(now, me)
-            elif what == "answered":
-                self.notified_after_ms[me] = now - self._down
-                self._ways[me].call_answered()
+            if kind == "due":
+                self._due(now, router)
+            elif kind == "answered":
+                self.notified_after_ms[router] = now - self._back_at_ms
+                self._strategies[router].call_answered()
             else:
-                self._ended(now, me, what)
+                self._ended(now, router, kind)
 
-    def _push(self, at: float, me: int, what: str) -> None:
-        heappush(self._events, (at, me, self._askers[me].round, what))
+    def _schedule(self, at: float, router: int, kind: str) -> None:
+        heappush(self._events, (at, router, self._routers[router].round, kind))
 
-    def _due(self, now: float, me: int) -> None:
-        one = self._askers[me]
-        if one.open >= MOST_CALLS or one.headed or now < one.due:
+    def _due(self, now: float, router: int) -> None:
+        calls = self._routers[router]
+        if calls.open >= MAX_OPEN_CALLS or calls.headed or now < calls.due:
             return
-        one.since = now if not one.open else one.since
-        one.open += 1
-        one.due = now + self._ways[me].hangs(one.full)
-        if one.due < inf:
-            self._push(one.due, me, "due")
+        calls.since = now if not calls.open else calls.since
+        calls.open += 1
+        calls.due = now + self._strategies[router].hangs(calls.full)
+        if calls.due < inf:
+            self._schedule(calls.due, router, "due")
         limit = self._options.call_timeout_ms
-        if now < self._down:
+        if now < self._back_at_ms:
             if self._fault == "half":
-                one.headed = True
-            after = {"refuses": 0.0, "hangs": limit, "half": self._options.watch_silence_ms}[self._fault]
-            return self._push(now + after, me, "failed" if self._fault == "refuses" else "silent")
+                calls.headed = True
+            delay = {"refuses": 0.0, "hangs": limit, "half": self._options.watch_silence_ms}[self._fault]
+            return self._schedule(now + delay, router, "failed" if self._fault == "refuses" else "silent")
         self.calls += 1
         self.seconds[int(now / 1000.0)] += 1
         wait = max(0.0, self._free - now)
         self.longest = max(self.longest, min(wait, TIMEOUT_MS))
         if wait > TIMEOUT_MS:
             self.failed += 1
-            return self._push(now + TIMEOUT_MS, me, "failed")
-        self._free = max(self._free, now) + self._turn
-        # Answered at the end of its turn, though the program gives up one that takes over 0.2 s after 3 s.
-        self._push(self._free, me, "answered")
-
-    def _ended(self, now: float, me: int, why: str) -> None:
-        one = self._askers[me]
-        one.open -= 1
-        one.headed, one.full = False, why != "silent" and now - one.since >= QUEUED_CALL_MS
-        if one.open:
-            return self._due(now, me)
-        one.round += 1  # what was due beside it is not
-        one.due = 0.0
-        if why == "silent":
-            one.mute += 1
-            pause = silent_retry_ms(one.mute, self._rng)
+            return self._schedule(now + TIMEOUT_MS, router, "failed")
+        self._free = max(self._free, now) + self._slot_ms
+        # Answered at the end of its slot, although a router gives up a call that takes over 0.2 s after 3 s.
+        self._schedule(self._free, router, "answered")
+
+    def _ended(self, now: float, router: int, reason: str) -> None:
+        calls = self._routers[router]
+        calls.open -= 1
+        calls.headed, calls.full = False, reason != "silent" and now - calls.since >= QUEUED_CALL_MS
+        if calls.open:
+            return self._due(now, router)
+        calls.round += 1  # cancels pending overlapping calls
+        calls.due = 0.0
+        if reason == "silent":
+            calls.mute += 1
+            pause = silent_retry_ms(calls.mute, self._rng)
         else:
-            pause = self._ways[me].call_failed_ms(now - one.since)
-        self._push(now + pause, me, "due")
+            pause = self._strategies[router].call_failed_ms(now - calls.since)
+        self._schedule(now + pause, router, "due")
--- a/spoolbarrow/lab/process.py
+++ b/spoolbarrow/lab/process.py
@@ -1,4 +1,4 @@
-"""Processes that a test or a benchmark starts: their output read by one thread, their end by id."""
+"""Starts processes for tests and benchmarks, reads their output in one thread and ends them by id."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
 
 from spoolbarrow.lab.line_commands import CommandFailed
 
-READ = 65_536
-LOOK_S = 0.25  # between looks at whether a process that says nothing has ended
+READ_BYTES = 65_536
+POLL_INTERVAL_S = 0.25  # between checks whether a process without output has ended
 
 
 class _Reader:
-    """One thread that reads the pipes of all processes, however many there are."""
+    """A single thread that reads the pipes of all processes."""
 
     def __init__(self) -> None:
         self._selector = selectors.DefaultSelector()
@@ -31,7 +31,7 @@
         self._thread: threading.Thread | None = None
 
     def watch(self, stream: IO[bytes], take: Callable[[bytes], None]) -> None:
-        """Give `take` what comes from a pipe, at its end nothing."""
+        """Pass data from a pipe to `take`, and empty data at its end."""
         with self._lock:
             self._selector.register(stream, selectors.EVENT_READ, take)
             if self._thread is None:
@@ -42,7 +42,7 @@
         while True:
             for key, _ in self._selector.select():
                 try:
-                    data = os.read(key.fd, READ)
+                    data = os.read(key.fd, READ_BYTES)
                 except OSError:
                     data = b""
                 if not data:
@@ -56,7 +56,7 @@
 
 
 class Process:
-    """A process of ours; its standard output and error are read as they come."""
+    """A Python process whose standard output and error are read continuously."""
 
     def __init__(
         self, *argv: str, env: dict[str, str] | None = None, stdin: bool = False, cwd: Path | None = None
@@ -69,38 +69,38 @@
             stdout=subprocess.PIPE,
             stderr=subprocess.PIPE,
         )
-        self.log_lines: list[str] = []  # of standard error: the log
+        self.log_lines: list[str] = []  # of standard error, which is the log
         self.output_lines: list[str] = []  # of standard output
-        self._heard = threading.Condition()
-        self._telling = threading.Lock()
+        self._output = threading.Condition()
+        self._command_lock = threading.Lock()
         for stream, into in ((self.popen.stdout, self.output_lines), (self.popen.stderr, self.log_lines)):
             assert stream is not None
-            _reader.watch(stream, self._taker(into))
+            _reader.watch(stream, self._line_reader(into))
 
-    def _taker(self, into: list[str]) -> Callable[[bytes], None]:
+    def _line_reader(self, output: list[str]) -> Callable[[bytes], None]:
         rest = b""
 
         def take(data: bytes) -> None:
             nonlocal rest
             *lines, rest = (rest + data).split(b"\n")
-            with self._heard:
-                into.extend(line.decode(errors="replace") for line in lines)
-                self._heard.notify_all()
+            with self._output:
+                output.extend(line.decode(errors="replace") for line in lines)
+                self._output.notify_all()
 
         return take
 
     def wait_for(self, true: Callable[[], bool], seconds: float = 30.0) -> None:
-        """Until something holds of what was read; AssertionError where the process ends or time runs out."""
+        """Wait for a condition on the output; AssertionError if the process ends or time runs out."""
         end = time.monotonic() + seconds
-        with self._heard:
+        with self._output:
             while not true():
-                left = end - time.monotonic()
-                if left <= 0 or self.popen.poll() is not None:
-                    self._heard.wait(LOOK_S)  # what it said last may still be on its way
+                remaining = end - time.monotonic()
+                if remaining <= 0 or self.popen.poll() is not None:
+                    self._output.wait(POLL_INTERVAL_S)  # the last output may not have been read yet
                     if true():
                         return
-                    raise AssertionError(f"never came true; last lines: {self.log_lines[-5:]}")
-                self._heard.wait(min(left, LOOK_S))
+                    raise AssertionError(f"condition not met; last lines: {self.log_lines[-5:]}")
+                self._output.wait(min(remaining, POLL_INTERVAL_S))
 
     def first_output_line(self) -> str:
         """The first line of standard output."""
@@ -108,36 +108,36 @@
         return self.output_lines[0]
 
     def send_command(self, line: str) -> str:
-        """A line to standard input; the next line of output. CommandFailed where it is not obeyed."""
+        """Send a command on standard input; the next line of output. CommandFailed if it is an error."""
         assert self.popen.stdin is not None
-        with self._telling:
+        with self._command_lock:
             count = len(self.output_lines)
             self.popen.stdin.write(line.encode() + b"\n")
             self.popen.stdin.flush()
             self.wait_for(lambda: len(self.output_lines) > count)
-            said = self.output_lines[count]
-        if said.startswith("error"):
-            raise CommandFailed(line, said)
-        return said
+            response = self.output_lines[count]
+        if response.startswith("error"):
+            raise CommandFailed(line, response)
+        return response
 
     def send_query(self, line: str) -> Any:
-        """The same, its answer as JSON."""
+        """Send a command and decode its JSON response."""
         return json.loads(self.send_command(line))
 
     def events(self, name: str) -> list[dict[str, Any]]:
-        """Log lines of one event, as JSON."""
-        with self._heard:
+        """Decoded log lines of one event."""
+        with self._output:
             lines = list(self.log_lines)
-        marked = [line for line in lines if f'"{name}"' in line]
-        return [one for line in marked if (one := json.loads(line)).get("event") == name]
+        candidates = [line for line in lines if f'"{name}"' in line]
+        return [event for line in candidates if (event := json.loads(line)).get("event") == name]
 
     def kill(self) -> None:
-        """End it without warning."""
+        """Kill the process."""
         self.popen.kill()
         self.popen.wait()
 
     def end(self, grace_s: float = 10.0) -> None:
-        """By its id: SIGTERM, then SIGKILL where it does not end."""
+        """End the process by its id: SIGTERM, then SIGKILL if it does not end in time."""
         if self.popen.poll() is None:
             self.popen.terminate()
             try:
@@ -149,20 +149,20 @@
                 self.popen.stdin.close()
 
 
-# Guards against another program that takes a port between its choice and the router's bind: connections
-# leave from 127.0.0.1, and each process that starts routers has them listen at an address of its own.
+# An address per process that starts routers, and not 127.0.0.1, from which connections leave: prevents that
+# another program takes a port between its choice and the router's bind.
 LISTEN = f"127.{64 + (os.getpid() >> 16 & 63)}.{os.getpid() >> 8 & 255}.{os.getpid() & 255}"
 
 
 def end_all_at_sigterm() -> None:
-    """Have SIGTERM unwind this program, so that its clusters end what they started."""
+    """Make SIGTERM unwind this program, so that its clusters end the processes that they started."""
     signal.signal(signal.SIGTERM, lambda *_: sys.exit(143))
 
 
 def free_ports(count: int) -> list[int]:
-    """Ports of LISTEN that nothing listens on just now, each another one."""
-    with ExitStack() as held:
-        socks = [held.enter_context(socket.socket()) for _ in range(count)]
-        for sock in socks:
+    """Distinct ports of LISTEN that are currently free."""
+    with ExitStack() as stack:
+        sockets = [stack.enter_context(socket.socket()) for _ in range(count)]
+        for sock in sockets:
             sock.bind((LISTEN, 0))
-        return [int(sock.getsockname()[1]) for sock in socks]
+        return [int(sock.getsockname()[1]) for sock in sockets]
--- a/spoolbarrow/lab/raft_histories.py
+++ b/spoolbarrow/lab/raft_histories.py
@@ -1,11 +1,11 @@
-"""Members of the store in virtual time: clocks, disks and a network that fail, and what must hold yet.
-
-One seed is one history: messages are lost, delayed, doubled and overtaken, members are cut off (one way too),
-crash between any two writes and come back with what their disks hold or with an older copy of it (fewer than
-a majority at once), clocks leap. At every step it is held: one leader a term; nobody applies another entry
-at an index than the others did, or leaves one out; what was applied anywhere is never lost; at the end, logs
-match where terms do. Once the faults end, a new entry must be committed everywhere, in bounded time. `InvariantViolation`
-tells which of these does not hold.
+"""Checks store members in virtual time, with faults of clocks, disks and network, against Raft's invariants.
+
+A seed determines a history: messages are lost, delayed, duplicated and reordered, members are cut off (also
+in one direction), crash between any two writes and return with their disk's contents or with an older copy
+(fewer than a majority at a time), clocks jump. Checked at every step: one leader per term; no member applies
+another entry at an index than the others, or skips one; what was applied anywhere is never lost; at the end,
+logs match where terms do. After the faults end, a new entry must be committed everywhere in bounded time.
+`InvariantViolation` names the invariant that is violated.
 """
 
 from __future__ import annotations
@@ -34,36 +34,37 @@
 )
 
 TICK_MS = 20.0
-FAULTS_MS = 6000.0  # faults begin and end within it
-HEALED_MS = 6000.0  # in which a new entry must be everywhere
-COMPACT_AFTER_ENTRIES = 12  # entries that a member keeps before it compacts
+FAULTS_MS = 6000.0  # all faults start and end within it
+RECOVERY_MS = 6000.0  # within which a new entry must be everywhere
+COMPACT_AFTER_ENTRIES = 12  # entries that a member keeps before compaction
 CHANCES = {"crash_in_save": (0.01, 0.2), "crash_voting": (0.3, 0.9), "crash_leading": (0.02, 0.2)}
 FAULTS = ("net", "net", "cut", "one way", "crash", "leap", "all", "old", "old", *CHANCES)
-# From a member's end to its beginning with an older file: what its last process sent has arrived by then.
+# From a member's crash to its start with an older file: messages of its last process have arrived by then.
 RESTORE_MS = 1600.0
-SPREADS = (0.05, 1.0)  # of elections: at once, or one after the other
+SPREADS = (0.05, 1.0)  # election jitter: elections at the same time, or one after another
 
 
 class FaultMix(Struct, frozen=True):
-    """What a history tries: which faults, and how often a client asks for an entry, as a mean."""
+    """The faults of a history, and the mean interval between a client's proposals."""
 
     faults: tuple[str, ...] = FAULTS
     propose_ms: float = 20.0
 
 
 ANY_FAULTS = FaultMix()
-# What lies on some members only when its leader goes: entries of older terms that get a majority late (figure
-# 8), and logs that differ over many entries, mended by answers that come twice and overtake each other.
+# Entries that only some members have when their leader disappears: entries of older terms that reach a
+# majority late (figure 8), and logs that differ in many entries, repaired with duplicated and reordered
+# responses.
 LEADER_FAULTS = FaultMix(("leader apart", "leader dies"), 120.0)
 OLD_FILE_FAULTS = FaultMix(("old", "crash", "crash", "cut"))
 
 
 class InvariantViolation(AssertionError):
-    """Something that must always hold does not."""
+    """An invariant is violated."""
 
 
 class NetworkConditions(Struct):
-    """How bad the network is now."""
+    """Current conditions of the network."""
 
     lost: float = 0.0
     doubled: float = 0.0
@@ -71,62 +72,64 @@
 
 
 class Member:
-    """One member's process and its disk."""
+    """A member's process and its disk."""
 
     def __init__(self, name: str) -> None:
         self.name = name
         self.raft: Raft | None = None  # None while it is down
         self.life = 0
-        self.leap = 0.0  # of its clock
+        self.leap = 0.0  # offset of its clock
         # The disk:
         self.hard, self.snapshot = HardState(), Snapshot()
         self.entries: list[Entry] = []
         self.lives: Mapping[str, int] = {}
-        self.kept: list[Saved] = []  # copies of it, each made while no process ran
+        self.kept: list[Saved] = []  # copies of the disk, each made while no process ran
         self.down_at = 0.0
-        self.old = False  # began with one of these, and is not sure yet
-        # What the process has applied, all of it:
+        self.old = False  # started with one of these copies and does not participate yet
+        # All that the process has applied:
         self.state: list[str] = []
         self.applied = 0
 
     def saved(self) -> Saved:
-        """What the disk holds."""
+        """The disk's contents."""
         return Saved(self.hard, self.snapshot, tuple(self.entries), self.lives)
 
     def restore_file(self, saved: Saved) -> None:
-        """An older file stands in its place."""
+        """Replace the disk's contents with an older copy."""
         self.hard, self.snapshot, self.lives = saved.hard_state, saved.snapshot, saved.incarnations
         self.entries, self.old = list(saved.entries), True
 
 
 class History:
-    """One history by its seed. `make` builds members: a mutant, to see that it is found."""
+    """A history given by its seed; `make` builds members, mutants included, which must be detected."""
 
-    def __init__(self, seed: int, size: int = 3, make: Callable[..., Raft] = Raft, aim: FaultMix = ANY_FAULTS) -> None:
+    def __init__(
+        self, seed: int, size: int = 3, make: Callable[..., Raft] = Raft, aim: FaultMix = ANY_FAULTS
+    ) -> None:
         self.rng, self.make, self.aim = Random(seed), make, aim
-        # Small batches, so that a log is mended in many steps.
+        # Small batches, so that a log is repaired in many steps.
         self.settings = Settings(batch_entries=2, election_jitter=SPREADS[seed % len(SPREADS)])
         self.names = [f"m{n}" for n in range(size)]
         self.members = {name: Member(name) for name in self.names}
         self.now = 0.0
         self.net = NetworkConditions()
-        self.cut: set[tuple[str, str]] = set()  # nothing passes from the first to the second
+        self.cut: set[tuple[str, str]] = set()  # messages from the first to the second are lost
         self.events: list[tuple[float, int, Callable[..., object], tuple[object, ...]]] = []
         self.count = 0
         self.leaders: dict[int, str] = {}  # by term
-        self.applied: dict[int, Entry] = {}  # by index: what was applied first anywhere
+        self.applied: dict[int, Entry] = {}  # by index: the entry applied first by any member
         self.proposed = 0
         self.steps = self.restored = 0
-        self.crash_in_save = 0.0  # chance, at each write
-        self.crash_voting = self.crash_leading = 0.0  # at each vote given, and each message of a leader's
+        self.crash_in_save = 0.0  # probability at each write
+        self.crash_voting = self.crash_leading = 0.0  # at each granted vote, and at each message of a leader
 
     def at(self, when: float, call: Callable[..., object], *args: object) -> None:
-        """Call it then."""
+        """Schedule a call."""
         self.count += 1
         heappush(self.events, (when, self.count, call, args))
 
     def run(self) -> None:
-        """The whole history; InvariantViolation where something does not hold."""
+        """Run the history; InvariantViolation if an invariant is violated."""
         for name in self.names:
             self.start(name)
         for _ in range(self.rng.randint(8, 30)):
@@ -135,23 +138,23 @@
         while at < FAULTS_MS:
             at += self.rng.expovariate(1 / self.aim.propose_ms)
             self.at(at, self.propose)
-        self._play(FAULTS_MS)
+        self._run_until(FAULTS_MS)
         self.heal()
-        self._match()
-        self._play(FAULTS_MS + HEALED_MS / 2)
+        self._check_logs()
+        self._run_until(FAULTS_MS + RECOVERY_MS / 2)
         before = self.last()
         if not self.propose():
-            raise InvariantViolation("no leader once the faults have ended")
-        self._play(FAULTS_MS + HEALED_MS)
+            raise InvariantViolation("no leader after the faults have ended")
+        self._run_until(FAULTS_MS + RECOVERY_MS)
         if any(member.applied <= before for member in self.members.values()):
-            raise InvariantViolation("what was proposed once the faults had ended is not everywhere")
-        self._match()
+            raise InvariantViolation("the entry proposed after the faults had ended is not everywhere")
+        self._check_logs()
 
     def last(self) -> int:
-        """The highest index applied anywhere."""
+        """The highest index applied by any member."""
         return max(self.applied, default=0)
 
-    def _play(self, until: float) -> None:
+    def _run_until(self, until: float) -> None:
         while self.events and self.events[0][0] <= until:
             self.now, _, call, args = heappop(self.events)
             call(*args)
@@ -160,7 +163,7 @@
     # Members
 
     def start(self, name: str) -> None:
-        """A process begins from its disk."""
+        """Start a member's process from its disk."""
         member = self.members[name]
         if member.raft is not None:
             return
@@ -170,14 +173,14 @@
         try:
             member.raft = self.make(name, self.names, self.now + member.leap, rng, saved, self.settings)
         except ValueError as error:
-            raise InvariantViolation(f"what {name} saved is no log: {error}") from error
+            raise InvariantViolation(f"the saved state of {name} is not a valid log: {error}") from error
         self._load(member, member.snapshot)
         self.at(self.now, self.tick, name, member.life)
 
     def crash(
         self, name: str, away: tuple[float, float] | None = None, again: Callable[[str], None] | None = None
     ) -> None:
-        """Its process ends; the disk stays, and a copy of it is kept."""
+        """End a member's process; the disk stays, and a copy of it is kept."""
         member = self.members[name]
         if member.raft is not None:
             member.down_at = self.now
@@ -187,13 +190,15 @@
         self.at(self.now + self.rng.uniform(*away), again or self.start, name)
 
     def restore(self, name: str) -> None:
-        """Begin a member that was down long enough with an older file; see RESTORE_MS."""
+        """Start a member that was down long enough with an older file; see RESTORE_MS."""
         member = self.members[name]
         if member.raft is not None or self.now - member.down_at < RESTORE_MS:
             return
         others = [one for one in self.members.values() if one is not member]
         quorum = len(self.names) // 2 + 1
-        known = sorted(one.lives.get(name, 0) for one in others)[quorum - 2]  # by all but too few to be asked
+        known = sorted(one.lives.get(name, 0) for one in others)[
+            quorum - 2
+        ]  # to all others but too few for a quorum
         kept = [saved for saved in member.kept if saved.incarnations.get(name, 0) < known]
         if kept and sum(one.old for one in others) + 1 < quorum:
             self.restored += 1
@@ -201,14 +206,14 @@
         self.start(name)
 
     def tick(self, name: str, life: int) -> None:
-        """Time passes for one."""
+        """Advance a member's time."""
         member = self.members[name]
         if member.raft is not None and member.life == life:
             self.do(member, member.raft.handle(self.now + member.leap))
             self.at(self.now + TICK_MS * self.rng.uniform(0.8, 1.2), self.tick, name, life)
 
     def propose(self) -> bool:
-        """A client asks whoever takes itself for the leader; whether anybody does."""
+        """Propose an entry to a member that considers itself the leader; False if there is none."""
         leaders = [m for m in self.members.values() if m.raft is not None and m.raft.role is Role.LEADER]
         if not leaders:
             return False
@@ -221,13 +226,13 @@
         return True
 
     def arrive(self, message: Message) -> None:
-        """A message is there."""
+        """Deliver a message."""
         member = self.members[message.dst]
         if member.raft is not None and (message.src, message.dst) not in self.cut:
             self.do(member, member.raft.handle(self.now + member.leap, message))
 
     def do(self, member: Member, ready: Ready) -> None:
-        """Save, send, apply; a crash may come before each write and each message."""
+        """Save, send and apply; the member may crash before each write and after each message."""
         self.steps += 1
         for write in self._writes(member, ready):
             if self.crash_in_save and self.rng.random() < self.crash_in_save:
@@ -284,12 +289,14 @@
         member.state = json.loads(snapshot.data) if snapshot.data else []
         wanted = [e.data.decode() for i in range(1, snapshot.index + 1) if (e := self.applied[i]).data]
         if member.state != wanted:
-            raise InvariantViolation(f"{member.name} loads another state at {snapshot.index} than was applied")
+            raise InvariantViolation(
+                f"{member.name} loads a state at {snapshot.index} that differs from what was applied"
+            )
 
     # The network and its faults
 
     def send(self, message: Message) -> None:
-        """A message leaves: it may be lost, or come twice, or late."""
+        """Send a message, which may be lost, duplicated or delayed."""
         for _ in range(1 + (self.rng.random() < self.net.doubled)):
             if self.rng.random() >= self.net.lost:
                 delay = self.rng.uniform(*self.net.delay_ms)
@@ -298,14 +305,14 @@
                 self.at(self.now + delay, self.arrive, message)
 
     def trouble(self) -> None:
-        """One fault, with its end."""
+        """Start a random fault and schedule its end."""
         rng = self.rng
         kind = rng.choice(self.aim.faults)
         end = self.now + rng.uniform(100.0, 2000.0)
         if kind == "net":
             late = rng.choice((10.0, 100.0, 500.0))
             self.net = NetworkConditions(rng.uniform(0.0, 0.4), rng.uniform(0.0, 0.3), (1.0, late))
-            self.at(end, self.calm)
+            self.at(end, self.reset_network)
         elif kind in ("cut", "one way"):
             apart = set(rng.sample(self.names, rng.randint(1, len(self.names) // 2)))
             pairs = {(a, b) for a in apart for b in self.names if b not in apart}
@@ -319,8 +326,10 @@
             self.crash(rng.choice(self.names))
         elif kind in ("leader apart", "leader dies"):
             leads = [name for name, one in self.members.items() if one.raft and one.raft.role is Role.LEADER]
-            self.net = NetworkConditions(rng.uniform(0.0, 0.5), rng.uniform(0.3, 0.9), (1.0, rng.choice((30.0, 100.0))))
-            self.at(end, self.calm)
+            self.net = NetworkConditions(
+                rng.uniform(0.0, 0.5), rng.uniform(0.3, 0.9), (1.0, rng.choice((30.0, 100.0)))
+            )
+            self.at(end, self.reset_network)
             if leads and kind == "leader dies":
                 self.crash(leads[-1])
             elif leads:
@@ -341,13 +350,13 @@
             for name in self.names:
                 self.crash(name)
 
-    def calm(self) -> None:
-        """The network is well."""
+    def reset_network(self) -> None:
+        """Reset the network to normal conditions."""
         self.net = NetworkConditions()
 
     def heal(self) -> None:
-        """Faults end."""
-        self.calm()
+        """End all faults."""
+        self.reset_network()
         self.cut.clear()
         self.crash_in_save = self.crash_voting = self.crash_leading = 0.0
         for name, member in self.members.items():
@@ -355,8 +364,8 @@
                 member.leap = max(member.leap, member.raft.now - self.now)
             self.start(name)
 
-    def _match(self) -> None:
-        """Where two logs have an entry of the same index and term, they are the same up to there."""
+    def _check_logs(self) -> None:
+        """Check that two logs with the same index and term of an entry are equal up to it."""
         logs = [{entry.index: entry for entry in m.entries} for m in self.members.values()]
         for n, one in enumerate(logs):
             for other in logs[:n]:
@@ -367,8 +376,10 @@
                         raise InvariantViolation(f"logs that agree at {same[0]} differ at {index}")
 
 
-def find_violation(seed: int, size: int = 3, make: Callable[..., Raft] = Raft, aim: FaultMix = ANY_FAULTS) -> str:
-    """Play one seed: empty where all holds, else what does not."""
+def find_violation(
+    seed: int, size: int = 3, make: Callable[..., Raft] = Raft, aim: FaultMix = ANY_FAULTS
+) -> str:
+    """Run the history of a seed: empty if no invariant is violated, else which one is."""
     try:
         History(seed, size, make, aim).run()
     except AssertionError as error:
@@ -389,14 +400,14 @@
 
 
 class VotesTwice(Raft):
-    """Votes for whoever asks."""
+    """Votes for every candidate."""
 
     def _may_vote(self, ask: object) -> bool:
         return True
 
 
 class VotesForStale(Raft):
-    """Votes for members whose logs lack what is committed."""
+    """Votes for members whose logs lack committed entries."""
 
     def _log_up_to_date(self, ask: object) -> bool:
         return True
@@ -409,35 +420,35 @@
         return True
 
     def _append_entry(self, data: bytes) -> Entry:
-        if not data:  # nor does it mark its term
+        if not data:  # and writes no entry at the start of its term
             self._advance_commit()
             return Entry(self.last_index, self.term)
         return super()._append_entry(data)
 
 
 class AppendsBlindly(Raft):
-    """Takes entries whatever comes before them."""
+    """Appends entries without comparing the ones before them."""
 
     def _log_matches(self, message: Append) -> bool:
         return message.prev_index <= self.last_index
 
 
 class KeepsConflicts(Raft):
-    """Keeps what another leader put in the place of an entry."""
+    """Keeps entries that conflict with the leader's."""
 
     def _conflicts(self, entry: Entry) -> bool:
         return False
 
 
 class CommitsBeyond(Raft):
-    """Takes for committed what it has not compared with the leader's log."""
+    """Treats entries as committed that it has not compared with the leader's log."""
 
     def _matched_commit(self, message: Append, match: int) -> int:
         return min(message.commit, self.last_index)
 
 
 class SmallQuorum(Raft):
-    """Half of the members are enough for it."""
+    """Uses half of the members as a quorum."""
 
     def __init__(self, *args: object) -> None:
         super().__init__(*args)  # type: ignore[arg-type]
@@ -445,7 +456,7 @@
 
 
 class EntriesUnsaved(Raft):
-    """Answers for entries that it has not saved."""
+    """Acknowledges entries that it has not saved."""
 
     def _ready(self) -> Ready:
         ready = super()._ready()
@@ -453,7 +464,7 @@
 
 
 class CountsLost(Raft):
-    """Counts on what a member had before it began with an older file, and on those that count for nothing."""
+    """Counts what a member had before it restarted with an older file, and members that do not count."""
 
     def _is_new_incarnation(self, peer: object, answer: object) -> bool:
         return False
@@ -463,7 +474,7 @@
 
 
 class TrustsItsFile(Raft):
-    """Takes part whatever others know of its later lives."""
+    """Participates even if others know later incarnations of it."""
 
     def _receive_known(self, known: Known) -> None:
         super()._receive_known(
@@ -472,7 +483,7 @@
 
 
 class SureTooSoon(Raft):
-    """Takes part again as soon as others have answered, whatever it lacks."""
+    """Participates again as soon as others have answered, even if it lacks entries."""
 
     def _caught_up(self) -> bool:
         return self._confirmed_current()
--- a/spoolbarrow/lab/recorded_clients.py
+++ b/spoolbarrow/lab/recorded_clients.py
@@ -1,12 +1,12 @@
-"""Clients that keep all they saw: for checks of what a fleet owes to clients.
+"""Clients that record all connections and responses, to check a fleet's guarantees to clients.
 
-    python -m spoolbarrow.lab.recorded_clients SECONDS PLAN     begins when told, then obeys
+    python -m spoolbarrow.lab.recorded_clients SECONDS PLAN     reads commands
 
-PLAN (JSON, `ClientPlan`) says how many clients each router has, what they ask and how they behave (`BEHAVIORS`). Lines
-on standard input: `begin`; `away ROUTERS` (no new connections go there) and `back ROUTERS`; `asked`, answered
-with the number of requests; `stop`, answered with every connection in JSON once each request under way has
-its answer, or DONE_S have passed. Times are `time.monotonic` when the kernel had the bytes, or was handed
-them, in s.
+PLAN (JSON, `ClientPlan`) says how many clients each router has, what they request and how they behave
+(`BEHAVIORS`). Commands on standard input: `begin`; `away ROUTERS` (no new connections to them) and `back
+ROUTERS`; `asked`, answered with the number of requests; `stop`, answered with all connections in JSON once
+each request in flight has its response, or DONE_S have passed. Times are `time.monotonic` in s, when the
+kernel received the bytes or was given them.
 """
 
 from __future__ import annotations
@@ -33,77 +33,79 @@
 from spoolbarrow.lab.wire_engine import chunk
 from spoolbarrow.net import tcpinfo
 
-CONNECT_S = 5.0
-STATUS_LINE = 16  # bytes: as much of it as tells the status
-GO_AHEAD = 100  # a status: the body may come
-SLACK_S = 2.0  # beyond a request's time, and between a stream's bytes, until a client gives up
+CONNECT_TIMEOUT_S = 5.0
+STATUS_LINE_BYTES = 16  # bytes of it that contain the status
+CONTINUE_STATUS = 100  # status: the body may be sent
+SLACK_S = 2.0  # until a client gives up, after a request's deadline and between bytes of a stream
 MOST_SMALL = 700  # bytes of a request that is written byte by byte
 LARGE_BODY_BYTES = 150_000
-SLOW_READ, SLOW_PAUSE_S = 256, 0.01
-RESET_S, RESET_LOOK_S = 1.0, 0.02  # for a reset to come behind an end, and between looks for it
-END_LOOK_S = 0.1  # between looks at whether to stop, of a client that waits for the other side's end
-RETRY_S = 0.05  # before a client tries to connect again
-SHARED_PREFIX = "5c0f6e1a2b3d4c59"  # what prompts that begin alike begin with
+SLOW_READ_BYTES, SLOW_PAUSE_S = 256, 0.01
+RESET_WAIT_S, RESET_POLL_S = 1.0, 0.02  # to wait for a reset after an end, and between checks for it
+END_POLL_S = 0.1  # between checks whether to stop, of a client that waits for the peer to close
+RETRY_S = 0.05  # before a client connects again
+SHARED_PREFIX = "5c0f6e1a2b3d4c59"  # prefix id of prompts with a common beginning
 BEHAVIORS = (
-    "keeps",  # its connection, and pauses between requests
-    "eager",  # the same, and asks again in the instant in which an answer has ended
-    "renews",  # a connection for each request
-    "closes",  # says that its connection is to end with the answer
-    "leaves",  # closes while it waits
-    "resets",  # likewise
-    "half",  # says its end while it waits
-    "pipelines",  # several requests in one write
-    "garbles",  # what is no request, behind one that is
-    "slow",  # to read
+    "keeps",  # keeps its connection and pauses between requests
+    "eager",  # the same, but sends a request as soon as a response has ended
+    "renews",  # uses a connection per request
+    "closes",  # sends `Connection: close`
+    "leaves",  # closes the connection while it waits
+    "resets",  # resets the connection while it waits
+    "half",  # shuts down its sending side while it waits
+    "pipelines",  # sends several requests in one write
+    "garbles",  # sends a malformed request after a valid one
+    "slow",  # reads slowly
     "bytewise",  # writes single bytes
-    "chunked",  # sends its body in chunks, in two writes
-    "large",  # sends a body of LARGE bytes
-    "expects",  # the word to send its body
-    "stops",  # in the middle of a request
+    "chunked",  # sends a chunked body in two writes
+    "large",  # sends a body of LARGE_BODY_BYTES
+    "expects",  # waits for 100 Continue before the body
+    "stops",  # disconnects in the middle of a request
 )
-# Of runs with drains alone: what is drawn for others stays as it is.
+# Used only by runs with drains, so that random choices of other runs stay the same.
 DRAIN_BEHAVIORS = (
-    "ahead",  # one request more on its way than is answered
-    "silent",  # connects and says nothing
-    "halts",  # in the middle of a request, and stays
+    "ahead",  # has always one more request in flight than is answered
+    "silent",  # connects and sends nothing
+    "halts",  # stops sending in the middle of a request and stays connected
 )
 
 
 class RequestKind(Struct, frozen=True):
-    """One class that is asked for."""
+    """A request class and its time budget."""
 
     name: str
     left_ms: int
 
 
 class ClientPlan(Struct, frozen=True):
-    """What clients do."""
+    """What the clients do."""
 
     ports: list[int]  # of the routers
     host: str
     kinds: list[RequestKind]
     accounts: list[str]
     habits: list[str]  # of each router's clients
-    pause_s: float = 0.1  # at most, between a client's requests
+    pause_s: float = 0.1  # maximum between a client's requests
     mean_prompt: float = 40.0
-    spread: float = 0.0  # of prompts' lengths, as sigma of their logarithm
-    hot: float = 0.0  # share of requests whose prompts begin alike
-    sessions: int = 0  # of a client; 0: each request is of its own
-    gaps_ms: list[float] = []  # between the events of an answer, one drawn for each; empty: the engines' own
+    spread: float = 0.0  # of prompt lengths, as sigma of their logarithm
+    hot: float = 0.0  # share of requests whose prompts have a common prefix
+    sessions: int = 0  # per client; 0: each request has its own
+    gaps_ms: list[
+        float
+    ] = []  # between the events of a response, one drawn per request; empty: the engines' default
     seed: int = 1
 
 
-class Reader:
-    """Takes answers apart: a reader of its own, so that it does not share the program's mistakes."""
+class ResponseReader:
+    """Parses responses independently of the program's parser, so that they do not share bugs."""
 
     def __init__(self, sock: Any, slow: bool) -> None:
         self._sock, self._slow, self._rest = sock, slow, b""
-        self.at = 0.0  # when the last bytes came
+        self.at = 0.0  # when the last bytes arrived
 
-    def _more(self) -> None:
+    def _receive(self) -> None:
         if self._slow:
             gevent.sleep(SLOW_PAUSE_S)
-        data = self._sock.recv(SLOW_READ if self._slow else 65_536)
+        data = self._sock.recv(SLOW_READ_BYTES if self._slow else 65_536)
         if not data:
             raise EOFError
         self.at = received_at(self._sock)
@@ -112,42 +114,42 @@
     def line(self) -> bytes:
         """The next line."""
         while b"\r\n" not in self._rest:
-            self._more()
+            self._receive()
         line, self._rest = self._rest.split(b"\r\n", 1)
         return line
 
     def exactly(self, size: int) -> bytes:
-        """So many bytes."""
+        """The next `size` bytes."""
         while len(self._rest) < size:
-            self._more()
+            self._receive()
         data, self._rest = self._rest[:size], self._rest[size:]
         return data
 
     def pending(self) -> bool:
-        """Whether bytes stand there, or come within an instant."""
+        """Whether bytes are buffered or can be read at once."""
         if not self._rest:
             self._sock.settimeout(0.0)
             with suppress(OSError, EOFError):
-                self._more()
+                self._receive()
         return bool(self._rest)
 
 
 class ClientConnection:
-    """One connection of a client."""
+    """A client's connection and its record."""
 
     def __init__(self, sock: Any, router: str, slow: bool) -> None:
-        self.sock, self.reader = sock, Reader(sock, slow)
+        self.sock, self.reader = sock, ResponseReader(sock, slow)
         self.requests: list[dict[str, Any]] = []
         self.told: dict[str, Any] = {
             "router": router,
             "requests": self.requests,
             "opened_at": time.monotonic(),
         }
-        self.lasts = True  # more may be asked on it
-        self.unanswered: list[dict[str, Any]] = []  # asked, and not read yet
+        self.lasts = True  # more requests may be sent on it
+        self.unanswered: list[dict[str, Any]] = []  # sent, without a response read yet
 
     def read(self, asked: dict[str, Any]) -> None:
-        """The answer to a request, as far as it comes."""
+        """Read the response to a request, as far as it arrives."""
         try:
             self._read(asked)
         except EOFError:
@@ -164,7 +166,7 @@
     def _read(self, asked: dict[str, Any]) -> None:
         self._wait(asked["sent_at"] + asked["left_s"] + SLACK_S)
         status = int(self.reader.line().split()[1])
-        while status == GO_AHEAD:
+        while status == CONTINUE_STATUS:
             self.reader.line()
             status = int(self.reader.line().split()[1])
         asked["status"], asked["first_at"] = status, self.reader.at
@@ -182,42 +184,42 @@
         asked["answered_at"], asked["whole"] = self.reader.at, True
 
     def _chunks(self, asked: dict[str, Any]) -> None:
-        rest = b""  # of a line: chunks need not hold whole events
+        rest = b""  # of an incomplete line: chunks need not contain whole events
         while size := int(self.reader.line(), 16):
             *lines, rest = (rest + self.reader.exactly(size + 2)[:-2]).split(b"\n")
             for line in lines:
                 if line.startswith(b"data: {"):
-                    told = json.loads(line[6:])["choices"][0]["delta"]["content"]
-                    id, attempt, place = told.split(" ")
+                    content = json.loads(line[6:])["choices"][0]["delta"]["content"]
+                    id, attempt, place = content.split(" ")
                     asked["words"].append({"id": id, "attempt": attempt, "place": int(place)})
         self.reader.line()
 
     def _is_reset(self) -> bool:
-        """Whether a reset follows the other side's end: it had not read, nor will, all that was sent."""
-        until = time.monotonic() + RESET_S
+        """Whether a reset follows the peer's end, which means that it has not read all that was sent."""
+        until = time.monotonic() + RESET_WAIT_S
         while not self._was_reset() and time.monotonic() < until:
-            gevent.sleep(RESET_LOOK_S)
+            gevent.sleep(RESET_POLL_S)
         return self._was_reset()
 
     def refused_within(self, seconds: float, asked: dict[str, Any]) -> bool:
-        """Wait so long, or until an answer begins that is no stream; of one that is, its begin is noted."""
+        """Wait, or until a response other than a stream begins; the beginning of a stream is recorded."""
         until = time.monotonic() + seconds
         self.sock.settimeout(max(0.001, seconds))
         with suppress(OSError):
-            told = self.sock.recv(STATUS_LINE, plain.MSG_PEEK)[9:12]
-            if told not in (b"", b"200"):
+            status = self.sock.recv(STATUS_LINE_BYTES, plain.MSG_PEEK)[9:12]
+            if status not in (b"", b"200"):
                 return True
-            if told:
+            if status:
                 asked["status"], asked["first_at"] = 200, time.monotonic()
             gevent.sleep(max(0.0, until - time.monotonic()))
         return False
 
     def _was_reset(self) -> bool:
-        told = self.sock.getsockopt(plain.IPPROTO_TCP, tcpinfo.TCP_INFO, tcpinfo.TCP_INFO_BYTES)
-        return bool(told[0] == tcpinfo.CLOSED)
+        info = self.sock.getsockopt(plain.IPPROTO_TCP, tcpinfo.TCP_INFO, tcpinfo.TCP_INFO_BYTES)
+        return bool(info[0] == tcpinfo.CLOSED)
 
     def stands(self) -> bool:
-        """Whether its other side has not ended it, as far as this machine knows."""
+        """Whether the peer has not closed it, as far as this machine knows."""
         self.sock.settimeout(0.0)
         try:
             return bool(self.sock.recv(1, plain.MSG_PEEK))
@@ -227,7 +229,7 @@
             return False
 
     def rest(self, seconds: float) -> None:
-        """Ask nothing for so long, or until the other side ends the connection."""
+        """Send nothing for this time, or until the peer closes the connection."""
         until = time.monotonic() + seconds
         self.sock.settimeout(seconds)
         try:
@@ -240,8 +242,8 @@
             self._ended("reset")
 
     def await_end(self, stopping: Event) -> None:
-        """Take in what comes up to the other side's end."""
-        self.sock.settimeout(END_LOOK_S)
+        """Read until the peer closes the connection."""
+        self.sock.settimeout(END_POLL_S)
         while not stopping.is_set():
             try:
                 if not self.sock.recv(65_536):
@@ -257,7 +259,7 @@
         self.lasts = False
 
     def _close(self, gone: bool = True, way: str = "") -> None:
-        """End it; `gone`: the client leaves, rather than giving up on an answer that never came."""
+        """Close it; `gone`: the client leaves, rather than giving up on a missing response."""
         self.lasts = False
         if way == "half":
             with suppress(OSError):
@@ -270,13 +272,13 @@
             self.told.setdefault("closed_at", time.monotonic())
 
     def leave(self, way: str) -> None:
-        """Go while something is under way."""
+        """Leave while a request is in flight."""
         self._close(True, way)
 
     def finish(self) -> None:
-        """End it after its last answer; what came beyond that is one answer too many."""
+        """Close it after its last response; any further bytes are recorded as a surplus response."""
         if "ended" not in self.told and "closed_at" not in self.told:
-            if "malformed_from" not in self.told:  # else it is told what was wrong
+            if "malformed_from" not in self.told:  # otherwise an error response is expected
                 self.told["answers_too_many"] = int(self.reader.pending())
             if all(one["whole"] for one in self.requests):
                 self.told["closed_at"] = time.monotonic()
@@ -284,132 +286,132 @@
 
 
 class Client:
-    """One client of one router."""
+    """A client of one router."""
 
-    def __init__(self, crowd: ClientGroup, router: int, number: int, habit: str) -> None:
-        self.crowd, self.router, self.habit = crowd, router, habit
+    def __init__(self, group: ClientGroup, router: int, number: int, habit: str) -> None:
+        self.group, self.router, self.habit = group, router, habit
         self.name = f"r{router}-{number}"
-        self.rng = Random(f"{crowd.plan.seed} {self.name}")
+        self.rng = Random(f"{group.plan.seed} {self.name}")
         self.count = 0
 
     def run(self) -> None:
-        """Ask until told to stop."""
-        plan = self.crowd.plan
+        """Send requests until stopped."""
+        plan = self.group.plan
         gevent.sleep(self.rng.random() * plan.pause_s)
-        while not self.crowd.stopping.is_set():
-            if self.router in self.crowd.away:
+        while not self.group.stopping.is_set():
+            if self.router in self.group.away:
                 gevent.sleep(RETRY_S)
                 continue
             try:
                 sock = socket.socket()
                 if self.habit == "slow":
                     sock.setsockopt(plain.SOL_SOCKET, plain.SO_RCVBUF, 2048)
-                sock.settimeout(CONNECT_S)
+                sock.settimeout(CONNECT_TIMEOUT_S)
                 sock.connect((plan.host, plan.ports[self.router]))
             except OSError:
                 sock.close()
                 gevent.sleep(RETRY_S)
                 continue
             sock.setsockopt(plain.IPPROTO_TCP, plain.TCP_NODELAY, 1)
-            visit = ClientConnection(sock, f"r{self.router}", self.habit == "slow")
-            self.crowd.visits.append(visit.told)
-            self._stay(visit)
-            visit.finish()
-
-    def _stay(self, visit: ClientConnection) -> None:
-        while visit.lasts and visit.stands() and not self.crowd.stopping.is_set():
-            self._turn(visit)
-            if self.habit == "ahead" and visit.lasts:
+            connection = ClientConnection(sock, f"r{self.router}", self.habit == "slow")
+            self.group.visits.append(connection.told)
+            self._use_connection(connection)
+            connection.finish()
+
+    def _use_connection(self, connection: ClientConnection) -> None:
+        while connection.lasts and connection.stands() and not self.group.stopping.is_set():
+            self._exchange(connection)
+            if self.habit == "ahead" and connection.lasts:
                 continue
-            if self.habit != "eager" or self.rng.random() < 0.2 or not visit.lasts:
-                pause_s = self.rng.random() * self.crowd.plan.pause_s
-                visit.rest(pause_s) if visit.lasts else gevent.sleep(pause_s)
+            if self.habit != "eager" or self.rng.random() < 0.2 or not connection.lasts:
+                pause_s = self.rng.random() * self.group.plan.pause_s
+                connection.rest(pause_s) if connection.lasts else gevent.sleep(pause_s)
             if self.habit in ("renews", "closes", "garbles"):
                 break
-        self._read(visit, 0)
+        self._read(connection, 0)
 
-    def _read(self, visit: ClientConnection, left: int) -> None:
-        """Read answers until so many requests have none yet, or no more will come."""
-        while len(visit.unanswered) > left and not visit.told.keys() & {"ended", "closed_at"}:
-            visit.read(visit.unanswered.pop(0))
+    def _read(self, connection: ClientConnection, left: int) -> None:
+        """Read responses until `left` requests are unanswered, or no more will arrive."""
+        while len(connection.unanswered) > left and not connection.told.keys() & {"ended", "closed_at"}:
+            connection.read(connection.unanswered.pop(0))
 
-    def _say_nothing(self, visit: ClientConnection) -> None:
-        """Nothing, or half a request; then wait for the other side's end."""
+    def _stall(self, connection: ClientConnection) -> None:
+        """Send nothing, or half a request, then wait for the peer to close."""
         if self.habit == "halts":
             _, raw = self._request()
             with suppress(OSError):
-                visit.sock.sendall(raw[: self.rng.randrange(1, len(raw))])
-        visit.await_end(self.crowd.stopping)
+                connection.sock.sendall(raw[: self.rng.randrange(1, len(raw))])
+        connection.await_end(self.group.stopping)
 
-    def _turn(self, visit: ClientConnection) -> None:
+    def _exchange(self, connection: ClientConnection) -> None:
         if self.habit in ("silent", "halts"):
-            return self._say_nothing(visit)
-        many = self.rng.randint(2, 6) if self.habit == "pipelines" else 1
-        if self.habit == "ahead" and not visit.unanswered:
-            many = 2
-        made = [self._request() for _ in range(many)]
-        raw = b"".join(text for _, text in made)
+            return self._stall(connection)
+        count = self.rng.randint(2, 6) if self.habit == "pipelines" else 1
+        if self.habit == "ahead" and not connection.unanswered:
+            count = 2
+        requests = [self._request() for _ in range(count)]
+        raw = b"".join(text for _, text in requests)
         if self.habit == "garbles":
-            visit.told["malformed_from"] = len(visit.requests) + many
+            connection.told["malformed_from"] = len(connection.requests) + count
             raw += self.rng.choice(
                 [b"\x00\x01nonsense\r\n\r\n", b"POST / HTTP/9.9\r\n\r\n", raw[:40] + b"\r\n\r\n\r\n"]
             )
-        asked = [one for one, _ in made]
+        asked = [one for one, _ in requests]
         try:
-            self._send(visit, raw, asked)
+            self._send(connection, raw, asked)
         except OSError:
-            # Not wholly handed over, so nothing is owed; some may have come all the same.
-            return visit.leave("leaves")
+            # Not sent completely, so no response is required; some requests may have arrived nevertheless.
+            return connection.leave("leaves")
         if self.habit in ("leaves", "resets", "half") and self.rng.random() < 0.6:
             patience_s = self.rng.choice([0.0, 0.001, 0.01, 0.05, 0.3]) * self.rng.random() * 2
-            if not visit.refused_within(patience_s, asked[0]):
-                return visit.leave(self.habit)
-        visit.unanswered += asked
-        self._read(visit, 1 if self.habit == "ahead" else 0)
+            if not connection.refused_within(patience_s, asked[0]):
+                return connection.leave(self.habit)
+        connection.unanswered += asked
+        self._read(connection, 1 if self.habit == "ahead" else 0)
 
-    def _send(self, visit: ClientConnection, raw: bytes, asked: list[dict[str, Any]]) -> None:
-        visit.sock.settimeout(CONNECT_S)
+    def _send(self, connection: ClientConnection, raw: bytes, asked: list[dict[str, Any]]) -> None:
+        connection.sock.settimeout(CONNECT_TIMEOUT_S)
         if self.habit == "stops" and self.rng.random() < 0.5:
-            visit.sock.sendall(raw[: self.rng.randrange(1, len(raw))])
+            connection.sock.sendall(raw[: self.rng.randrange(1, len(raw))])
             gevent.sleep(self.rng.random() * 0.1)
-            return visit.leave(self.rng.choice(["leaves", "resets"]))
+            return connection.leave(self.rng.choice(["leaves", "resets"]))
         if self.habit == "bytewise":
             for at in range(0, len(raw) - 1):
-                visit.sock.sendall(raw[at : at + 1])
+                connection.sock.sendall(raw[at : at + 1])
                 if at % 50 == 0:
                     gevent.sleep(0)
             raw = raw[-1:]
         if self.habit in ("chunked", "expects"):
-            raw = self._send_head(visit, raw)
+            raw = self._send_head(connection, raw)
         for last in (False, True):
             for one in asked:
                 one["sent_at"] = time.monotonic()
             if not last:
-                visit.requests += asked
-                visit.sock.sendall(raw)
+                connection.requests += asked
+                connection.sock.sendall(raw)
 
-    def _send_head(self, visit: ClientConnection, raw: bytes) -> bytes:
-        """The head first; what is left to send."""
+    def _send_head(self, connection: ClientConnection, raw: bytes) -> bytes:
+        """Send the head; returns the rest to send."""
         head, end, body = raw.partition(b"\r\n\r\n")
-        visit.sock.sendall(head + end)
+        connection.sock.sendall(head + end)
         gevent.sleep(self.rng.choice([0.0, 0.02, 0.2]))
         return body
 
     def _session(self) -> str:
-        if not self.crowd.plan.sessions:
+        if not self.group.plan.sessions:
             return f"{self.rng.getrandbits(64):016x}"
-        return sha256(f"{self.name} {self.rng.randrange(self.crowd.plan.sessions)}".encode()).hexdigest()[:16]
+        return sha256(f"{self.name} {self.rng.randrange(self.group.plan.sessions)}".encode()).hexdigest()[:16]
 
     def _request(self) -> tuple[dict[str, Any], bytes]:
-        plan, rng = self.crowd.plan, self.rng
+        plan, rng = self.group.plan, self.rng
         kind = rng.choice(plan.kinds)
         self.count += 1
         id = f"{self.name}-{self.count}"
         prompt = max(1, round(plan.mean_prompt * rng.lognormvariate(0.0, plan.spread)))
-        told = {"model": "chat", "stream": True, "q": id}
+        document = {"model": "chat", "stream": True, "q": id}
         if self.habit == "large":
-            told["fill"] = "x" * LARGE_BODY_BYTES
-        body = json.dumps(told).encode()
+            document["fill"] = "x" * LARGE_BODY_BYTES
+        body = json.dumps(document).encode()
         length = f"Content-Length: {len(body)}"
         if self.habit == "chunked":
             length = "Transfer-Encoding: chunked"
@@ -443,7 +445,7 @@
 
 
 class ClientGroup:
-    """All clients."""
+    """All clients, and the commands."""
 
     def __init__(self, plan: ClientPlan) -> None:
         self.plan = plan
@@ -452,34 +454,34 @@
         self.stopping = Event()
         self._running: list[Any] = []
 
-    def obey(self, line: str) -> str:
-        """Carry out one line of standard input; its answer."""
-        word, *rest = line.split()
-        if word == "begin":
+    def execute(self, line: str) -> str:
+        """Execute one command; its response."""
+        command, *rest = line.split()
+        if command == "begin":
             self._running = [
                 gevent.spawn(Client(self, router, number, habit).run)
                 for router in range(len(self.plan.ports))
                 for number, habit in enumerate(self.plan.habits)
             ]
-        elif word == "asked":
+        elif command == "asked":
             return json.dumps(sum(len(one["requests"]) for one in self.visits))
-        elif word == "stop":
+        elif command == "stop":
             self.stopping.set()
             gevent.joinall(self._running)
             return json.dumps(self.visits)
-        elif word in ("away", "back") and rest:
+        elif command in ("away", "back") and rest:
             chosen = {int(one) for one in rest[0].split(",")}
-            self.away = self.away | chosen if word == "away" else self.away - chosen
+            self.away = self.away | chosen if command == "away" else self.away - chosen
         else:
             return f"error: {line[:80]}"
         return "ok"
 
 
 def main(argv: list[str]) -> None:
-    """Ask, and obey."""
+    """Run the clients and the commands."""
     loopback.raise_descriptor_limit()
-    crowd = ClientGroup(msgspec.json.decode(argv[1], type=ClientPlan))
-    serve_commands(float(argv[0]), crowd.obey)
+    group = ClientGroup(msgspec.json.decode(argv[1], type=ClientPlan))
+    serve_commands(float(argv[0]), group.execute)
 
 
 if __name__ == "__main__":
--- a/spoolbarrow/lab/simulated_discovery.py
+++ b/spoolbarrow/lab/simulated_discovery.py
@@ -1,4 +1,4 @@
-"""Discovery as a list service: late, of bounded capacity, and sometimes down or stale. Pure; times in ms."""
+"""Simulates discovery with delays, bounded capacity, outages and stale data. No I/O; times in ms."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class Notification(NamedTuple):
-    """What a caller is told, and when."""
+    """A list or change that a caller receives, and when."""
 
     at: float
     caller: int
@@ -22,21 +22,23 @@
 
 
 class SimulatedDiscovery:
-    """The service: `record_change` is what is true, `request_list` and `deliver_due` what callers hear of it."""
+    """The service: `record_change` takes true states, `request_list` and `deliver_due` return updates."""
 
     def __init__(self, shape: Discovery, entries: list[ReplicaEntry], rng: Random) -> None:
         self.shape = shape
         self.rng = rng
-        self.listed = {entry.replica: entry for entry in entries}  # as the service knows it
-        self.pending_changes: deque[tuple[float, ReplicaEntry]] = deque()  # changes it has not noticed yet, in order
+        self.listed = {entry.replica: entry for entry in entries}  # as the service knows them
+        self.pending_changes: deque[tuple[float, ReplicaEntry]] = (
+            deque()
+        )  # changes that it has not detected yet, in order
         self.watches: set[int] = set()
         self.busy_until = 0.0
         self.down_until = -inf
-        self.behind_ms = 0.0  # staleness, a trouble
+        self.behind_ms = 0.0  # staleness, set by a trouble
         self.calls = self.failed = 0
 
     def record_change(self, now: float, entry: ReplicaEntry, silent: bool = False) -> float:
-        """An engine's state is now this; when the service will notice, `deliver_due` must be called."""
+        """Record an engine's new state; the time of its detection, at which `deliver_due` must be called."""
         seconds = draw(self.shape.silent_notice_s if silent else self.shape.notice_s, self.rng)
         at = now + seconds * 1000.0 + self.behind_ms
         if self.pending_changes:
@@ -45,18 +47,18 @@
         return at
 
     def deliver_due(self, now: float) -> list[Notification]:
-        """Notice what is due, and tell those who watch."""
-        news: dict[str, ReplicaEntry] = {}
+        """Detect the changes that are due; the notifications to watching callers."""
+        updates: dict[str, ReplicaEntry] = {}
         while self.pending_changes and self.pending_changes[0][0] <= now:
             entry = self.pending_changes.popleft()[1]
-            news[entry.replica] = entry
+            updates[entry.replica] = entry
             if entry.state is ReplicaState.GONE:
                 self.listed.pop(entry.replica, None)
             else:
                 self.listed[entry.replica] = entry
-        if not news or now < self.down_until:
+        if not updates or now < self.down_until:
             return []
-        entries = tuple(news.values())
+        entries = tuple(updates.values())
         return [
             Notification(
                 now + draw(self.shape.spread_ms, self.rng) * self.rng.random(),
@@ -68,7 +70,7 @@
         ]
 
     def request_list(self, now: float, caller: int) -> Notification:
-        """A router asks for the list and a watch on it; the watch begins when it is told."""
+        """Handle a router's call for the list and a watch, which begins when the list is delivered."""
         self.calls += 1
         self.watches.discard(caller)
         if now < self.down_until:
@@ -83,17 +85,17 @@
         return Notification(self.busy_until, caller, ListKind.WHOLE, ())
 
     def full_list(self) -> tuple[ReplicaEntry, ...]:
-        """The list as the service shows it now."""
+        """The current list as the service knows it."""
         return tuple(self.listed.values())
 
     def fail_until(self, now: float, until: float) -> list[Notification]:
-        """The service goes down: calls fail and watches end."""
+        """Take the service down until then: calls fail and watches end."""
         self.down_until = until
         self.busy_until = min(self.busy_until, now)
-        cut = [Notification(now, caller, ListKind.FAILED, ()) for caller in sorted(self.watches)]
+        ended_watches = [Notification(now, caller, ListKind.FAILED, ()) for caller in sorted(self.watches)]
         self.watches.clear()
-        return cut
+        return ended_watches
 
     def remove_caller(self, caller: int) -> None:
-        """A router died."""
+        """Remove the watch of a router that has died."""
         self.watches.discard(caller)
--- a/spoolbarrow/lab/socket_run.py
+++ b/spoolbarrow/lab/socket_run.py
@@ -1,4 +1,4 @@
-"""A scenario on loopback sockets: emulated engines and discovery, the real program, open-loop load."""
+"""Runs a scenario on loopback sockets: emulated engines and discovery, real routers, open-loop load."""
 
 from __future__ import annotations
 
@@ -25,13 +25,13 @@
 from spoolbarrow.lab.wire_engine import HOST
 from spoolbarrow.net import http1
 
-START_S = 20.0
-SLACK_MS = 50.0  # for what is on its way
+START_TIMEOUT_S = 20.0
+TRANSIT_MS = 50.0  # for messages in transit
 
 
 def router_config(scenario: Scenario, number: int, port: int, discovery: str, seed: int) -> dict[str, Any]:
-    """A router's configuration file."""
-    told, lim = scenario.settings(number), scenario.limits
+    """The contents of a router's configuration file."""
+    own_settings, limits = scenario.settings(number), scenario.limits
     classes = [
         {
             "Name": name,
@@ -46,33 +46,33 @@
     ]
     tenants = [
         {"Name": name, "Portion": t.portion, "QuotaPerS": t.quota_per_s}
-        for name, t in zip(scenario.tenants, told.tenants, strict=True)
+        for name, t in zip(scenario.tenants, own_settings.tenants, strict=True)
     ]
     settings = {
-        "Balancers": told.nodes,
+        "Balancers": own_settings.nodes,
         "Me": number,
-        "MyZone": told.zone,
+        "MyZone": own_settings.zone,
         "Classes": classes,
         "Tenants": tenants,
         "Zones": [f"z{n}" for n in range(scenario.zones)],
         "Skus": list(scenario.kinds),
         "Discovery": "subscribe",
-        "TickMs": told.tick_ms,
+        "TickMs": own_settings.tick_ms,
         "Limits": {
-            "Cancelling": lim.cancel,
-            "ConnectTimeoutMs": lim.connect_timeout_ms,
-            "MaxAttempts": lim.max_attempts,
-            "MaxRetryAfterMs": lim.max_retry_after_ms,
-            "Probing": lim.probes,
-            "RetryAfter": lim.retry_after,
-            "SecondCopies": lim.second_copies,
+            "Cancelling": limits.cancel,
+            "ConnectTimeoutMs": limits.connect_timeout_ms,
+            "MaxAttempts": limits.max_attempts,
+            "MaxRetryAfterMs": limits.max_retry_after_ms,
+            "Probing": limits.probes,
+            "RetryAfter": limits.retry_after,
+            "SecondCopies": limits.second_copies,
         },
         "Invariants": {
-            "ColdFrom": told.cold_from,
-            "ColdMs": told.cold_ms,
-            "DrainGraceMs": lim.drain_grace_ms,
+            "ColdFrom": own_settings.cold_from,
+            "ColdMs": own_settings.cold_ms,
+            "DrainGraceMs": limits.drain_grace_ms,
         },
-        "Fees": {"Waste": lim.waste_fee},
+        "Fees": {"Waste": limits.waste_fee},
         "Specifics": {
             "AimUsPer1000PromptTokens": [c.aim_ms_per_1000 * 1000.0 for c in scenario.classes.values()],
             "TokenAimMs": [c.token_aim_ms for c in scenario.classes.values()],
@@ -89,7 +89,7 @@
 
 
 def free_port() -> int:
-    """A port of loopback that nothing listens on just now."""
+    """A loopback port that is currently free."""
     with socket.socket() as probe:
         probe.bind((HOST, 0))
         port: int = probe.getsockname()[1]
@@ -97,7 +97,7 @@
 
 
 class RouterProcesses:
-    """The real program, one process for each router."""
+    """Real router processes."""
 
     def __init__(self, scenario: Scenario, seed: int, discovery: list[str], directory: Path) -> None:
         self.directory = directory
@@ -109,7 +109,7 @@
             self.start(n)
 
     def start(self, number: int) -> None:
-        """Start one."""
+        """Start a router."""
         environment = {**os.environ, "NODE_CONFIG": str(self.directory / f"router{number}.json")}
         with (self.directory / f"router{number}.log").open("ab") as log:
             self.running[number] = subprocess.Popen(
@@ -117,13 +117,13 @@
             )
 
     def kill(self, number: int) -> None:
-        """End one without warning."""
+        """Kill a router."""
         if self.running[number].poll() is None:
             self.running[number].send_signal(signal.SIGKILL)
         self.running[number].wait()
 
     def up(self, number: int) -> bool:
-        """Whether it says that it serves."""
+        """Whether a router reports that it serves."""
         address = (HOST, self.ports[number])
         parser = http1.ResponseParser(4096)
         try:
@@ -137,14 +137,16 @@
         return parser.status == 200
 
     def wait(self) -> None:
-        """Until all serve; OSError where one does not."""
-        with gevent.Timeout(START_S, OSError(f"a router did not start; its log is in {self.directory}")):
+        """Wait until all routers serve; OSError if one does not in time."""
+        with gevent.Timeout(
+            START_TIMEOUT_S, OSError(f"a router did not start; its log is in {self.directory}")
+        ):
             for n in range(len(self.ports)):
                 while not self.up(n):
                     gevent.sleep(0.05)
 
     def stop(self) -> list[int]:
-        """End all with SIGTERM; their exit statuses."""
+        """End all routers with SIGTERM; their exit statuses."""
         for one in self.running:
             if one.poll() is None:
                 one.terminate()
@@ -164,9 +166,9 @@
     watch: Callable[[LoadGenerator], None] | None = None,
     directory: Path | None = None,
 ) -> dict[str, Any]:
-    """The day on sockets, in real time; the same report as the simulator's. OSError where a party fails.
+    """Run the scenario on sockets in real time; a report like the simulator's. OSError if a party fails.
 
-    The routers' configurations and logs go into `directory`, or are thrown away.
+    The routers' configurations and logs go to `directory`, or are discarded.
     """
     with tempfile.TemporaryDirectory() as scratch, Emulator(scenario, seed, processes) as fleet:
         routers = RouterProcesses(scenario, seed, fleet.discovery.addresses, directory or Path(scratch))
@@ -177,26 +179,28 @@
                 begun = time.perf_counter()
                 fleet.begin()
                 load.begin(fleet.clock.begun)
-                deaths = gevent.spawn(_deaths, scenario, seed, fleet, routers, load)
+                troubles = gevent.spawn(_apply_router_troubles, scenario, seed, fleet, routers, load)
                 if watch is not None:
                     watch(load)
                 records, figures = load.wait()
                 took = time.perf_counter() - begun
-                deaths.kill()
+                troubles.kill()
         finally:
             statuses = routers.stop()
     plans = plan(scenario, random_stream(seed, "troubles"))
-    told = build_report(scenario, records, plans)
+    report = build_report(scenario, records, plans)
     engines = fleet.figures
     work = sum(one["work"] for one in engines)
     broken = {"a router crashed": sum(status != 0 for status in statuses)}
     if not any(one.trouble.name in ROUTER_TROUBLES for one in plans):
-        # Where a router dies, what it had goes unanswered: that is the trouble, and breaks no rule.
+        # Requests of a router that dies stay unanswered: an effect of the trouble, not a violation.
         broken["1: no answer by the deadline"] = figures["unanswered"]
-    broken["3: sent to what drains or is gone"] = fleet.late_sends(scenario.limits.drain_grace_ms + SLACK_MS)
+    broken["3: sent to what drains or is gone"] = fleet.late_sends(
+        scenario.limits.drain_grace_ms + TRANSIT_MS
+    )
     broken["4: a cold engine fell over"] = sum(one["falls"] for one in engines)
-    told |= work_report(scenario, records, work)
-    return told | {
+    report |= work_report(scenario, records, work)
+    return report | {
         "preempted": sum(one["preempted"] for one in engines),
         "attempts_a_request": round(sum(one["attempts"] for one in engines) / max(1, len(records)), 4),
         "policy": "spoolbarrow",
@@ -207,51 +211,53 @@
     }
 
 
-def _deaths(scenario: Scenario, seed: int, fleet: Emulator, routers: RouterProcesses, load: LoadGenerator) -> None:
-    """Kill and start routers as the day has it, and let the front notice late."""
+def _apply_router_troubles(
+    scenario: Scenario, seed: int, fleet: Emulator, routers: RouterProcesses, load: LoadGenerator
+) -> None:
+    """Kill and start routers as the scenario says; the front detects it with a delay."""
     rng = random_stream(seed, "front")
     steps: list[tuple[float, str, int]] = []
     for planned in planned_troubles(scenario, seed):
-        t = planned.trouble
-        if t.name == "router_death":
+        trouble = planned.trouble
+        if trouble.name == "router_death":
             for n in planned.victims:
                 notice = draw(scenario.front.notice_s, rng)
-                steps += [(t.begin_s, "kill", n), (t.begin_s + notice, "look", n)]
-                steps += [(t.begin_s + t.length_s, "start", n)]
-        elif t.name == "router_restart":
-            for turn, n in enumerate(planned.victims):
-                when = t.begin_s + turn * (planned.size + t.length_s)
+                steps += [(trouble.begin_s, "kill", n), (trouble.begin_s + notice, "look", n)]
+                steps += [(trouble.begin_s + trouble.length_s, "start", n)]
+        elif trouble.name == "router_restart":
+            for index, n in enumerate(planned.victims):
+                when = trouble.begin_s + index * (planned.size + trouble.length_s)
                 steps += [(when, "drain", n), (when + ROUTER_UP_DELAY_MS / 1000.0, "look", n)]
                 steps += [(when + planned.size, "kill", n), (when + planned.size, "start", n)]
     front = FrontBalancer(routers, load)
-    for at_s, what, n in sorted(steps, key=lambda step: step[0]):
+    for at_s, action, n in sorted(steps, key=lambda step: step[0]):
         gevent.sleep(max(0.0, at_s - fleet.clock.now() / 1000.0))
-        if what == "drain":
+        if action == "drain":
             routers.running[n].terminate()
             front.dead.add(n)
-        elif what == "kill":
+        elif action == "kill":
             routers.kill(n)
             front.dead.add(n)
-        elif what == "look":
+        elif action == "look":
             front.look()
         else:
             routers.start(n)
-            gevent.spawn(front.take_in, n)
+            gevent.spawn(front.add_when_up, n)
 
 
 class FrontBalancer:
-    """Which routers the layer before them believes in."""
+    """The routers that the layer in front of them considers alive."""
 
     def __init__(self, routers: RouterProcesses, load: LoadGenerator) -> None:
         self.routers, self.load = routers, load
         self.dead: set[int] = set()
 
     def look(self) -> None:
-        """See which are dead, and deal out among the others."""
+        """Detect dead routers and distribute load among the others."""
         self.load.set_live_routers([n for n in range(len(self.routers.ports)) if n not in self.dead])
 
-    def take_in(self, number: int) -> None:
-        """Ask one that has started for a sign of life until it gives one."""
+    def add_when_up(self, number: int) -> None:
+        """Check a router that has started until it responds, then use it."""
         while not self.routers.up(number):
             gevent.sleep(ROUTER_UP_DELAY_MS / 1000.0)
         self.dead.discard(number)
--- a/spoolbarrow/lab/store_following_cluster.py
+++ b/spoolbarrow/lab/store_following_cluster.py
@@ -1,6 +1,7 @@
-"""A cluster whose routers follow members of the store: a gate of the fault proxy from each to each of them.
+"""Runs a cluster whose routers follow store members, with a fault proxy listener per router and member.
 
-The members are the caller's; here are the gates, the routers' tables, and what the routers tell of the store.
+The caller owns the members; this module has the listeners, the routers' operator files and what the routers
+report of the store.
 """
 
 from __future__ import annotations
@@ -18,9 +19,9 @@
 
 
 class StoreFollowingCluster(Cluster):
-    """`operator` ends with the table `[fleet]`, without its members; `controls` are their addresses.
+    """`operator` ends with the table `[fleet]`, without `members`; `controls` are the members' addresses.
 
-    Where it waits for routers it does so for `bound_s` at most, unless it is told otherwise. `options` as of
+    Waits for routers are bounded by `bound_s` unless another bound is given. `options` are those of
     `Cluster`.
     """
 
@@ -35,73 +36,80 @@
         **options: Any,
     ) -> None:
         self.bound_s = bound_s
-        super().__init__(folder, {"a": engines}, ["a"] * routers, self._told, **options)
-        self._text, self._asked = operator, list(controls)
-        targets = self._asked * routers
-        self.store_proxy = Process("-m", "spoolbarrow.lab.fault_proxy", str(STANDIN_LIFETIME_S), *targets, stdin=True)
+        super().__init__(folder, {"a": engines}, ["a"] * routers, self._operator_file, **options)
+        self._operator_text, self._members = operator, list(controls)
+        targets = self._members * routers
+        self.store_proxy = Process(
+            "-m", "spoolbarrow.lab.fault_proxy", str(STANDIN_LIFETIME_S), *targets, stdin=True
+        )
         self.processes.append(self.store_proxy)
         self.store_gate_ports = self.store_proxy.first_output_line().split()
 
-    def _told(self, _: Cluster, number: int) -> str:
-        """A router's file: it knows the members by gates of its own."""
-        count = len(self._asked)
+    def _operator_file(self, _: Cluster, number: int) -> str:
+        """A router's operator file, with the members' addresses at proxy listeners of its own."""
+        count = len(self._members)
         members = [f"{HOST}:{port}" for port in self.store_gate_ports[count * number : count * (number + 1)]]
-        return self._text + f"members = {json.dumps(members)}\n"
+        return self._operator_text + f"members = {json.dumps(members)}\n"
 
     def restart_router(self, number: int) -> None:
-        """A process of a router in the place of one that ended; returns when it has started."""
-        self.routers[number] = made = self.start_router(number)
-        made.wait_for(lambda: bool(made.events("started")))
+        """Start a new process of a router whose process has ended, and wait until it has started."""
+        self.routers[number] = router = self.start_router(number)
+        router.wait_for(lambda: bool(router.events("started")))
 
     def set_store_fault(
         self, mode: str, routers: Iterable[int] | None = None, members: Iterable[int] | None = None
     ) -> None:
-        """A fault between these routers and these members, all where none are named."""
-        count = len(self._asked)
+        """Set a fault between these routers and these members; by default all."""
+        count = len(self._members)
         chosen = list(range(count) if members is None else members)
         numbers = range(len(self.ports)) if routers is None else routers
-        self.store_proxy.send_command(f"{','.join(str(count * n + m) for n in numbers for m in chosen)} {mode}")
+        self.store_proxy.send_command(
+            f"{','.join(str(count * n + m) for n in numbers for m in chosen)} {mode}"
+        )
 
     def applied_version(self, number: int, item: str) -> tuple[int, str]:
-        """Number and digest of what a router acts on; (0, "") for nothing."""
-        told = self.control(number, "versions")["versions"].get(item)
-        return (told["number"], told["digest"]) if told else (0, "")
+        """Number and digest of the version that a router acts on; (0, "") for none."""
+        version = self.control(number, "versions")["versions"].get(item)
+        return (version["number"], version["digest"]) if version else (0, "")
 
     def fleet_status(self, number: int) -> dict[str, Any]:
-        """What a router tells of the store."""
-        told: dict[str, Any] = self.control(number, "versions")["fleet"]
-        return told
+        """What a router reports of the store."""
+        status: dict[str, Any] = self.control(number, "versions")["fleet"]
+        return status
 
     def part_status(self, number: int, kind: str = "roll") -> dict[str, Any]:
-        """What a router tells of a part of the fleet."""
-        told: dict[str, Any] = self.fleet_status(number)["parts"][kind]
-        return told
+        """What a router reports of a fleet part."""
+        status: dict[str, Any] = self.fleet_status(number)["parts"][kind]
+        return status
 
     def document_mode(self, number: int, key: str = SUSPENSIONS_KEY) -> str:
-        """By what a router goes about a shared document."""
+        """The mode in which a router uses a shared document."""
         return str(self.fleet_status(number)["documents"][key]["mode"])
 
     def lease_holder(self, kind: str = "roll") -> int:
-        """The router that holds a part's lease, as it says itself."""
-        found: list[int] = poll_until(
+        """The router that reports to hold a part's lease."""
+        holders: list[int] = poll_until(
             lambda: [n for n in range(len(self.ports)) if self.part_status(n, kind)["holds"]], self.bound_s
         )
-        return found[0]
+        return holders[0]
 
     def decision_epoch(self, number: int, kind: str = "roll") -> int:
-        """Of the decision of a part that a router acts on; 0 for none."""
+        """Epoch of the part's decision that a router acts on; 0 for none."""
         return int(self.part_status(number, kind)["epoch"] or 0)
 
     def wait_suspended(
         self, revision: int, *engines: str, routers: Iterable[int] | None = None, seconds: float = 0.0
     ) -> None:
-        """Until these routers act on that version of the suspensions, and suspend these engines."""
+        """Wait until these routers act on this version of the suspensions, which suspends these engines."""
         numbers = list(range(len(self.ports)) if routers is None else routers)
         wanted = {(revision, digest(sorted(engines)))}
-        poll_until(lambda: {self.applied_version(n, SUSPENSIONS_KEY) for n in numbers} == wanted, seconds or self.bound_s)
+        poll_until(
+            lambda: {self.applied_version(n, SUSPENSIONS_KEY) for n in numbers} == wanted,
+            seconds or self.bound_s,
+        )
 
     def wait_for_roll(self, names: Sequence[str], routers: Iterable[int] | None = None) -> None:
-        """Until these routers act on one decision of the roll, which names these."""
+        """Wait until these routers act on the same decision of the roll, which names these routers."""
         numbers, wanted = list(range(len(self.ports)) if routers is None else routers), list(names)
         poll_until(
             lambda: (
@@ -112,21 +120,21 @@
         )
 
     def requests_sent(self, engine: int, router: str = "") -> int:
-        """Requests that an engine was sent by one router, or all."""
-        asked = self.counts()[engine]["asked"]
-        return int(asked.get(router, 0) if router else sum(asked.values()))
+        """Number of requests sent to an engine by one router, or by all."""
+        sent = self.counts()[engine]["asked"]
+        return int(sent.get(router, 0) if router else sum(sent.values()))
 
 
-def poll_until(true: Callable[[], Any], seconds: float = 40.0) -> Any:
-    """What it gives once that is true; TimeoutError where it never is."""
+def poll_until(condition: Callable[[], Any], seconds: float = 40.0) -> Any:
+    """The first true result of the condition; TimeoutError if there is none in time."""
     end = time.monotonic() + seconds
-    while not (found := true()):
+    while not (result := condition()):
         if time.monotonic() > end:
-            raise TimeoutError(f"not true within {seconds:g} s")
+            raise TimeoutError(f"condition not true within {seconds:g} s")
         time.sleep(0.03)
-    return found
+    return result
 
 
 def document_path(key: str, expect: int | None = None) -> str:
-    """The path of a document at a member."""
+    """The path of a document in a member's HTTP API."""
     return f"/v1/store/{quote(key, safe='')}" + ("" if expect is None else f"?expect={expect}")
--- a/spoolbarrow/lab/wire_engine.py
+++ b/spoolbarrow/lab/wire_engine.py
@@ -1,7 +1,7 @@
-"""An engine of the model on loopback sockets: PROTOCOL's side of engines, with faults on the wire.
+"""Serves a modelled engine on loopback sockets: the engine side of PROTOCOL, with faults on the wire.
 
-One listener for each router, so that an engine can be cut off from one of them. Runs in gevent greenlets;
-`now` is milliseconds since the day began, the same in every process of an emulation.
+There is one listener per router, so that an engine can be cut off from one of them. Runs in gevent greenlets;
+`now` is milliseconds since the scenario started, the same in every process of an emulation.
 """
 
 from __future__ import annotations
@@ -21,14 +21,14 @@
 from gevent.queue import Queue
 
 from spoolbarrow.lab.engine import Engine, EngineRequest, EventKind, SubmitResult
-from spoolbarrow.lab.fleet import PlannedTrouble, EngineSpec, engine_actions
+from spoolbarrow.lab.fleet import EngineSpec, PlannedTrouble, engine_actions
 from spoolbarrow.net.http1 import Message, RequestParser
 
 HOST = "127.0.0.1"
 MAX_HEAD, MAX_BODY = 16_384, 262_144
-TOKENS_PER_EVENT = 4  # tokens an event
-GRACE_S = 0.05
-UNWANTED_KEPT = 1000  # sends to a draining engine that are told; more than one is a fault already
+TOKENS_PER_EVENT = 4  # tokens per event
+READ_GRACE_S = 0.05
+MAX_REPORTED_UNWANTED = 1000  # sends to a draining engine that are reported; more than one is already a fault
 STREAM_HEAD = b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
 PLAIN_RESPONSE = b"HTTP/1.1 %s\r\n%sContent-Length: %d\r\n\r\n%s"
 EVENT_TEMPLATE = b'data: {"choices":[{"index":0,"delta":{"content":"%s"},"finish_reason":%s}]}\n\n'
@@ -36,26 +36,26 @@
     b'data: {"choices":[],"usage":{"prompt_tokens":%d,"completion_tokens":%d,'
     b'"prompt_tokens_details":{"cached_tokens":%d}}}\n\n'
 )
-LINGER_RESET = struct.pack("ii", 1, 0)  # SO_LINGER: close at once, by a reset
+LINGER_RESET = struct.pack("ii", 1, 0)  # SO_LINGER: close with a reset
 
 
 class Clock:
-    """Milliseconds since the day began, by the machine's steady clock."""
+    """Milliseconds since the scenario started, by the machine's monotonic clock."""
 
     def __init__(self) -> None:
         self.begun = time.monotonic()
 
     def now(self) -> float:
-        """Now."""
+        """The current time."""
         return (time.monotonic() - self.begun) * 1000.0
 
     def later(self, at_ms: float, call: Callable[..., object], *args: Any) -> None:
-        """Call it then."""
+        """Schedule a call."""
         gevent.spawn_later(max(0.0, (at_ms - self.now()) / 1000.0), call, *args)
 
 
 def listen(port: int = 0) -> Any:
-    """A listener on loopback; OSError where the port is taken."""
+    """A listener on loopback; OSError if the port is taken."""
     sock = socket.socket()
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     sock.bind((HOST, port))
@@ -64,35 +64,35 @@
 
 
 def chunk(part: bytes) -> bytes:
-    """A chunk of an answer."""
+    """A part as an HTTP chunk."""
     return b"%x\r\n%s\r\n" % (len(part), part)
 
 
 def parse_facts(message: Message) -> dict[str, str]:
-    """The pairs of `X-Facts`."""
+    """The key-value pairs of `X-Facts`."""
     text = message.fields.get(b"x-facts", b"").decode("latin-1")
     return dict(pair.partition("=")[::2] for pair in text.split(",") if pair)
 
 
 class LabBody(msgspec.Struct):
-    """What the lab's clients put into the body beside the prompt."""
+    """Fields that the lab's clients add to the request body."""
 
-    lab_answer: int = 0  # tokens that the answer takes; 0: half of max_out
+    lab_answer: int = 0  # output tokens of the response; 0: half of max_out
 
 
 def parse_request(message: Message, name: str) -> EngineRequest:
-    """The request as an engine sees it; ValueError where it is none."""
-    told = parse_facts(message)
+    """The request in the engine model's form; ValueError if it is malformed."""
+    fields = parse_facts(message)
     body = msgspec.json.decode(message.body, type=LabBody)
-    prompt = int(told.get("prompt_len", "0")) or max(1, len(message.body) // 4)
-    answer = body.lab_answer or max(1, int(told.get("max_out", "64")) // 2)
-    opening = told.get("prefix") or None
+    prompt = int(fields.get("prompt_len", "0")) or max(1, len(message.body) // 4)
+    answer = body.lab_answer or max(1, int(fields.get("max_out", "64")) // 2)
+    prefix = fields.get("prefix") or None
     session = message.fields.get(b"x-session-key", b"").decode("latin-1") or None
-    return EngineRequest(name, prompt, answer, opening, int(told.get("prefix_len", "0")), session)
+    return EngineRequest(name, prompt, answer, prefix, int(fields.get("prefix_len", "0")), session)
 
 
 class WireEngine:
-    """One engine: its process may die, restart and be replaced, its listeners stay the same addresses."""
+    """One engine, whose process may die, restart or be replaced while its addresses stay the same."""
 
     def __init__(
         self,
@@ -111,8 +111,10 @@
         self.cap = spec.figures.connections
         self.resets = self.spoilt = self.trickle = 0.0
         self.draining, self.alive = False, True
-        self.held = [-1e18] * routers  # nothing passes to or from a router until then
-        self.news: dict[str, Queue[tuple[int, int]]] = {}  # tokens made, and prompt tokens kept at the end
+        self.held = [-1e18] * routers  # by router: nothing passes before this time
+        self.news: dict[
+            str, Queue[tuple[int, int]]
+        ] = {}  # by request: new tokens; cached prompt tokens at the end, else -1
         self.sent: dict[str, int] = {}
         self.talks: dict[Any, gevent.Greenlet[..., Any]] = {}  # by socket
         self.wake = Event()
@@ -127,29 +129,31 @@
             "put": partial(setattr, self),
         }
         self.count = self.falls = 0
-        self.unwanted: list[tuple[str, int, float]] = []  # sent while it drained: its id, the router, when
-        self.past: list[Engine] = []  # processes that have ended: their work still counts
+        self.unwanted: list[
+            tuple[str, int, float]
+        ] = []  # requests received while it drained: engine id, router, time
+        self.past_processes: list[Engine] = []  # processes that have ended: their work still counts
         self.tasks = [gevent.spawn(self._drive), *self._accepting()]
 
     def _accepting(self) -> list[Any]:
         return [gevent.spawn(self._accept, one, n) for n, one in enumerate(self.listeners)]
 
     def close(self) -> None:
-        """End it."""
+        """Stop the engine."""
         gevent.killall(self.tasks)
         self._break_all()
         for one in self.listeners:
             one.close()
 
     def figures(self) -> dict[str, Any]:
-        """What it has done in all."""
-        engines = [*self.past, self.engine] if self.alive else self.past
+        """Totals of the engine."""
+        engines = [*self.past_processes, self.engine] if self.alive else self.past_processes
         work = sum(one.made + one.done_read for one in engines)
         preempted = sum(one.preempted for one in engines)
         return {"attempts": self.count, "work": work, "preempted": preempted, "falls": self.falls,
                 "unwanted": self.unwanted}  # fmt: skip
 
-    # --- the model's time
+    # --- virtual time of the model
 
     def _drive(self) -> None:
         while True:
@@ -158,9 +162,9 @@
             self.wake.wait(None if at == float("inf") else max(0.0, (at - self.clock.now()) / 1000.0))
             engine = self.engine
             ended = {}
-            for news in engine.advance(self.clock.now()):
-                if news.kind is EventKind.ENDED:
-                    ended[news.id] = news.kept
+            for event in engine.advance(self.clock.now()):
+                if event.kind is EventKind.ENDED:
+                    ended[event.id] = event.kept
             for name, queue in self.news.items():
                 job = engine.jobs.get(name)
                 if name in ended:
@@ -186,13 +190,13 @@
             gevent.sleep(left / 1000.0)
 
     def _reset(self, sock: Any) -> None:
-        with suppress(OSError):  # it may have been reset from the other side
+        with suppress(OSError):  # the peer may have reset it already
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
         sock.close()
 
     def _break_all(self) -> None:
-        talks, self.talks = self.talks, {}
-        for sock, greenlet in talks.items():
+        connections, self.talks = self.talks, {}
+        for sock, greenlet in connections.items():
             greenlet.kill(block=False)
             self._reset(sock)
         self.news.clear()
@@ -216,7 +220,7 @@
                         answering.join()
                     answering = gevent.spawn(self._answer, sock, router, parser.complete.popleft())
         except OSError:
-            pass  # closed, unreadable, or idle for too long
+            pass  # closed, unreadable or idle for too long
         finally:
             if answering is not None:
                 answering.kill(block=False)
@@ -256,14 +260,14 @@
         except ValueError as error:
             return self._plain(sock, router, b"400 Bad Request", body=str(error).encode())
         now, engine = self.clock.now(), self.engine
-        if self.draining and len(self.unwanted) < UNWANTED_KEPT:
+        if self.draining and len(self.unwanted) < MAX_REPORTED_UNWANTED:
             self.unwanted.append((self.id, router, now))
-        taken = SubmitResult.FULL if self.draining else engine.submit(now, work)
-        if taken is SubmitResult.CRASHED:
+        result = SubmitResult.FULL if self.draining else engine.submit(now, work)
+        if result is SubmitResult.CRASHED:
             self.falls += 1
             return self.crash(self.spec.figures.restart_ms)
-        if taken is not SubmitResult.ACCEPTED:
-            full = taken is SubmitResult.FULL
+        if result is not SubmitResult.ACCEPTED:
+            full = result is SubmitResult.FULL
             status = b"503 Service Unavailable" if full else b"500 Internal Server Error"
             return self._plain(sock, router, status, b"X-Unprocessed: 1\r\n" if full else b"")
         queue: Queue[tuple[int, int]] = Queue()
@@ -278,7 +282,7 @@
             self.wake.set()
 
     def _stream(self, sock: Any, router: int, work: EngineRequest, queue: Queue[tuple[int, int]]) -> None:
-        made, spoil_at = 0, -1
+        made, malformed_at = 0, -1
         while True:
             tokens, kept = queue.get()
             ended = kept >= 0
@@ -288,15 +292,15 @@
                 if self.resets and self.rng.random() < self.resets:
                     return self._cut_short(sock)
                 if self.spoilt and self.rng.random() < self.spoilt:
-                    spoil_at = self.rng.choice([0, work.answer // 2])
-                if spoil_at == 0:
+                    malformed_at = self.rng.choice([0, work.answer // 2])
+                if malformed_at == 0:
                     sock.sendall(b"HTTP/1.1 2OO\r\nTransfer-Encoding: chunked, nonsense\r\n\r\nzz\r\n")
                     return self._cut_short(sock)
                 sock.sendall(STREAM_HEAD)
             if tokens:
                 made += tokens
                 event = EVENT_TEMPLATE % (b"word" * tokens, b'"stop"' if ended else b"null")
-                if 0 < spoil_at <= made:
+                if 0 < malformed_at <= made:
                     sock.sendall(b"xyz\r\n" + event)
                     return self._cut_short(sock)
                 sock.sendall(chunk(event))
@@ -307,18 +311,20 @@
                 return sock.sendall(tail + chunk(b": X-Backend-Load: %s\n\n" % self._load()) + b"0\r\n\r\n")  # type: ignore[no-any-return]
 
     def _cut_short(self, sock: Any) -> None:
-        gevent.sleep(GRACE_S)  # what was written is read first
-        talk = self.talks.pop(sock, None)
+        gevent.sleep(READ_GRACE_S)  # lets the peer read what was written
+        connection = self.talks.pop(sock, None)
         self._reset(sock)
-        if talk is not None:
-            talk.kill(block=False)
+        if connection is not None:
+            connection.kill(block=False)
 
     # --- troubles
 
     def plan(self, planned: PlannedTrouble) -> None:
-        """Schedule a trouble that hits this engine."""
-        for at, move, told in engine_actions(planned, self.spec.figures, self.rng, planned.trouble.begin_s * 1000.0):
-            self.clock.later(at, self.moves[move], *told)
+        """Schedule the effects of a trouble on this engine."""
+        for at, action, arguments in engine_actions(
+            planned, self.spec.figures, self.rng, planned.trouble.begin_s * 1000.0
+        ):
+            self.clock.later(at, self.moves[action], *arguments)
 
     def _stall(self, until: float) -> None:
         self.engine.stall(self.clock.now(), until)
@@ -341,14 +347,14 @@
                    "ports": self.ports, "started_at": self.clock.now()})  # fmt: skip
 
     def crash(self, down_ms: float) -> None:
-        """The process dies and starts again, cold."""
+        """End the process and restart it, in slow start."""
         if self.alive:
-            self._die()
-            self.clock.later(self.clock.now() + down_ms, self._rise)
+            self._end_process()
+            self.clock.later(self.clock.now() + down_ms, self._start_process)
 
-    def _die(self) -> None:
+    def _end_process(self) -> None:
         self.alive = False
-        self.past.append(self.engine)
+        self.past_processes.append(self.engine)
         for task in self.tasks:
             if task is not gevent.getcurrent():
                 task.kill(block=False)
@@ -356,9 +362,11 @@
             one.close()
         self._break_all()
 
-    def _rise(self) -> None:
+    def _start_process(self) -> None:
         self.listeners = [listen(port) for port in self.ports]
-        self.engine = Engine(self.spec.figures, Random(self.rng.random()), self.clock.now(), True, TOKENS_PER_EVENT)
+        self.engine = Engine(
+            self.spec.figures, Random(self.rng.random()), self.clock.now(), True, TOKENS_PER_EVENT
+        )
         self.alive, self.draining = True, False
         self.tasks = [gevent.spawn(self._drive), *self._accepting()]
         self._changed("in_service")
@@ -366,9 +374,9 @@
     def _replace(self, until: float) -> None:
         self._changed("terminated")
         if self.alive:
-            self._die()
+            self._end_process()
         self.id += "r"
-        self.clock.later(until, self._rise)
+        self.clock.later(until, self._start_process)
 
     def _vanish(self, until: float) -> None:
         self.held = [until] * len(self.held)
--- a/tests/test_fleet_agreement.py
+++ b/tests/test_fleet_agreement.py
@@ -1,6 +1,6 @@
-"""Versions with several processes: five routers, their files and lists changed on some of them, some cut off.
+"""Agreement on versions between five router processes, whose files and lists change on some only.
 
-Each case waits for what the routers tell, and ends with each request answered once."""
+Each case waits for what the routers report, and ends with each request answered once."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 @contextmanager
-def loaded(tmp: Path) -> Iterator[Cluster]:
+def cluster_under_load(tmp: Path) -> Iterator[Cluster]:
     with cluster(tmp, {"a": 2, "b": 2}, ["a", "a", "a", "b", "b"], operator(1)) as made:
         load = Load(made)
         try:
@@ -50,33 +50,33 @@
 
 
 def versions(made: Cluster, number: int) -> dict[str, Any]:
-    told: dict[str, Any] = made.control(number, "versions")["versions"]
-    return told
+    found: dict[str, Any] = made.control(number, "versions")["versions"]
+    return found
 
 
-def test_a_change_is_taken_by_all_or_by_none(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
-    with loaded(tmp_path) as made:
-        wait_until(lambda: agree(made, "status", capsys)[0] == 0)  # lists come one after the other
+def test_a_change_is_adopted_by_all_or_by_none(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
+    with cluster_under_load(tmp_path) as made:
+        wait_until(lambda: agree(made, "status", capsys)[0] == 0)  # lists arrive one after another
         before = [versions(made, n) for n in ALL]
 
-        # One router's view of the change is faulty: refused everywhere, naming the key.
+        # The change is invalid on one router: rejected everywhere, naming the key.
         write(made, operator(2, "[log]\nlevel = 'debug'\n"))
         write(made, operator(2, "[log]\nlevel = 'loud'\n"), [3])
-        status, said = agree(made, "apply", capsys)
-        assert status == 1 and "log.level" in said and "nothing is changed" in said
-        # Two changes at once, under one revision: neither is taken.
+        status, output = agree(made, "apply", capsys)
+        assert status == 1 and "log.level" in output and "nothing is changed" in output
+        # Two different changes under one revision: neither is adopted.
         write(made, operator(2, "[log]\nlevel = 'warning'\n"), [3, 4])
-        status, said = agree(made, "apply", capsys)
-        assert status == 1 and "the files differ" in said and "nothing is changed" in said
+        status, output = agree(made, "apply", capsys)
+        assert status == 1 and "the files differ" in output and "nothing is changed" in output
         assert [versions(made, n) for n in ALL] == before
 
-        # Whole and the same on all: taken by all.
+        # Valid and equal on all: adopted by all.
         write(made, operator(2))
-        status, said = agree(made, "apply", capsys)
-        assert status == 0 and "operator: all 5 act on 2 " in said
+        status, output = agree(made, "apply", capsys)
+        assert status == 0 and "operator: all 5 act on 2 " in output
         assert all(versions(made, n)["operator"]["number"] == 2 for n in ALL)
 
-        # What was checked is not what lies there now: refused.
+        # The file has changed since it was checked: rejected.
         checked = made.control(0, "settings/check")["files"]
         write(made, operator(3), [0])
         with pytest.raises(OSError, match="409"):
@@ -84,18 +84,18 @@
         assert versions(made, 0)["operator"]["number"] == 2
 
 
-def test_routers_that_act_on_other_files_are_told_of_and_a_revision_is_never_reused(
+def test_routers_with_other_files_are_reported_and_a_revision_is_never_reused(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    with loaded(tmp_path) as made:
+    with cluster_under_load(tmp_path) as made:
         wait_until(lambda: agree(made, "status", capsys)[0] == 0)
         write(made, operator(2), [1, 4])  # two routers are reloaded by hand, the others are not
         for n in (1, 4):
             made.routers[n].popen.send_signal(signal.SIGHUP)
             made.routers[n].wait_for(lambda n=n: bool(made.routers[n].events("reloaded")))  # type: ignore[misc]
-        status, said = agree(made, "status", capsys)
-        assert status == 1 and "operator: contradict for" in said
-        old, new = sorted(line.split(": ", 1)[1] for line in said.splitlines() if line.startswith("  "))
+        status, output = agree(made, "status", capsys)
+        assert status == 1 and "operator: contradict for" in output
+        old, new = sorted(line.split(": ", 1)[1] for line in output.splitlines() if line.startswith("  "))
         assert [name.split()[0] for name in (old + ", " + new).split(", ")] == ["r0", "r2", "r3", "r1", "r4"]
         for text in (operator(2, "[log]\nlevel = 'debug'\n"), operator(1)):
             write(made, text, [1])
@@ -107,57 +107,57 @@
         assert agree(made, "apply", capsys)[0] == 0
 
 
-def test_a_router_cut_off_from_discovery_tells_the_older_list_until_it_is_back(
+def test_a_router_cut_off_from_discovery_reports_the_older_list_until_it_is_back(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    with loaded(tmp_path) as made:
+    with cluster_under_load(tmp_path) as made:
         wait_until(lambda: agree(made, "status", capsys)[0] == 0)
-        gate = [len(made.engine_names) * len(made.ports) + 2]  # before router 2's discovery
+        gate = [len(made.engine_names) * len(made.ports) + 2]  # the listener of router 2's discovery
         made.fault("drop", gate)
         made.unlisted.add(0)
         made.publish_list()
         others = [0, 1, 3, 4]
         wait_until(lambda: all(versions(made, n)["list"]["number"] == made.list_version for n in others))
-        status, said = agree(made, "status", capsys)
-        assert status == 1 and "list: contradict for" in said
-        (older,) = [line for line in said.splitlines() if line.startswith("  1 ")]
+        status, output = agree(made, "status", capsys)
+        assert status == 1 and "list: contradict for" in output
+        (older,) = [line for line in output.splitlines() if line.startswith("  1 ")]
         assert "r2 (" in older and "," not in older
         made.fault("pass", gate)
         wait_until(lambda: agree(made, "status", capsys)[0] == 0)
 
 
-def test_suspensions_said_to_some_routers_only_are_told_of(
+def test_suspensions_of_some_routers_only_are_reported(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    with loaded(tmp_path) as made:
+    with cluster_under_load(tmp_path) as made:
         wait_until(lambda: agree(made, "status", capsys)[0] == 0)
         for n in ALL[:3]:
             made.control(n, "engines/e1/suspend", "POST")
-        status, said = agree(made, "status", capsys)
-        assert status == 1 and "suspensions: contradict for" in said
+        status, output = agree(made, "status", capsys)
+        assert status == 1 and "suspensions: contradict for" in output
         for n in ALL[3:]:
             made.control(n, "engines/e1/suspend", "POST")
-        made.control(0, "router/drain", "POST")  # one router's own: told, and no contradiction
-        status, said = agree(made, "status", capsys)
-        assert status == 0 and "drained by hand: r0" in said
+        made.control(0, "router/drain", "POST")  # local to one router: reported, but no contradiction
+        status, output = agree(made, "status", capsys)
+        assert status == 0 and "drained by hand: r0" in output
 
 
-def test_a_router_that_dies_in_the_middle_of_a_change_comes_back_to_it(
+def test_a_router_killed_during_a_change_adopts_it_after_its_restart(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    with loaded(tmp_path) as made:
+    with cluster_under_load(tmp_path) as made:
         wait_until(lambda: agree(made, "status", capsys)[0] == 0)
         write(made, operator(2))
         checked = {made.control(n, "settings/check")["files"] for n in ALL}
         assert len(checked) == 1
         made.kill_router(4)
-        status, said = agree(made, "apply", capsys)
-        assert status == 1 and "no answer" in said and "nothing is changed" in said
-        for n in ALL[:4]:  # an operator who asked before it died
+        status, output = agree(made, "apply", capsys)
+        assert status == 1 and "no answer" in output and "nothing is changed" in output
+        for n in ALL[:4]:  # as by an operator who checked before it died
             made.control(n, f"settings/adopt/{next(iter(checked))}", "POST")
         made.routers[4] = made.start_router(4)
         made.routers[4].wait_for(lambda: bool(made.routers[4].events("destinations")))
         wait_until(lambda: agree(made, "status", capsys)[0] == 0)
         assert all(versions(made, n)["operator"]["number"] == 2 for n in ALL)
-        told = [json.loads(line) for line in made.routers[4].log_lines if '"version"' in line]
-        assert {one["item"] for one in told} >= {"settings", "shares", "operator", "list", "suspensions"}
+        events = [json.loads(line) for line in made.routers[4].log_lines if '"version"' in line]
+        assert {one["item"] for one in events} >= {"settings", "shares", "operator", "list", "suspensions"}
--- a/tests/test_fleet_cold.py
+++ b/tests/test_fleet_cold.py
@@ -1,10 +1,9 @@
-"""Cold starts of sixteen routers, with a fault each: what every process must have seen, and by when.
+"""Cold starts of sixteen routers with a fault each: what every process must have seen, and by when.
 
-A class is one start of all processes: its first fault lies at the start, and where there is a second one, it
-is played on the same processes. Bounds are two to three times what is needed at rest: a machine may be busy.
-In each, whatever the fault: no router logged `unexpected`, no engine fell, each router knows the newest list
-at the end and has served, what was refused carries `Retry-After` and came at once, and the service and the
-routers agree on who called.
+Each class starts all processes once: its first fault occurs at the start, and a second one is run on the same
+processes. Bounds are two to three times what an idle machine needs, since it may be busy. With every fault:
+no router logged `unexpected`, no engine crashed, each router knows the latest list at the end and has served,
+rejections carry `Retry-After` and came at once, and the service and the routers agree on the number of calls.
 """
 
 from __future__ import annotations
@@ -19,18 +18,20 @@
 from spoolbarrow.fleet.documents import SUSPENSIONS_KEY
 from spoolbarrow.lab import fault_script
 from spoolbarrow.lab.cluster import TRUNCATED, Cluster
-from spoolbarrow.lab.fault_script import SCRIPTS, run_script, cluster_options
+from spoolbarrow.lab.fault_script import SCRIPTS, cluster_options, run_script
 
 ROUTERS, ENGINES = 16, 6
-RATE = 8.0  # calls a second: a call of each router takes 2 s
-AT_ONCE_MS = 2500  # a refusal: half of the time that a request has left, and no wait for a list
-KNOWN_S = 10.0  # the fault is over: the longest pause then (2 s), 2 s of calls, and slack
-SERVED_S = 6.0  # from the begin to a router's first answer, on a known list
-PAUSES_S = (0.5, 1.0)  # the least between failed calls, then the last, on and on
+RATE = 8.0  # calls per second: one call of each router takes 2 s in total
+MAX_REJECTION_MS = (
+    2500  # for a rejection: half of a request's time budget, so that it can't have waited for a list
+)
+KNOWN_S = 10.0  # after the fault: the longest pause (2 s), 2 s of calls, and slack
+SERVED_S = 6.0  # from the start to a router's first response, with a known list
+PAUSES_S = (0.5, 1.0)  # minimum pauses between failed calls; the last one repeats
 
 
-def most_calls(seconds: float) -> int:
-    """Calls of a router that fail at once, within so long, and one more."""
+def max_failed_calls(seconds: float) -> int:
+    """Maximum number of immediately failing calls of a router in this time, and one more."""
     calls, at = 1, 0.0
     for pause in chain(PAUSES_S, repeat(PAUSES_S[-1])):
         at += pause
@@ -54,13 +55,13 @@
             raise
 
     def play(self, name: str, pace: float, begin: bool = False) -> dict[str, Any]:
-        """A fault's account; what must hold of any."""
+        """Run a fault and check what must hold for every one; its results."""
         found = run_script(self.made, SCRIPTS[name], pace, begin=begin)
         about = fault_script.format_results(name, found)
         assert fault_script.passed(found) and not found["events_missed"], about
         assert found["unexpected"] == found["retry_after_missing"] == 0, about
         for one in found["of_routers"].values():
-            assert one["answers"].get("200", 0) > 0 and one["slowest_refused_ms"] < AT_ONCE_MS, about
+            assert one["answers"].get("200", 0) > 0 and one["slowest_refused_ms"] < MAX_REJECTION_MS, about
         assert found["service"]["calls"] == sum(one["calls"] for one in found["of_routers"].values())
         assert sum(found["goodput"]) == sum(one["answers"]["200"] for one in found["of_routers"].values())
         return found
@@ -68,7 +69,7 @@
 
 @pytest.fixture(scope="class")
 def start(request: pytest.FixtureRequest, tmp_path_factory: pytest.TempPathFactory) -> Iterator[Start]:
-    """A class's processes, after its first fault."""
+    """The class's processes, after its first fault."""
     made = Start(tmp_path_factory.mktemp("cold"), *request.cls.FIRST)
     try:
         yield made
@@ -77,23 +78,23 @@
 
 
 def answers(found: dict[str, Any], *but: int) -> set[str]:
-    """What clients got of all routers but these."""
+    """Statuses that clients got from all routers except these."""
     left = [one for name, one in found["of_routers"].items() if int(name[1:]) not in but]
     return set(chain.from_iterable(one["answers"] for one in left))
 
 
 def calls(found: dict[str, Any], *but: int, before: dict[str, Any] | None = None) -> list[int]:
-    """To the list service, of each router but these, less those after a silence.
+    """Calls to the list service of each router except these, without those after an idle watch.
 
-    Words come every 2 s, and 2.5 s without one are a silence: a busy machine can hold them up so long.
-    `before`: the account of a script that the same processes played before, with silences of its own.
+    Messages come every 2 s, and a watch counts as idle after 2.5 s: a busy machine can delay them that long.
+    `before`: the results of the previous script on the same processes, which has idle watches of its own.
     """
 
-    def silences(account: dict[str, Any] | None, name: str) -> int:
+    def idle_watches(account: dict[str, Any] | None, name: str) -> int:
         return account["of_routers"][name]["why"].get("silent", 0) if account else 0
 
     return [
-        one["calls"] - silences(found, name) + silences(before, name)
+        one["calls"] - idle_watches(found, name) + idle_watches(before, name)
         for name, one in found["of_routers"].items()
         if int(name[1:]) not in but
     ]
@@ -103,14 +104,14 @@
     FIRST = "down-at-start", 0.12
 
     def test_service_down_for_the_first_3_s(self, start: Start) -> None:
-        # Bound: KNOWN_S after it is back. Till then each router refused; it needs one call.
+        # Bound: KNOWN_S after it is back. Until then each router rejected requests; it needs one call.
         found = start.found
         assert found["known_after_last_step_s"] < KNOWN_S
         assert answers(found) <= {"200", "503"} and "503" in answers(found)
         assert max(calls(found)) <= 2
 
     def test_service_down_for_1500_ms_with_all_watches_open(self, start: Start) -> None:
-        # Bound: KNOWN_S after it is back. Each router's watch broke, and it served all along.
+        # Bound: KNOWN_S after it is back. Each router's watch broke, and it served throughout.
         before = start.found["of_routers"]
         found = start.play("outage", 0.3)
         assert found["known_after_last_step_s"] < KNOWN_S and answers(found) == {"200"}
@@ -123,16 +124,16 @@
     FIRST = "half-fail", 0.25
 
     def test_503_for_half_of_the_calls_of_the_first_5_s(self, start: Start) -> None:
-        # Bound: KNOWN_S after that. Each router needed one call answered, and paused after others.
+        # Bound: KNOWN_S after that. Each router needed one successful call, and paused after failed ones.
         found = start.found
         assert found["known_after_last_step_s"] < KNOWN_S and answers(found) <= {"200", "503"}
         assert found["service"]["failed"] >= ROUTERS / 2
         for one in found["of_routers"].values():
-            assert one["calls"] <= most_calls(found["known_s"])
+            assert one["calls"] <= max_failed_calls(found["known_s"])
 
-    def test_all_watches_fall_silent_for_4_s_and_an_engine_leaves(self, start: Start) -> None:
-        # Bound: 6 s, the clock for silence, after they speak again, and 2 s of slack. Each router noticed,
-        # asked again no quicker than a silence takes, served on, and knows that the engine has left.
+    def test_all_watches_idle_for_4_s_while_an_engine_leaves(self, start: Start) -> None:
+        # Bound: 6 s, the idle timeout, after messages resume, and 2 s of slack. Each router detected it,
+        # called again no faster than the idle timeout, kept serving, and knows that the engine has left.
         before = start.found["of_routers"]
         found = start.play("silent-watches", 0.5)
         assert found["known_after_last_step_s"] < 8.0 and answers(found) == {"200"}
@@ -144,15 +145,15 @@
 class TestHalfAnswer:
     FIRST = "half-answer", 0.4
 
-    def test_answers_that_stop_half_way_for_the_first_4_s(self, start: Start) -> None:
-        # Bound: KNOWN_S after that. No router took a half for a list: none served till then.
+    def test_responses_that_stop_half_way_for_the_first_4_s(self, start: Start) -> None:
+        # Bound: KNOWN_S after that. No router used half a list: none served until then.
         found = start.found
         assert found["known_after_last_step_s"] < KNOWN_S and answers(found) <= {"200", "503"}
         assert min(one["first_served_s"] for one in found["of_routers"].values()) > 3.9
         assert max(one["calls"] for one in found["of_routers"].values()) <= 6
 
     def test_a_router_is_killed_every_2_s(self, start: Start) -> None:
-        # Bound: KNOWN_S after the last time. All others served on, and were not moved to call once more.
+        # Bound: KNOWN_S after the last kill. All others kept serving and made no further calls.
         found = start.play("crash-loop", 1.0)
         assert found["known_after_last_step_s"] < KNOWN_S
         assert answers(found, 0) == {"200"} and set(calls(found, 0, before=start.found)) == {0}
@@ -163,19 +164,20 @@
     FIRST = "tenth-cut", 0.4
 
     def test_a_tenth_of_the_routers_cut_off_for_the_first_4_s(self, start: Start) -> None:
-        # Bounds: SERVED_S for the others, KNOWN_S after the end for the two cut off, which refused till then.
+        # Bounds: SERVED_S for the others, KNOWN_S after the end for the two cut off, which rejected until
+        # then.
         found, cut = start.found, (0, 1)
         assert found["known_after_last_step_s"] < KNOWN_S and answers(found) <= {"200", "503"}
         for n in range(ROUTERS):
             one = found["of_routers"][f"r{n}"]
             assert one["first_list_s"] < SERVED_S or n in cut
             assert n not in cut or (one["first_served_s"] > 3.9 and one["answers"]["503"] > 0)
-        assert len(cut) <= found["service"]["reset"] <= len(cut) * most_calls(found["known_s"])
+        assert len(cut) <= found["service"]["reset"] <= len(cut) * max_failed_calls(found["known_s"])
         assert max(calls(found)) <= 4
 
     def test_sighup_to_all_at_once(self, start: Start) -> None:
-        # Bound: KNOWN_S. Each router took the new file, asked for the list and the watch once, served on.
-        # The service is quick enough that no call waits for 2 s: one more would be begun beside it.
+        # Bound: KNOWN_S. Each router loaded the new file, requested list and watch once, and kept serving.
+        # The service is fast enough that no call waits for 2 s, which would start another one beside it.
         start.made.service.send_command(f"rate {2 * RATE}")
         found = start.play("hang-up", 1.0)
         assert found["known_after_last_step_s"] < KNOWN_S and answers(found) == {"200"}
@@ -185,44 +187,50 @@
 
 
 class TestRestartFull:
-    FIRST = "restart-full", 1.0, 6.0  # calls a second: a little under the time-out's worth
+    FIRST = "restart-full", 1.0, 6.0  # calls per second: slightly less than the timeout allows for
 
     def test_service_restarted_while_its_queue_is_full(self, start: Start) -> None:
-        # Bound: KNOWN_S after that. Whoever stood in the queue calls again, and has it within two more.
+        # Bound: KNOWN_S after that. Routers with queued calls call again, and have the list within two more.
         found = start.found
         assert found["known_after_last_step_s"] < KNOWN_S and answers(found) <= {"200", "503"}
-        assert ROUTERS + fault_script.FULL <= found["service"]["calls"] <= 3 * ROUTERS
+        assert ROUTERS + fault_script.MIN_QUEUED_CALLS <= found["service"]["calls"] <= 3 * ROUTERS
         assert max(calls(found)) <= 4
 
 
 class TestThirdGone:
     FIRST = "third-gone", 1.0
 
-    def test_a_third_of_the_known_list_is_gone(self, start: Start) -> None:
-        # Bounds: KNOWN_S for the list, SERVED_S for the first answer. Each router has the four that are
-        # left, by one call for what has changed, and no client noticed.
+    def test_a_third_of_the_known_list_is_removed(self, start: Start) -> None:
+        # Bounds: KNOWN_S for the list, SERVED_S for the first response. Each router has the four remaining
+        # engines after one call for the changes, and no client was affected.
         found = start.found
         assert found["known_s"] < KNOWN_S and answers(found) == {"200"}
         for one in found["of_routers"].values():
             assert one["serving"] == 4 and one["first_served_s"] < SERVED_S
         assert set(calls(found)) == {1}
         work = [engine["work"]["sum"] for engine in found["of_engines"].values()]
-        assert work[:2] == [0.0, 0.0] and min(work[2:]) > 0  # who is gone got nothing: it refuses
+        assert (
+            work[:2] == [0.0, 0.0] and min(work[2:]) > 0
+        )  # removed engines got nothing: they refuse connections
 
-    def test_all_routers_are_killed_and_begin_at_once(self, start: Start) -> None:
-        # Bound: KNOWN_S after they are up. Each router made one call: it knew an old list again.
+    def test_all_routers_are_killed_and_restarted_at_once(self, start: Start) -> None:
+        # Bound: KNOWN_S after they are up. Each router made one call: it started with an old list again.
         found = start.play("all-killed", 1.0)
         assert found["known_after_last_step_s"] < KNOWN_S
-        assert answers(found) <= {"200", "0", str(TRUNCATED)}  # what was under way, and while nobody listened
+        assert answers(found) <= {
+            "200",
+            "0",
+            str(TRUNCATED),
+        }  # requests in flight, and those sent while no router listened
         assert set(calls(found)) == {1} and found["service"]["failed"] == 0
 
 
 class TestAllCold:
     FIRST = "all-cold", 1.0
 
-    def test_all_routers_and_all_engines_begin_at_once(self, start: Start) -> None:
-        # Bounds: KNOWN_S for the list; 8 s for the first answer of three quarters of the routers, while
-        # engines are cold (10 s); 12 s for all.
+    def test_all_routers_and_all_engines_start_at_once(self, start: Start) -> None:
+        # Bounds: KNOWN_S for the list; 8 s for the first response of three quarters of the routers, during
+        # the engines' slow start (10 s); 12 s for all.
         found = start.found
         assert found["known_s"] < KNOWN_S and answers(found) <= {"200", "503"}
         first = sorted(one["first_served_s"] for one in found["of_routers"].values())
@@ -234,8 +242,8 @@
     FIRST = "no-leader", 0.6
 
     def test_store_without_a_leader_for_the_first_3_s(self, start: Start) -> None:
-        # Bounds: KNOWN_S for the list and SERVED_S for the first answer, leader or not; KNOWN_S after members
-        # are back each router acts on what is then written.
+        # Bounds: KNOWN_S for the list and SERVED_S for the first response, with or without a leader; KNOWN_S
+        # after the members are back each router acts on what is then written.
         found, members = start.found, start.made.members
         assert found["known_s"] < 3.0 + KNOWN_S and answers(found) == {"200"} and members is not None
         for one in found["of_routers"].values():
--- a/tests/test_fleet_drain_propagation.py
+++ b/tests/test_fleet_drain_propagation.py
@@ -1,7 +1,7 @@
-"""A change counts as told 6 s after discovery had it and could be reached, whatever call failed.
+"""Routers act on a change within 6 s after discovery has it and can be reached, whichever call failed.
 
-Sixteen real routers with clients, an engine that drains while the list service fails in one way after the
-other, and when each router's last request came there.
+Sixteen real routers with clients and an engine that drains while the list service fails in various ways;
+measured is each router's last request to that engine.
 """
 
 from __future__ import annotations
@@ -25,10 +25,10 @@
 
 ROOT = Path(__file__).parent.parent
 ROUTERS, ENGINES = 16, 2
-RATE = 20.0  # calls a second
-SETTINGS = {"Balancers": 200}  # spreads and pauses are those of a large fleet
-DOWN_S = 12.0  # long enough for pauses to grow, where they do
-BOUND_S = LIST_DEADLINE_MS / 1000 + 0.25  # and a drain's grace
+RATE = 20.0  # calls per second
+SETTINGS = {"Balancers": 200}  # call spreads and pauses as in a large fleet
+DOWN_S = 12.0  # long enough for backoff pauses to grow
+BOUND_S = LIST_DEADLINE_MS / 1000 + 0.25  # plus a drain's grace period
 GROUPS = ["watches fall silent", "watches and calls are silent", "resets", "503", "half answers"]
 
 
@@ -47,7 +47,7 @@
 
 @pytest.fixture(scope="module")
 def together(fleet: Cluster) -> dict[str, list[float]]:
-    """Faults that the service can have for some routers only, side by side."""
+    """Results of faults that the service can have for some routers only, run side by side."""
     groups = {name: range(n, ROUTERS, len(GROUPS)) for n, name in enumerate(GROUPS)}
     found = measure_drain_delays(fleet, groups, 0, DOWN_S)
     undo_drain(fleet, 0)
@@ -55,19 +55,19 @@
 
 
 @pytest.mark.parametrize("name", GROUPS)
-def test_sendings_end_in_time(together: dict[str, list[float]], name: str) -> None:
+def test_requests_end_in_time(together: dict[str, list[float]], name: str) -> None:
     assert len(together[name]) >= 3 and max(together[name]) < BOUND_S, together
 
 
 @pytest.mark.parametrize("name", sorted(FAILURE_CASES.keys() - set(GROUPS)))
-def test_sendings_end_in_time_after_a_fault_that_all_meet(fleet: Cluster, name: str) -> None:
+def test_requests_end_in_time_after_a_fault_of_all_routers(fleet: Cluster, name: str) -> None:
     found = measure_drain_delays(fleet, {name: range(ROUTERS)}, 0, DOWN_S)
     assert max(found[name]) < BOUND_S, found
     undo_drain(fleet, 0)
 
 
-def test_time_outs_that_do_not_fit_the_clock_are_refused_with_their_key(tmp_path: Path) -> None:
-    """At the start with exit status 2; at SIGHUP nothing changes."""
+def test_timeouts_beyond_the_list_deadline_are_rejected_with_their_key(tmp_path: Path) -> None:
+    """Exit status 2 at the start; no change on SIGHUP."""
     file, good = tmp_path / "config.json", make_config([])
     bad = {**good, "options": {"call_timeout_ms": 3_251.0}}
     environment = {**os.environ, "NODE_CONFIG": str(file)}
