--- a/tests/test_fleet_pools.py
+++ b/tests/test_fleet_pools.py
@@ -1,12 +1,12 @@
-"""The pool's split told by five routers that follow three members of the store, with faults between them.
-
-One set of processes for all cases, in their order: the traffic turns, and a split stands; then each case
-names its fault and its bound, and ends when all are alike again. One router sees only long prompts, one only
-short ones, the others both. Stand-in engines take as long as each request says, so what is late is known.
-Leases live TTL_S / 2, decisions TTL_S without word, summaries count for 1.05 s; one decides every 2 s.
-Bounds are several times what is needed at rest: a machine may be busy. In all cases all routers tell one
-split or none, and at the end each request has its answer that was not at a router which a case killed or
-stopped.
+"""The pool split reported by five routers that follow three store members, with faults between them.
+
+All cases share one set of processes, in this order: the traffic changes, and a split is decided; then each
+case names its fault and its bound, and ends when all routers agree again. One router receives only long
+prompts, one only short ones, the others both. Stand-in engines take as long as each request says, so that the
+late requests are known. Leases live TTL_S / 2, decisions TTL_S without updates, summaries count for 1.05 s; a
+decision is made every 2 s. Bounds are several times what an idle machine needs, since it may be busy. In all
+cases all routers report one split or none, and at the end each request has its response, except those at a
+router that a case killed or stopped.
 """
 
 from __future__ import annotations
@@ -43,13 +43,21 @@
 ENGINES = 6
 KIND = "pools"
 TTL_S = 3.0
-SPLIT_S = 40.0  # the traffic has turned: 60 requests weighed by age, 12 s to forget, a decision, slack
-TAKEN_S = 20.0  # a holder is gone: TTL_S, calls at three members, an evidence age, a decision, and slack
-SILENT_S = 15.0  # a router without word tells none
-LOST_S = 15.0  # an engine has left the list: two decisions, and slack
-TOKENS, READ_US, STEP_MS, SLOW_MS = 2400, 81.0, 31.0, 45.0  # a third of the streams is slow: late
-CLIENTS = ("rrrr", "wwwwww", "rrwww", "rrwww", "rrwww")  # of each router: those that read, those that write
-EVERY_S = {"r": 1.4, "w": 2.8}  # between a client's requests
+SPLIT_S = 40.0  # after a traffic change: 60 requests weighted by age, 12 s to forget, a decision, slack
+TAKEOVER_S = (
+    20.0  # to replace a lost holder: TTL_S, calls to three members, an evidence age, a decision, slack
+)
+FALLBACK_S = 15.0  # for a router without updates to report no split
+ENGINE_LOSS_S = 15.0  # after an engine has left the list: two decisions, and slack
+TOKENS, READ_US, STEP_MS, SLOW_MS = 2400, 81.0, 31.0, 45.0  # a third of the streams is slow, thus late
+CLIENTS = (
+    "rrrr",
+    "wwwwww",
+    "rrwww",
+    "rrwww",
+    "rrwww",
+)  # per router: r for prefill-heavy clients, w for decode-heavy ones
+REQUEST_INTERVAL_S = {"r": 1.4, "w": 2.8}  # between a client's requests
 OPERATOR = f"""
 [agree]
 revision = 1
@@ -70,22 +78,22 @@
 }
 
 
-class Mixed(Load):
-    """Clients that read and clients that write; prompts that are read are `longer` times as long."""
+class MixedLoad(Load):
+    """Prefill-heavy and decode-heavy clients; prompts of the former are `longer` times as long."""
 
     def __init__(self, made: Fleet) -> None:
         self.longer = 1
         super().__init__(made, clients=max(map(len, CLIENTS)))
 
-    def _ask(self, port: int, router: int, client: int) -> None:
+    def _send_requests(self, port: int, router: int, client: int) -> None:
         if client >= len(CLIENTS[router]):
             return
         kind = CLIENTS[router][client]
-        due = time.monotonic() + EVERY_S[kind] * ((5 * client + router) * 0.618 % 1.0)
+        due = time.monotonic() + REQUEST_INTERVAL_S[kind] * ((5 * client + router) * 0.618 % 1.0)
         for sent in range(10_000):
             if self._stop.wait(max(0.0, due - time.monotonic())):
                 return
-            due = max(due + EVERY_S[kind], time.monotonic() - EVERY_S[kind])
+            due = max(due + REQUEST_INTERVAL_S[kind], time.monotonic() - REQUEST_INTERVAL_S[kind])
             spread = 0.6 + 0.8 * (sent * 0.618 % 1.0)
             prompt = round(spread * (TOKENS * self.longer if kind == "r" else 175))
             answer, pace = (8, STEP_MS) if kind == "r" else (60, STEP_MS if (sent + client) % 3 else SLOW_MS)
@@ -107,36 +115,36 @@
 
 
 class Fleet(StoreFollowingCluster):
-    """Five routers, six engines, and three members."""
+    """Five routers, six engines and three store members."""
 
     def __init__(self, folder: Path) -> None:
         self.store = Members(folder)
-        super().__init__(folder, ENGINES, 5, OPERATOR, self.store.controls, TAKEN_S, settings=SETTINGS)
+        super().__init__(folder, ENGINES, 5, OPERATOR, self.store.controls, TAKEOVER_S, settings=SETTINGS)
         self.processes += [*self.store.processes, self.store.proxy]
 
-    def told(self, number: int) -> dict[str, Any]:
-        """What a router tells of the part, with the decision that it acts on."""
+    def part_report(self, number: int) -> dict[str, Any]:
+        """A router's report of the part, with the decision that it acts on."""
         versions = self.control(number, "versions")
         part: dict[str, Any] = versions["fleet"]["parts"][KIND]
         acts = versions["versions"].get(f"fleet/{KIND}")
         return part | {"acts": acts and (acts["number"], acts["digest"])}
 
     def readers(self, number: int) -> list[str]:
-        """The engines that a router tells to read; none without a split."""
-        split = self.told(number)["split"]
+        """The engines that a router reports for prefill; none without a split."""
+        split = self.part_report(number)["split"]
         return split["readers"] if split is not None else []
 
-    def wait_one(self, routers: Iterable[int] = ALL, seconds: float = TAKEN_S, **wanted: Any) -> list[str]:
-        """Until these routers tell one decision alike, of at least `epoch`, with a split or not; its readers.
+    def wait_one(self, routers: Iterable[int] = ALL, seconds: float = TAKEOVER_S, **wanted: Any) -> list[str]:
+        """Wait until these routers report the same decision, of at least `epoch`; its prefill engines.
 
-        `split`: whether there must be one; `without`: an engine that it does not name.
+        `split`: whether it must have a split; `without`: an engine that it must not name.
         """
 
         def one() -> list[dict[str, Any]] | None:
-            told = [self.told(n) for n in routers]
-            first = told[0]
+            reports = [self.part_report(n) for n in routers]
+            first = reports[0]
             same = all((t["acts"], t["split"], t["why"]) == (first["acts"], first["split"], first["why"])
-                       for t in told)  # fmt: skip
+                       for t in reports)  # fmt: skip
             readers = first["split"]["readers"] if first["split"] is not None else []
             right = (
                 first["acts"] is not None
@@ -144,42 +152,43 @@
                 and wanted.get("split", bool(readers)) is bool(readers)
                 and wanted.get("without", "") not in readers
             )
-            return told if same and right else None
+            return reports if same and right else None
 
         try:
             split = poll_until(one, seconds)[0]["split"]
         except TimeoutError:
-            raise AssertionError("\n".join(str(self.told(n)) for n in routers)) from None
+            raise AssertionError("\n".join(str(self.part_report(n)) for n in routers)) from None
         return split["readers"] if split is not None else []
 
     def decisions(self, number: int) -> int:
-        """That a router has made."""
-        decided = self.told(number)["decided"]
+        """Number of decisions that a router has made."""
+        decided = self.part_report(number)["decided"]
         return decided["number"] if decided is not None else 0
 
-    def say(self, router: str, sequence: int, body: bytes) -> None:
-        """Write a summary by hand."""
+    def write_summary(self, router: str, sequence: int, body: bytes) -> None:
+        """Write a summary directly."""
         text = encode_document(Summary(router, "by-hand", sequence, time.time() * 1000.0, body))
         poll_until(
             lambda: any(
-                request_member(member, "PUT", document_path(f"{EVIDENCE_PREFIX}{KIND}/{router}"), text)[0] == 200
+                request_member(member, "PUT", document_path(f"{EVIDENCE_PREFIX}{KIND}/{router}"), text)[0]
+                == 200
                 for member in self.store.controls
             )
         )
 
     def list(self, *out: int) -> None:
-        """Have the service list all engines but these."""
+        """Publish a list of all engines except these."""
         self.unlisted = set(out)
         self.publish_list()
 
 
 @pytest.fixture(scope="module")
-def running(tmp_path_factory: pytest.TempPathFactory) -> Iterator[tuple[Fleet, Mixed]]:
+def running(tmp_path_factory: pytest.TempPathFactory) -> Iterator[tuple[Fleet, MixedLoad]]:
     made = Fleet(tmp_path_factory.mktemp("pools"))
     try:
         made.start()
         made.engines.send_command("* asked")
-        load = Mixed(made)
+        load = MixedLoad(made)
         try:
             yield made, load
         finally:
@@ -192,38 +201,40 @@
 
 
 @pytest.fixture
-def fleet(running: tuple[Fleet, Mixed]) -> Iterator[Fleet]:
-    """All alike before a case, and after it."""
+def fleet(running: tuple[Fleet, MixedLoad]) -> Iterator[Fleet]:
+    """The cluster, with all routers in agreement before and after a case."""
     running[0].wait_one()
     yield running[0]
     running[0].wait_one()
 
 
 @pytest.fixture
-def load(running: tuple[Fleet, Mixed]) -> Mixed:
+def load(running: tuple[Fleet, MixedLoad]) -> MixedLoad:
     return running[1]
 
 
-def test_prompts_three_times_as_long_make_one_split_of_what_no_router_sees_alone(
-    fleet: Fleet, load: Mixed
+def test_prompts_three_times_as_long_yield_one_split_from_combined_traffic(
+    fleet: Fleet, load: MixedLoad
 ) -> None:
-    """Traffic that turns at once, one router seeing long prompts alone, one short ones: none before, and in
-    SPLIT_S all tell one split, its item in the versions the same; engines get requests as before."""
-    poll_until(lambda: {fleet.told(n)["why"] for n in ALL} == {"no gain predicted"}, SPLIT_S)
+    """A sudden traffic change, with one router receiving only long prompts and one only short ones: no split
+    before, and within SPLIT_S all report the same split and version; engines get requests as before."""
+    poll_until(lambda: {fleet.part_report(n)["why"] for n in ALL} == {"no gain predicted"}, SPLIT_S)
     load.longer = 3
     readers = fleet.wait_one(seconds=SPLIT_S, split=True)
     assert 0 < len(readers) < ENGINES
-    split = fleet.told(0)["split"]
+    split = fleet.part_report(0)["split"]
     assert set(split["reads_from"]) == {"r"} and split["late_with"] < split["late_without"]
     assert all(fleet.routers[n].events("fleet_split")[-1]["readers"] == len(readers) for n in ALL)
     before = [fleet.requests_sent(n) for n in range(ENGINES)]
-    poll_until(lambda: all(fleet.requests_sent(n) > before[n] for n in range(ENGINES)))  # told, not steered
+    poll_until(
+        lambda: all(fleet.requests_sent(n) > before[n] for n in range(ENGINES))
+    )  # the split is reported, not applied
 
 
-def test_summaries_of_yesterday_garbage_and_hostile_ones_count_as_absent(fleet: Fleet) -> None:
-    """Under five names by hand, each said thrice: two decisions later (LOST_S) the split stands as before."""
+def test_outdated_malformed_and_hostile_summaries_are_ignored(fleet: Fleet) -> None:
+    """Under five names, each written thrice: two decisions later (ENGINE_LOSS_S) the split is unchanged."""
     fleet.wait_one(split=True)
-    since = fleet.told(0)["split"]["since_ms"]
+    since = fleet.part_report(0)["split"]["since_ms"]
     now = time.time() * 1000.0
     old = TrafficRecorder(now - 86_400_000.0 - 60_000.0)
     for n in range(2000):
@@ -234,7 +245,7 @@
     right = msgspec.msgpack.encode([1, now, now - 60_000.0, [[*cell, {12: (5.0, 2e4, 8e7)}]], {}])
     assert decode_summary(right) is not None and not any(
         map(decode_summary, hostile)
-    )  # by their figures, not by their form
+    )  # rejected for their values, not for their form
     bodies = [old.body(now - 86_400_000.0), b"\xff" * 500, *hostile]
     holder = fleet.lease_holder(KIND)
     before, sequence = fleet.decisions(holder), 0
@@ -244,50 +255,56 @@
         nonlocal sequence
         sequence += 1
         for n, body in enumerate(bodies):
-            fleet.say(f"hand{n}", sequence, body)
-        decided = fleet.told(holder)["decided"]
+            fleet.write_summary(f"hand{n}", sequence, body)
+        decided = fleet.part_report(holder)["decided"]
         return bool(decided["number"] >= before + 2 and decided["summaries"] == 10)
 
-    poll_until(seen, LOST_S)
+    poll_until(seen, ENGINE_LOSS_S)
     fleet.wait_one(split=True)
-    assert {fleet.told(n)["split"]["since_ms"] for n in ALL} == {since}
+    assert {fleet.part_report(n)["split"]["since_ms"] for n in ALL} == {since}
 
 
-def test_an_engine_that_is_gone_is_named_by_nobody(fleet: Fleet) -> None:
-    """One that reads leaves the list: in LOST_S all tell one split without it, or none."""
+def test_a_removed_engine_is_not_named_by_any_router(fleet: Fleet) -> None:
+    """A prefill engine leaves the list: within ENGINE_LOSS_S all report the same split without it, or
+    none."""
     gone = fleet.wait_one(split=True)[0]
     fleet.list(fleet.engine_names.index(gone))
-    fleet.wait_one(seconds=LOST_S, without=gone)
+    fleet.wait_one(seconds=ENGINE_LOSS_S, without=gone)
     fleet.list()
 
 
-def test_a_router_whose_file_names_the_part_no_more_tells_nothing_of_it(fleet: Fleet) -> None:
-    """SIGHUP with other parts: nothing told in LOST_S, and it serves; SIGHUP back: one in TAKEN_S."""
+def test_a_router_without_the_part_in_its_file_does_not_report_it(fleet: Fleet) -> None:
+    """SIGHUP with other parts: nothing reported within ENGINE_LOSS_S, and it serves; SIGHUP back: one in
+    TAKEOVER_S."""
     file = fleet.folder / "operator0.toml"
     text = file.read_text()
     file.write_text(text.replace(f'parts = ["{KIND}"]', "parts = []").replace("revision = 1", "revision = 2"))
     fleet.send_sighup([0])
-    poll_until(lambda: fleet.fleet_status(0)["parts"] == {} and fleet.applied_version(0, f"fleet/{KIND}") == (0, ""), LOST_S)
+    poll_until(
+        lambda: fleet.fleet_status(0)["parts"] == {} and fleet.applied_version(0, f"fleet/{KIND}") == (0, ""),
+        ENGINE_LOSS_S,
+    )
     file.write_text(text.replace("revision = 1", "revision = 3"))
     fleet.send_sighup([0])
-    poll_until(lambda: fleet.fleet_status(0)["parts"], LOST_S)
+    poll_until(lambda: fleet.fleet_status(0)["parts"], ENGINE_LOSS_S)
     fleet.wait_one()
-    poll_until(lambda: fleet.told(0)["own"]["answered"] > 0)
+    poll_until(lambda: fleet.part_report(0)["own"]["answered"] > 0)
 
 
-def test_a_holder_killed_between_decision_and_commit_leaves_no_half_of_it(fleet: Fleet) -> None:
-    """SIGKILL while its decision is on the way, the write lost: the others tell one of theirs in TAKEN_S."""
+def test_a_holder_killed_between_decision_and_commit_leaves_no_partial_decision(fleet: Fleet) -> None:
+    """SIGKILL while its decision is in transit and lost: the others report their own one within
+    TAKEOVER_S."""
     gone = fleet.wait_one(split=True)[0]
     holder, epoch = fleet.lease_holder(KIND), fleet.decision_epoch(0, KIND)
     left = [n for n in ALL if n != holder]
-    fleet.set_store_fault("delay 120", [holder])  # each way: so long is a write on its way
+    fleet.set_store_fault("delay 120", [holder])  # in each direction: the time that a write is in transit
 
     def made() -> int:
         return sum(e["kind"] == KIND for e in fleet.routers[holder].events("fleet_decided"))
 
     before = made()
     fleet.list(fleet.engine_names.index(gone))
-    poll_until(lambda: made() > before, LOST_S)
+    poll_until(lambda: made() > before, ENGINE_LOSS_S)
     fleet.kill_router(holder)
     fleet.set_store_fault("reset", [holder])
     fleet.wait_one(left, epoch=epoch + 1, without=gone)
@@ -296,38 +313,39 @@
     fleet.restart_router(holder)
 
 
-def test_routers_cut_off_from_the_store_tell_none_and_the_others_one(fleet: Fleet, load: Mixed) -> None:
-    """Three of five, the holder among them, cut off while a split stands and prompts get short again: none in
-    SILENT_S, plain behaviour; the two others one decision of themselves in TAKEN_S."""
+def test_routers_cut_off_from_the_store_report_none_and_the_others_one(fleet: Fleet, load: MixedLoad) -> None:
+    """Three of five, including the lease holder, are cut off during a split while prompts get short again:
+    they report none within FALLBACK_S and behave normally; the two others report their own decision in
+    TAKEOVER_S."""
     fleet.wait_one(seconds=SPLIT_S, split=True)
     holder, epoch = fleet.lease_holder(KIND), fleet.decision_epoch(0, KIND)
     load.longer = 1
     cut = [(holder + n) % 5 for n in range(3)]
     left = [n for n in ALL if n not in cut]
     fleet.set_store_fault("drop", cut)
-    poll_until(lambda: all(fleet.told(n)["acts"] is None for n in cut), SILENT_S)
+    poll_until(lambda: all(fleet.part_report(n)["acts"] is None for n in cut), FALLBACK_S)
     assert [fleet.readers(n) for n in cut] == [[]] * 3
     fleet.wait_one(left, epoch=epoch + 1)
     fleet.set_store_fault("pass")
 
 
-def test_a_holder_that_was_stopped_and_wakes_writes_nothing(fleet: Fleet) -> None:
-    """SIGSTOP until the others tell one newer decision (TAKEN_S), then SIGCONT: it tells theirs in
-    TAKEN_S, and no older one was ever written."""
+def test_a_stopped_holder_that_continues_writes_nothing(fleet: Fleet) -> None:
+    """SIGSTOP until the others report one newer decision (TAKEOVER_S), then SIGCONT: it reports theirs within
+    TAKEOVER_S, and no older one was ever written."""
     holder, epoch = fleet.lease_holder(KIND), fleet.decision_epoch(0, KIND)
     left = [n for n in ALL if n != holder]
-    fleet.killed_routers.add(holder)  # what its clients get while it is stopped is no test of it
+    fleet.killed_routers.add(holder)  # its clients' results while it is stopped are not checked
     fleet.routers[holder].popen.send_signal(signal.SIGSTOP)
     try:
         fleet.wait_one(left, epoch=epoch + 1)
     finally:
         fleet.routers[holder].popen.send_signal(signal.SIGCONT)
     fleet.wait_one(epoch=epoch + 1)
-    assert not fleet.told(holder)["holds"] and {fleet.told(n)["refused"] for n in ALL} == {0}
+    assert not fleet.part_report(holder)["holds"] and {fleet.part_report(n)["refused"] for n in ALL} == {0}
 
 
-def test_what_requests_showed_is_noted_and_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Served, left in the middle, refused, and one too many; a usage that can't be is none."""
+def test_request_statistics_are_recorded_and_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Requests served, left midway, rejected, and beyond the bound; an impossible usage is ignored."""
     monkeypatch.setattr(pool_split, "MAX_TRACKED_REQUESTS", 3)
     classes = (i.RequestClass(1000.0, 5000.0, 1.0, token_aim_ms=40.0),)
     lines = [ListEntry("e0", "", "z", "big")]
--- a/tests/test_fleet_store.py
+++ b/tests/test_fleet_store.py
@@ -1,5 +1,6 @@
-"""The store with several processes: three members, cut off by the fault proxy, killed, their disks full or
-torn, under writers all the while. What was answered as written is on all members at the end, or on none."""
+"""The store with three member processes under a writer: cut off, killed, with full or corrupt disks.
+
+At the end each acknowledged write is on all members, and each unknown one on all or none."""
 
 from __future__ import annotations
 
@@ -18,7 +19,7 @@
 
 
 class Members:
-    """Three members, a gate of the proxy from each to each other."""
+    """Three members, with a proxy listener for each direction between two of them."""
 
     def __init__(self, folder: Path, pages: dict[int, int] | None = None) -> None:
         self.folder, self.pages = folder, pages or {}
@@ -67,7 +68,7 @@
         self.processes[number].popen.wait()
 
     def cut(self, number: int, mode: str) -> None:
-        """At every gate to and from a member."""
+        """Set the proxy's mode at all listeners to and from a member."""
         gates = [n for n, pair in enumerate(self.pairs) if number in pair]
         self.proxy.send_command(f"{','.join(map(str, gates))} {mode}")
 
@@ -75,22 +76,22 @@
         return request_member(self.controls[number], "GET", "/v1/status")[1]
 
     def leader(self, among: Any = range(3)) -> int:
-        """A member that leads, and that a majority follows."""
+        """The member that leads and that a majority follows."""
 
         def found() -> list[int]:
-            told = {n: self.status(n) for n in among}
+            statuses = {n: self.status(n) for n in among}
             return [
                 n
-                for n in told
-                if told[n].get("role") == "leader"
-                and sum(one.get("leader") == f"m{n}" for one in told.values()) >= 2
+                for n in statuses
+                if statuses[n].get("role") == "leader"
+                and sum(one.get("leader") == f"m{n}" for one in statuses.values()) >= 2
             ]
 
         return wait_until(found)[0] if not (at := found()) else at[0]
 
     def get(self, number: int, key: str) -> tuple[str, int] | None:
-        code, told = request_member(self.controls[number], "GET", f"/v1/store/{key}")
-        return (told["value"], told["revision"]) if code == 200 else None
+        code, document = request_member(self.controls[number], "GET", f"/v1/store/{key}")
+        return (document["value"], document["revision"]) if code == 200 else None
 
     def end(self) -> None:
         for one in (*self.processes, self.proxy):
@@ -98,7 +99,7 @@
 
 
 class Writer:
-    """Writes one key after another through whoever leads; what was answered, and what is not known."""
+    """Writes one key after another through the leader; records acknowledged and unknown writes."""
 
     def __init__(self, made: Members, size: int = 16) -> None:
         self.made, self.size = made, size
@@ -113,18 +114,18 @@
         while not self._stop.is_set():
             key, number = f"k{number}", number + 1
             for member in self.made.controls:
-                code, told = request_member(member, "PUT", f"/v1/store/{key}", key.encode() * self.size)
+                code, response = request_member(member, "PUT", f"/v1/store/{key}", key.encode() * self.size)
                 if code == 200:
-                    self.written[key] = told["revision"]
+                    self.written[key] = response["revision"]
                 if code in (200, 503):
                     self.unknown |= {key} if code == 503 else set()
                     break
-                if code == 0 and "refused" not in told["error"]:
-                    self.unknown.add(key)  # it may have been written before its member died
+                if code == 0 and "refused" not in response["error"]:
+                    self.unknown.add(key)  # it may have been written before the member died
                     break
 
     def more(self, count: int) -> None:
-        """Until so many more are written."""
+        """Wait until `count` more keys are written."""
         goal = len(self.written) + count
         wait_until(lambda: len(self.written) >= goal)
 
@@ -135,7 +136,7 @@
 
 @contextmanager
 def written(folder: Path, **more: Any) -> Iterator[tuple[Members, Writer]]:
-    """Members under a writer; at the end each change is on all of those that run, or on none."""
+    """Members under a writer; at the end each change is on all running members, or on none."""
     made = Members(folder, more.get("pages"))
     try:
         made.leader()
@@ -155,7 +156,7 @@
         made.end()
 
 
-def test_a_leader_that_is_killed_during_changes_loses_none_of_them(tmp_path: Path) -> None:
+def test_a_leader_killed_during_changes_loses_none_of_them(tmp_path: Path) -> None:
     with written(tmp_path) as (made, writer):
         for _ in range(2):
             writer.more(10)
@@ -168,7 +169,7 @@
             wait_until(lambda n=lost: made.status(n).get("leader"))  # type: ignore[misc]
 
 
-def test_a_leader_that_is_cut_off_takes_no_changes_and_comes_back_with_an_old_log(tmp_path: Path) -> None:
+def test_a_leader_that_is_cut_off_accepts_no_changes_and_returns_with_an_old_log(tmp_path: Path) -> None:
     with written(tmp_path) as (made, writer):
         writer.more(10)
         lost = made.leader()
@@ -176,17 +177,17 @@
         others = [n for n in range(3) if n != lost]
         made.leader(others)
         wait_until(lambda: made.status(lost)["role"] != "leader")
-        code, told = request_member(made.controls[lost], "PUT", "/v1/store/alone", b"x")
-        assert code == 409 and told["leader"] != f"m{lost}"
-        assert made.get(lost, "k0") is not None  # what it had is told on
+        code, response = request_member(made.controls[lost], "PUT", "/v1/store/alone", b"x")
+        assert code == 409 and response["leader"] != f"m{lost}"
+        assert made.get(lost, "k0") is not None  # it still serves reads of its entries
         writer.more(20)
         made.cut(lost, "pass")
-        had = max(made.status(n)["applied"] for n in others)  # once: the writer goes on
+        had = max(made.status(n)["applied"] for n in others)  # read once: the writer continues
         wait_until(lambda: made.status(lost)["applied"] >= had)
         assert made.get(lost, "alone") is None
 
 
-def test_of_two_changes_at_once_one_is_taken(tmp_path: Path) -> None:
+def test_of_two_concurrent_changes_one_is_accepted(tmp_path: Path) -> None:
     with written(tmp_path) as (made, writer):
         at = made.controls[made.leader()]
         revision = 0
@@ -194,8 +195,10 @@
             codes: list[tuple[int, int]] = []
 
             def change(who: int, expect: int = revision, codes: list[tuple[int, int]] = codes) -> None:
-                code, told = request_member(at, "PUT", f"/v1/store/document?expect={expect}", b"by %d" % who)
-                codes.append((code, told["revision"]))
+                code, response = request_member(
+                    at, "PUT", f"/v1/store/document?expect={expect}", b"by %d" % who
+                )
+                codes.append((code, response["revision"]))
 
             operators = [threading.Thread(target=change, args=(who,)) for who in range(2)]
             for one in operators:
@@ -203,22 +206,24 @@
             for one in operators:
                 one.join(30)
             assert sorted(code for code, _ in codes) == [200, 409], (turn, codes)
-            assert len({told for _, told in codes}) == 1  # both learn which revision it has now
+            assert len({response for _, response in codes}) == 1  # both get the current revision
             revision = codes[0][1]
         writer.more(25)
 
 
-def test_a_member_whose_disk_is_full_says_so_and_the_others_carry_on(tmp_path: Path) -> None:
+def test_a_member_with_a_full_disk_reports_it_and_the_others_continue(tmp_path: Path) -> None:
     with written(tmp_path, pages={1: 24}, size=256) as (made, writer):
         wait_until(lambda: made.status(1)["fault"])
         assert "full" in made.status(1)["fault"] and made.status(1)["role"] == "stopped"
         made.leader([0, 2])
         writer.more(20)
-        code, told = request_member(made.controls[1], "PUT", "/v1/store/x", b"x")
-        assert code == 409 and "full" in told["error"]  # not unknown: nothing was done, others may be asked
+        code, response = request_member(made.controls[1], "PUT", "/v1/store/x", b"x")
+        assert (
+            code == 409 and "full" in response["error"]
+        )  # not unknown: nothing was written, other members may be tried
 
 
-def test_all_members_killed_at_once_come_back_with_every_change(tmp_path: Path) -> None:
+def test_all_members_killed_at_once_return_with_every_change(tmp_path: Path) -> None:
     with written(tmp_path) as (made, writer):
         writer.more(30)
         for n in range(3):
@@ -229,9 +234,9 @@
         writer.more(5)
 
 
-def test_a_member_begun_with_an_older_file_counts_for_nothing_until_it_has_everything(tmp_path: Path) -> None:
-    """The leader stays. Within 20 s of the third member's return the one with the older file has everything;
-    before that nothing is committed on it, and what was is there after the leader was killed."""
+def test_a_member_started_with_an_older_file_does_not_count_until_it_has_all_entries(tmp_path: Path) -> None:
+    """The leader stays. Within 20 s of the third member's return the one with the older file has all entries;
+    before that it does not count for commits, and committed entries remain after the leader is killed."""
     with written(tmp_path) as (made, writer):
         lead = made.leader()
         back, third = (n for n in range(3) if n != lead)
@@ -245,7 +250,7 @@
         had = made.status(lead)["applied"]
         wait_until(lambda: made.status(back).get("applied", 0) >= had)
         made.kill(third)
-        # Committed with the one that was begun again: so it has counted, and what it had was answered for.
+        # Committed with the restarted member: it has counted, and its entries were acknowledged.
         wait_until(lambda: request_member(made.controls[lead], "PUT", "/v1/store/on-both", b"x")[0] == 200)
         made.kill(back)
         for file in tmp_path.glob(f"m{back}.store*"):
@@ -270,7 +275,7 @@
         wait_until(lambda: made.status(lost).get("leader"))
 
 
-def test_a_file_that_is_torn_or_foreign_is_not_begun_from(tmp_path: Path) -> None:
+def test_a_corrupt_or_foreign_file_is_rejected_at_the_start(tmp_path: Path) -> None:
     (tmp_path / "m0.store").write_bytes(b"something else entirely" * 400)
     listen, control = (f"{LISTEN}:{port}" for port in free_ports(2))
     made = Process(
--- a/tests/test_fleet_terms.py
+++ b/tests/test_fleet_terms.py
@@ -1,9 +1,9 @@
-"""The terms owed to clients and engines, on runs of real processes with drawn settings and faults.
+"""Guarantees to clients and engines, checked on runs of real processes with random settings and faults.
 
-What is drawn follows from the seed; when things happen does not, so that a run finds a race by chance, and a
-seed that has found one is no promise to find it again. Times are the kernels', on the peers' side; a router
-is allowed the time for which it stood ready and had no processor (`tests/terms.py`). No test goes by how fast
-anything is beyond the terms themselves.
+The seed determines the random choices but not the timing, so a run finds a race by chance, and a seed that
+has found one need not find it again. Times are those of the kernel on the peers' side; a router is allowed
+the time for which it was runnable without a processor (`tests/terms.py`). No test depends on speed beyond the
+guarantees themselves.
 """
 
 from __future__ import annotations
@@ -17,8 +17,8 @@
 from tests.fleet_record import COLD_FAULTS, FAULTS, Scene, draw_scene, play, report
 
 
-def kept(folder: Path, scene: Scene, least: int) -> None:
-    """No term is broken on a run in which so many requests at least were asked."""
+def check_run(folder: Path, scene: Scene, least: int) -> None:
+    """Check that a run of at least `least` requests violates no guarantee."""
     run, record, violations = play(folder, scene)
     assert not violations, report(run, record, violations)
     assert sum(len(one.requests) for one in record.connections) >= least
@@ -28,18 +28,22 @@
 
 
 @pytest.mark.parametrize(("routers", "seed", "each"), [(1, 205, 12), (4, 214, 8), (6, 211, 8)])
-def test_drawn_settings_and_faults_break_no_term(tmp_path: Path, routers: int, seed: int, each: int) -> None:
-    kept(tmp_path, draw_scene(seed, routers, 5.0, each, FAULTS), 50)
+def test_random_settings_and_faults_violate_no_guarantee(
+    tmp_path: Path, routers: int, seed: int, each: int
+) -> None:
+    check_run(tmp_path, draw_scene(seed, routers, 5.0, each, FAULTS), 50)
 
 
-def test_drawn_settings_and_faults_break_no_term_with_two_dozen_processes(tmp_path: Path) -> None:
-    kept(tmp_path, draw_scene(400, 22, 5.0, 3, COLD_FAULTS), 100)
+def test_random_settings_and_faults_violate_no_guarantee_with_two_dozen_processes(tmp_path: Path) -> None:
+    check_run(tmp_path, draw_scene(400, 22, 5.0, 3, COLD_FAULTS), 100)
 
 
-def few_left(seed: int, routers: int, attempts: int) -> Scene:
-    """Of six engines two are left, both begin anew, and all that the six were asked for comes to them."""
+def scene_with_two_engines(seed: int, routers: int, attempts: int) -> Scene:
+    """Two of six engines remain, both restart, and receive the load of all six."""
     each = 30
-    figures = ColdEngineParameters(per_s=20.0, cold_from=0.12, cold_ms=4000.0, overload_factor=2.5, tip_after_ms=1000.0)
+    figures = ColdEngineParameters(
+        per_s=20.0, cold_from=0.12, cold_ms=4000.0, overload_factor=2.5, tip_after_ms=1000.0
+    )
     drawn = draw_scene(seed, routers, 4.5, each)
     chat = {"Name": "chat", "AimMs": 2000.0, "DeadlineMs": 4000.0, "Effect": "retryable", "Stream": True}
     settings = {
@@ -87,7 +91,5 @@
 
 
 @pytest.mark.parametrize("attempts", [1, 3])
-def test_two_engines_in_slow_start_that_are_all_there_is_are_not_overloaded(
-    tmp_path: Path, attempts: int
-) -> None:
-    kept(tmp_path, few_left(1, 4, attempts), 100)
+def test_the_only_two_engines_in_slow_start_are_not_overloaded(tmp_path: Path, attempts: int) -> None:
+    check_run(tmp_path, scene_with_two_engines(1, 4, attempts), 100)
