--- a/tests/drain_runs.py
+++ b/tests/drain_runs.py
@@ -1,4 +1,4 @@
-"""Runs in which routers are drained by hand, told to end and killed, beside other faults; drawn by seed."""
+"""Draws runs in which routers are drained by operators, terminated and killed, among other faults."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 from spoolbarrow.lab.recorded_clients import DRAIN_HABITS, HABITS
 from tests.fleet_runs import RunSpec, play, report
 
-STREAMS_MS = [20.0, 400.0, 800.0, 1100.0, 2400.0]  # between two of four events: answers of 0.06 to 7.2 s
-CROWD = 24  # clients of each router, where there is one
+EVENT_GAPS_MS = [20.0, 400.0, 800.0, 1100.0, 2400.0]  # between two of four events: streams of 0.06 to 7.2 s
+MAX_CLIENTS = 24  # clients of each router, where there is one
 LENGTH_S = 9.0
-# Beside the drains; `stop` holds a process up for as long as the kernel may.
-BESIDE = ("term_kill", "term", "hang_up", "hang", "slow", "restart", "odd", "stop", "call_activate")
+# Faults besides the drains; `stop` delays a process for as long as the kernel might.
+OTHER_FAULTS = ("term_kill", "term", "hang_up", "hang", "slow", "restart", "odd", "stop", "call_activate")
 
 
 def drain_run(
@@ -25,7 +25,7 @@
     sockets: int = 512,
     length_s: float = 8.5,
 ) -> RunSpec:
-    """Routers before engines that have room for all; each habit has one client at each router."""
+    """Specify routers before engines with capacity for all requests; each router has one client per habit."""
     chat = {
         "Name": "chat",
         "AimMs": 5000.0,
@@ -50,7 +50,7 @@
             "accounts": ["acme"],
             "habits": habits,
             "pause_s": 0.3,
-            "gaps_ms": STREAMS_MS,
+            "gaps_ms": EVENT_GAPS_MS,
             "seed": seed,
         },
         faults=faults,
@@ -61,16 +61,16 @@
 
 
 def draw_drain_run(seed: int) -> RunSpec:
-    """A run by its seed: one to four routers, one drain by hand at least, clients of all habits."""
+    """Draw a run from its seed: one to four routers, at least one drain call, clients of all habits."""
     rng = Random(seed)
     deadline_ms = rng.choice([300.0, 1000.0, 1500.0, 3000.0, 5000.0])
-    count = rng.choice([6, 10, CROWD])
+    count = rng.choice([6, 10, MAX_CLIENTS])
     drains = [(round(rng.uniform(0.5, 3.5), 2), "call_drain") for _ in range(rng.randint(1, 2))]
-    beside = [(round(rng.uniform(0.5, 6.0), 2), rng.choice(BESIDE)) for _ in range(rng.randint(0, 3))]
+    others = [(round(rng.uniform(0.5, 6.0), 2), rng.choice(OTHER_FAULTS)) for _ in range(rng.randint(0, 3))]
     return drain_run(
         rng.choice([1, 1, 2, 4]),
         [rng.choice(HABITS + DRAIN_HABITS) for _ in range(count)],
-        sorted(drains + beside),
+        sorted(drains + others),
         seed,
         deadline_ms,
         rng.random() < 0.4,
@@ -79,9 +79,9 @@
     )
 
 
-def violation_report(folder: Path, made: RunSpec) -> str:
-    """Play a scene: what it broke, empty where nothing."""
-    run, record, violations = play(folder, made)
+def violation_report(folder: Path, spec: RunSpec) -> str:
+    """Run a specification and report its violations; empty without any."""
+    run, record, violations = play(folder, spec)
     unexpected = [line for log in run.logs.values() for line in log if '"unexpected"' in line]
     if violations or unexpected or not record.connections:
         return report(run, record, violations) + "".join(unexpected)
--- a/tests/fleet_runs.py
+++ b/tests/fleet_runs.py
@@ -1,4 +1,4 @@
-"""Runs of real processes with drawn settings and faults, and their records, on which terms are checked."""
+"""Runs real processes with randomly drawn settings and faults, and records what `tests/terms.py` checks."""
 
 from __future__ import annotations
 
@@ -18,15 +18,28 @@
 from spoolbarrow.lab.cluster import LIFE_S, LISTEN, Cluster, Process
 from spoolbarrow.lab.cold import Figures
 from spoolbarrow.lab.recorded_clients import HABITS, Plan
-from tests.terms import Arrival, Connection, Death, Drained, Record, Starved, Terms, Told, Violation, check
+from tests.terms import (
+    Connection,
+    CpuStarvation,
+    EngineRequest,
+    ManualDrain,
+    Record,
+    RouterKill,
+    SlowStartSettings,
+    StartNotice,
+    Violation,
+    check,
+)
 
 NAMES = ("chat", "a", "Doc-Query", "batch.low", "x" * 60, "7", "zeta_2")
 EFFECTS = ("retryable", "dedup", "fragile")
-LONGEST_S, KILL_S = 3.0, 0.7  # SIGKILL follows SIGTERM by the longest deadline, this at most, and so much
-AWAY_S = 0.25  # from SIGTERM until the front sends no new connections
-TOLD_S = 0.05  # from the list service's hearing of a change to its having written it to all routers
-LOOK_S, STARVED_S = 0.05, 0.005  # between looks at whether routers have a processor; what counts of it
-LISTED_S = 10.0  # for a router that began again to have a list
+# SIGKILL follows SIGTERM after the longest deadline, at most MAX_DEADLINE_S, plus the margin.
+MAX_DEADLINE_S, SIGKILL_MARGIN_S = 3.0, 0.7
+SIGTERM_NOTICE_S = 0.25  # from SIGTERM until the load balancer sends no new connections
+NOTIFICATION_S = 0.05  # from a change at the list service until it is written to all routers
+# The interval between samples of the routers' wait for a processor, and the shortest wait that counts.
+SAMPLE_INTERVAL_S, MIN_STARVATION_S = 0.05, 0.005
+LIST_TIMEOUT_S = 10.0  # for a restarted router to get a list
 COLD_FAULTS = ("restart", "restart_some", "restart_some", "lose_warm", "kill", "term", "replace", "shrink")
 FAULTS = (
     "odd",
@@ -47,7 +60,7 @@
 
 
 class RunSpec(Struct, frozen=True):
-    """What a run is made of: all of it drawn from the seed."""
+    """The specification of a run, all of it drawn from the seed."""
 
     seed: int
     zones: dict[str, int]
@@ -56,14 +69,14 @@
     limits: dict[str, Any]
     figures: Figures | None
     plan: dict[str, Any]  # without the ports
-    faults: list[tuple[float, str]]  # at so many seconds, what
+    faults: list[tuple[float, str]]  # seconds from the start, and the fault's name
     length_s: float
     known: str
     gates: bool
 
 
 def draw_settings(rng: Random, figures: Figures) -> dict[str, Any]:
-    """The platform's settings over their whole legal range."""
+    """Draw the platform's settings from their whole valid range."""
     names = rng.sample(NAMES, rng.randint(1, 4))
     classes = [
         {
@@ -113,7 +126,7 @@
     }
 
 
-def draw_scene(
+def draw_run(
     seed: int,
     routers: int,
     length_s: float = 8.0,
@@ -121,7 +134,7 @@
     faults: Sequence[str] = FAULTS,
     least: float = 0.3,
 ) -> RunSpec:
-    """A run by its seed; clients ask for the share `least` at least of what warm engines can do."""
+    """Draw a run from its seed; the load is at least the share `least` of the capacity of warm engines."""
     rng = Random(seed)
     figures = Figures(
         per_s=rng.choice([10.0, 20.0, 40.0]),
@@ -174,38 +187,38 @@
 
 
 class Run:
-    """A scene's processes while it is played."""
+    """The processes of a run, and what is recorded of it."""
 
-    def __init__(self, folder: Path, scene: RunSpec) -> None:
-        self.scene, self.rng = scene, Random(scene.seed + 1)
-        self.told: list[Told] = []
-        self.deaths: list[Death] = []
-        self.cuts: list[tuple[str, float]] = []  # by the proxy: an engine, and until when
+    def __init__(self, folder: Path, spec: RunSpec) -> None:
+        self.spec, self.rng = spec, Random(spec.seed + 1)
+        self.told: list[StartNotice] = []
+        self.deaths: list[RouterKill] = []
+        self.cuts: list[tuple[str, float]] = []  # resets by the proxy: an engine, and when the reset ended
         self.steps: list[str] = []
-        self.starved: list[Starved] = []
-        self.drains: list[Drained] = []
+        self.starved: list[CpuStarvation] = []
+        self.drains: list[ManualDrain] = []
         self._over = threading.Event()
-        self.logs: dict[str, list[str]] = {}  # by router: lines of processes that have ended
-        self.made = Cluster(
+        self.logs: dict[str, list[str]] = {}  # by router: log lines of processes that have ended
+        self.cluster = Cluster(
             folder,
-            scene.zones,
-            scene.routers,
+            spec.zones,
+            spec.routers,
             "",
-            gates=scene.gates,
-            control=any("call" in fault for _, fault in scene.faults),
-            figures=scene.figures,
-            settings=scene.settings,
-            limits=scene.limits,
+            gates=spec.gates,
+            control=any("call" in fault for _, fault in spec.faults),
+            figures=spec.figures,
+            settings=spec.settings,
+            limits=spec.limits,
             engines="recorded_engines",
-            known=scene.known,
+            known=spec.known,
         )
 
     def play(self) -> Record:
-        """All of it, to the end."""
-        made = self.made
+        """Run to the end and return the record."""
+        cluster = self.cluster
         try:
-            made.start()
-            plan = msgspec.convert({**self.scene.plan, "ports": made.ports, "host": LISTEN}, Plan)
+            cluster.start()
+            plan = msgspec.convert({**self.spec.plan, "ports": cluster.ports, "host": LISTEN}, Plan)
             self.clients = Process(
                 "-m",
                 "spoolbarrow.lab.recorded_clients",
@@ -213,32 +226,32 @@
                 msgspec.json.encode(plan).decode(),
                 stdin=True,
             )
-            made.started.append(self.clients)
-            idle_ms = self.scene.settings["Limits"].get("ConnIdleMs", 30_000.0)
-            made.engines.tell(f"* idle {idle_ms}")
+            cluster.started.append(self.clients)
+            idle_ms = self.spec.settings["Limits"].get("ConnIdleMs", 30_000.0)
+            cluster.engines.tell(f"* idle {idle_ms}")
             watching = threading.Thread(target=self._watch, daemon=True)
             watching.start()
             self.clients.tell("begin")
-            self.begun = time.monotonic()
-            for at, fault in self.scene.faults:
+            self.started_at = time.monotonic()
+            for at, fault in self.spec.faults:
                 self._until(at)
                 self.note(fault)
                 getattr(self, f"_{fault}")()
-            self._until(self.scene.length_s)
+            self._until(self.spec.length_s)
             return self.end()
         finally:
             self._over.set()
             self.keep_logs()
-            made.end(kill=True)
+            cluster.end(kill=True)
 
     def end(self) -> Record:
-        """Stop asking, and take the record."""
+        """Stop the clients and collect the record."""
         visits = self.clients.ask("stop")
-        arrivals = [self._cut(one) for one in self.made.engines.ask("arrivals")]
-        figures = self.scene.figures
+        arrivals = [self._mark_cut(one) for one in self.cluster.engines.ask("arrivals")]
+        figures = self.spec.figures
         terms = None
         if figures is not None:
-            terms = Terms(
+            terms = SlowStartSettings(
                 overload_factor=figures.overload_factor,
                 cold_from=figures.cold_from,
                 cold_ms=figures.cold_ms,
@@ -247,20 +260,20 @@
             )
         return Record(
             connections=tuple(msgspec.convert(visits, list[Connection])),
-            arrivals=tuple(msgspec.convert(arrivals, list[Arrival])),
+            arrivals=tuple(msgspec.convert(arrivals, list[EngineRequest])),
             told=tuple(self.told),
             deaths=tuple(self.deaths),
             terms=terms,
             starved=tuple(self.starved),
             drains=tuple(self.drains),
-            resumes=self.scene.settings["Specifics"]["Resume"],
+            resumes=self.spec.settings["Specifics"]["Resume"],
         )
 
     def _watch(self) -> None:
-        """Keep how long routers' processes were ready and had no processor."""
+        """Record how long routers' processes were runnable without a processor."""
         had: dict[int, tuple[float, float]] = {}
-        while not self._over.wait(LOOK_S):
-            for number, router in enumerate(list(self.made.routers)):
+        while not self._over.wait(SAMPLE_INTERVAL_S):
+            for number, router in enumerate(list(self.cluster.routers)):
                 now, pid = time.monotonic(), router.popen.pid
                 try:
                     waited = int(Path(f"/proc/{pid}/schedstat").read_text().split()[1]) / 1e9
@@ -268,167 +281,169 @@
                     continue
                 at, before = had.get(pid, (now, waited))
                 had[pid] = now, waited
-                if waited - before > STARVED_S:
+                if waited - before > MIN_STARVATION_S:
                     seconds = waited - before
-                    self.starved.append(Starved(router=f"r{number}", begin=at, end=now, seconds=seconds))
+                    self.starved.append(
+                        CpuStarvation(router=f"r{number}", begin=at, end=now, seconds=seconds)
+                    )
 
-    def _cut(self, arrival: dict[str, Any]) -> dict[str, Any]:
-        """What the proxy broke was not the router's doing."""
+    def _mark_cut(self, arrival: dict[str, Any]) -> dict[str, Any]:
+        """Attribute responses that the proxy reset to the engine, since the router did not cause their end."""
         for engine, at in self.cuts:
             if arrival["engine"] == engine and arrival["first_at"] < at and arrival["end"] == "left":
                 return {**arrival, "end": "broken"}
         return arrival
 
     def note(self, what: str) -> None:
-        self.steps.append(f"{time.monotonic() - self.begun:.2f} {what} ({time.monotonic():.3f})")
+        self.steps.append(f"{time.monotonic() - self.started_at:.2f} {what} ({time.monotonic():.3f})")
 
     def keep_logs(self) -> None:
-        for number, router in enumerate(self.made.routers):
+        for number, router in enumerate(self.cluster.routers):
             self.logs.setdefault(f"r{number}", []).extend(router.lines)
 
     def _until(self, at: float) -> None:
-        time.sleep(max(0.0, self.begun + at - time.monotonic()))
+        time.sleep(max(0.0, self.started_at + at - time.monotonic()))
 
     def _engine(self) -> int:
-        return self.rng.randrange(len(self.made.names))
+        return self.rng.randrange(len(self.cluster.names))
 
     def _router(self) -> int:
-        return self.rng.randrange(len(self.made.ports))
+        return self.rng.randrange(len(self.cluster.ports))
 
     # Faults of engines
 
     def _odd(self) -> None:
-        self.made.engines.tell(f"* odd {self.rng.choice([0.05, 0.2, 0.5])}")
+        self.cluster.engines.tell(f"* odd {self.rng.choice([0.05, 0.2, 0.5])}")
 
     def _hang(self) -> None:
-        self.made.engines.tell(f"{self._engine()} hang")
+        self.cluster.engines.tell(f"{self._engine()} hang")
 
     def _down(self) -> None:
-        self.made.engines.tell(f"{self._engine()} down")
+        self.cluster.engines.tell(f"{self._engine()} down")
 
     def _full(self) -> None:
-        self.made.engines.tell(f"{self._engine()} full")
+        self.cluster.engines.tell(f"{self._engine()} full")
 
     def _slow(self) -> None:
-        self.made.engines.tell(f"{self._engine()} slow {self.rng.choice([300, 1200, 4000])}")
+        self.cluster.engines.tell(f"{self._engine()} slow {self.rng.choice([300, 1200, 4000])}")
 
     def _restart(self) -> None:
         engine = self._engine()
-        self.made.restart_engines([engine])
-        self._tell(engine)
+        self.cluster.restart_engines([engine])
+        self._record_start(engine)
 
     def _restart_some(self) -> None:
-        """Several engines begin anew in one instant: what the others bore comes to them."""
-        count = self.rng.randint(2, len(self.made.names))
-        chosen = self.rng.sample(range(len(self.made.names)), count)
-        self.made.restart_engines(chosen)
+        """Several engines restart at once, and load moves to them from the others."""
+        count = self.rng.randint(2, len(self.cluster.names))
+        chosen = self.rng.sample(range(len(self.cluster.names)), count)
+        self.cluster.restart_engines(chosen)
         for engine in chosen:
-            self._tell(engine)
+            self._record_start(engine)
 
     def _lose_warm(self) -> None:
-        """Half of the engines are lost, and half of the others begin anew."""
-        order = self.rng.sample(range(len(self.made.names)), len(self.made.names))
+        """Half of the engines fail, and half of the others restart."""
+        order = self.rng.sample(range(len(self.cluster.names)), len(self.cluster.names))
         lost, new = order[: len(order) // 2], order[len(order) // 2 :][::2]
-        self.made.engines.tell(f"{','.join(map(str, lost))} down")
-        self.made.restart_engines(new)
+        self.cluster.engines.tell(f"{','.join(map(str, lost))} down")
+        self.cluster.restart_engines(new)
         for engine in new:
-            self._tell(engine)
+            self._record_start(engine)
 
     def _shrink(self) -> None:
-        """Half of the engines leave the list, and half of the others begin anew."""
-        order = self.rng.sample(range(len(self.made.names)), len(self.made.names))
-        self.made.out |= set(order[: len(order) // 2])
+        """Half of the engines leave the list, and half of the others restart."""
+        order = self.rng.sample(range(len(self.cluster.names)), len(self.cluster.names))
+        self.cluster.out |= set(order[: len(order) // 2])
         new = order[len(order) // 2 :][::2]
-        self.made.restart_engines(new)
+        self.cluster.restart_engines(new)
         for engine in new:
-            self._tell(engine)
+            self._record_start(engine)
 
     def _few(self) -> None:
-        """Two engines stay, and both begin anew."""
-        self.made.out |= set(range(2, len(self.made.names)))
-        self.made.restart_engines([0, 1])
+        """Only two engines stay in the list, and both restart."""
+        self.cluster.out |= set(range(2, len(self.cluster.names)))
+        self.cluster.restart_engines([0, 1])
         for engine in (0, 1):
-            self._tell(engine)
+            self._record_start(engine)
 
     def _replace(self) -> None:
-        """It leaves the list, is another's process, and is listed again."""
+        """An engine leaves the list, its process is replaced, and it is listed again."""
         engine = self._engine()
-        self.made.out.add(engine)
-        self.made.list_again()
-        self.made.engines.tell(f"{engine} down")
+        self.cluster.out.add(engine)
+        self.cluster.list_again()
+        self.cluster.engines.tell(f"{engine} down")
         time.sleep(0.3)
-        self.made.out.discard(engine)
-        self.made.restart_engines([engine])
-        self._tell(engine)
+        self.cluster.out.discard(engine)
+        self.cluster.restart_engines([engine])
+        self._record_start(engine)
 
     def _drain(self) -> None:
-        self.made.draining = {self._engine()}
-        self.made.list_again()
+        self.cluster.draining = {self._engine()}
+        self.cluster.list_again()
 
     def _reset(self) -> None:
-        if not self.scene.gates:
+        if not self.spec.gates:
             return
         engine = self._engine()
-        gates = self.made.gates([engine])
-        self.made.fault("reset", gates)
+        gates = self.cluster.gates([engine])
+        self.cluster.fault("reset", gates)
         time.sleep(0.2)
         self.cuts.append((f"e{engine}", time.monotonic()))
-        self.made.fault("pass", gates)
+        self.cluster.fault("pass", gates)
 
     def _mute(self) -> None:
-        self.made.service.tell("* mute")
+        self.cluster.service.tell("* mute")
 
-    def _tell(self, engine: int) -> None:
-        now = time.monotonic() + TOLD_S
-        starts = self.made.engines.ask("starts")
-        for router in range(len(self.made.ports)):
+    def _record_start(self, engine: int) -> None:
+        now = time.monotonic() + NOTIFICATION_S
+        starts = self.cluster.engines.ask("starts")
+        for router in range(len(self.cluster.ports)):
             self.told.append(
-                Told(router=f"r{router}", engine=f"e{engine}", started_at=starts[engine], at=now)
+                StartNotice(router=f"r{router}", engine=f"e{engine}", started_at=starts[engine], at=now)
             )
 
     # Faults of routers
 
     def _term(self) -> None:
         number = self._router()
-        router = self.made.routers[number]
+        router = self.cluster.routers[number]
         router.popen.terminate()
-        time.sleep(AWAY_S)
+        time.sleep(SIGTERM_NOTICE_S)
         self.clients.tell(f"away {number}")
         router.popen.wait(30)
         self._not_drained(f"r{number}")
         self.note(f"r{number} ended with {router.popen.returncode}")
-        self._again(number)
+        self._start_again(number)
 
     def _stop(self) -> None:
-        """A router's process stands still for a while: a busy machine, or a pause of the whole of it."""
+        """A router's process is stopped for a while, as on a busy or suspended machine."""
         number, begin = self._router(), time.monotonic()
-        router = self.made.routers[number]
+        router = self.cluster.routers[number]
         router.popen.send_signal(signal.SIGSTOP)
         time.sleep(self.rng.choice([0.2, 0.4, 0.8]))
         router.popen.send_signal(signal.SIGCONT)
         now = time.monotonic()
-        self.starved.append(Starved(router=f"r{number}", begin=begin, end=now, seconds=now - begin))
+        self.starved.append(CpuStarvation(router=f"r{number}", begin=begin, end=now, seconds=now - begin))
 
     def _hang_up(self) -> None:
-        self.made.hang_up(range(len(self.made.ports)))
+        self.cluster.hang_up(range(len(self.cluster.ports)))
 
     def _term_kill(self) -> None:
-        """SIGTERM, and SIGKILL as soon as it may come; clients use open connections up to it."""
+        """SIGTERM, then SIGKILL as soon as it is allowed; clients use open connections until then."""
         number, told_at = self._router(), time.monotonic()
-        router = self.made.routers[number]
-        longest_s = max(one["DeadlineMs"] for one in self.scene.settings["Classes"]) / 1000.0
+        router = self.cluster.routers[number]
+        longest_s = max(one["DeadlineMs"] for one in self.spec.settings["Classes"]) / 1000.0
         router.popen.terminate()
-        time.sleep(AWAY_S)
+        time.sleep(SIGTERM_NOTICE_S)
         self.clients.tell(f"away {number}")
-        time.sleep(max(0.0, told_at + min(longest_s, LONGEST_S) + KILL_S - time.monotonic()))
-        self.deaths.append(Death(router=f"r{number}", at=time.monotonic(), told_at=told_at))
-        self.made.kill_router(number)
+        time.sleep(max(0.0, told_at + min(longest_s, MAX_DEADLINE_S) + SIGKILL_MARGIN_S - time.monotonic()))
+        self.deaths.append(RouterKill(router=f"r{number}", at=time.monotonic(), told_at=told_at))
+        self.cluster.kill_router(number)
         self._not_drained(f"r{number}")
         self.note(f"r{number} ended with {router.popen.returncode}")
-        self._again(number)
+        self._start_again(number)
 
     def _not_drained(self, router: str) -> None:
-        """A drain ends with its process, or by a call."""
+        """End a drain: its process ended, or an operator activated the router."""
         now = time.monotonic()
         self.drains = [
             msgspec.structs.replace(one, until=min(one.until, now)) if one.router == router else one
@@ -436,40 +451,40 @@
         ]
 
     def _call_drain(self) -> None:
-        """An operator drains a router by hand; the front sends nothing more there, where it has another."""
-        number = len(self.drains) % len(self.made.ports)
+        """An operator drains a router; the load balancer stops using it, if there is another router."""
+        number = len(self.drains) % len(self.cluster.ports)
         if not any(one.router == f"r{number}" and one.until == inf for one in self.drains):
-            self.drains.append(Drained(router=f"r{number}", at=time.monotonic()))
-        self.made.control(number, "router/drain", "POST")
-        if len(self.made.ports) > 1:
-            time.sleep(AWAY_S)
+            self.drains.append(ManualDrain(router=f"r{number}", at=time.monotonic()))
+        self.cluster.control(number, "router/drain", "POST")
+        if len(self.cluster.ports) > 1:
+            time.sleep(SIGTERM_NOTICE_S)
             self.clients.tell(f"away {number}")
 
     def _call_activate(self) -> None:
-        """All routers that are drained are taken back."""
+        """An operator activates all drained routers."""
         for router in {one.router for one in self.drains if one.until == inf}:
             number = int(router[1:])
             self._not_drained(router)
-            self.made.control(number, "router/activate", "POST")
+            self.cluster.control(number, "router/activate", "POST")
             self.clients.tell(f"back {number}")
 
     def _kill(self) -> None:
         number = self._router()
-        self.deaths.append(Death(router=f"r{number}", at=time.monotonic()))
-        self.made.kill_router(number)
-        self._again(number)
-
-    def _again(self, number: int) -> None:
-        self.logs.setdefault(f"r{number}", []).extend(self.made.routers[number].lines)
-        self.made.routers[number] = self.made.start_router(number)
-        with suppress(AssertionError):  # where none is listed, it serves none
-            self.made.wait_listed([number], LISTED_S)
+        self.deaths.append(RouterKill(router=f"r{number}", at=time.monotonic()))
+        self.cluster.kill_router(number)
+        self._start_again(number)
+
+    def _start_again(self, number: int) -> None:
+        self.logs.setdefault(f"r{number}", []).extend(self.cluster.routers[number].lines)
+        self.cluster.routers[number] = self.cluster.start_router(number)
+        with suppress(AssertionError):  # no engine may be listed; the router then serves no requests
+            self.cluster.wait_listed([number], LIST_TIMEOUT_S)
         self.clients.tell(f"back {number}")
 
 
 def report(run: Run, record: Record, violations: list[Violation]) -> str:
-    """What a run was and what it broke, for whoever looks into it."""
-    lines = [f"seed {run.scene.seed}", *(f"  {step}" for step in run.steps)]
+    """Describe a run and its violations for debugging."""
+    lines = [f"seed {run.spec.seed}", *(f"  {step}" for step in run.steps)]
     for one in violations:
         lines.append(f"{one.term}: {one.id}: {one.message}")
         asked = [a for c in record.connections for a in c.requests if a.id == one.id]
@@ -489,8 +504,8 @@
     return "\n".join(lines)
 
 
-def play(folder: Path, scene: RunSpec) -> tuple[Run, Record, list[Violation]]:
-    """A scene's run, its record, and what it broke."""
-    run = Run(folder, scene)
+def play(folder: Path, spec: RunSpec) -> tuple[Run, Record, list[Violation]]:
+    """Run a specification; returns the run, its record and its violations."""
+    run = Run(folder, spec)
     record = run.play()
     return run, record, check(record)
--- a/tests/test_fleet_terms.py
+++ b/tests/test_fleet_terms.py
@@ -1,9 +1,9 @@
-"""The terms owed to clients and engines, on runs of real processes with drawn settings and faults.
+"""Checks the terms for clients and engines on runs of real processes with random settings and faults.
 
-What is drawn follows from the seed; when things happen does not, so that a run finds a race by chance, and a
-seed that has found one is no promise to find it again. Times are the kernels', on the peers' side; a router
-is allowed the time for which it stood ready and had no processor (`tests/terms.py`). No test goes by how fast
-anything is beyond the terms themselves.
+The seed determines what is drawn but not the timing, so a run finds a race by chance, and a seed that found
+one may not find it again. Times are taken by the kernel on the peers' side; a router is allowed the time for
+which it was runnable without a processor (`tests/terms.py`). No test depends on speed beyond the terms
+themselves.
 """
 
 from __future__ import annotations
@@ -14,12 +14,12 @@
 from msgspec.structs import replace
 
 from spoolbarrow.lab.cold import Figures
-from tests.fleet_runs import COLD_FAULTS, FAULTS, RunSpec, draw_scene, play, report
+from tests.fleet_runs import COLD_FAULTS, FAULTS, RunSpec, draw_run, play, report
 
 
-def kept(folder: Path, scene: RunSpec, least: int) -> None:
-    """No term is broken on a run in which so many requests at least were asked."""
-    run, record, violations = play(folder, scene)
+def assert_terms_hold(folder: Path, spec: RunSpec, least: int) -> None:
+    """Assert that a run with at least `least` requests violates no term."""
+    run, record, violations = play(folder, spec)
     assert not violations, report(run, record, violations)
     assert sum(len(one.requests) for one in record.connections) >= least
     assert record.arrivals and not [
@@ -28,22 +28,24 @@
 
 
 @pytest.mark.parametrize(("routers", "seed", "each"), [(1, 205, 12), (4, 214, 8), (6, 211, 8)])
-def test_drawn_settings_and_faults_break_no_term(tmp_path: Path, routers: int, seed: int, each: int) -> None:
-    kept(tmp_path, draw_scene(seed, routers, 5.0, each, FAULTS), 50)
+def test_random_settings_and_faults_violate_no_term(
+    tmp_path: Path, routers: int, seed: int, each: int
+) -> None:
+    assert_terms_hold(tmp_path, draw_run(seed, routers, 5.0, each, FAULTS), 50)
 
 
-def test_drawn_settings_and_faults_break_no_term_with_two_dozen_processes(tmp_path: Path) -> None:
-    kept(tmp_path, draw_scene(400, 22, 5.0, 3, COLD_FAULTS), 100)
+def test_random_settings_and_faults_violate_no_term_with_two_dozen_processes(tmp_path: Path) -> None:
+    assert_terms_hold(tmp_path, draw_run(400, 22, 5.0, 3, COLD_FAULTS), 100)
 
 
-def few_left(seed: int, routers: int, attempts: int) -> RunSpec:
-    """Of six engines two are left, both begin anew, and all that the six were asked for comes to them."""
+def two_restarting_engines(seed: int, routers: int, attempts: int) -> RunSpec:
+    """Two of six engines stay in the list, both restart, and they get the load of all six."""
     each = 30
     figures = Figures(per_s=20.0, cold_from=0.12, cold_ms=4000.0, overload_factor=2.5, tip_after_ms=1000.0)
-    drawn = draw_scene(seed, routers, 4.5, each)
+    base = draw_run(seed, routers, 4.5, each)
     chat = {"Name": "chat", "AimMs": 2000.0, "DeadlineMs": 4000.0, "Effect": "retryable", "Stream": True}
     settings = {
-        **drawn.settings,
+        **base.settings,
         "Classes": [chat],
         "Tenants": [],
         "Zones": ["z0"],
@@ -73,7 +75,7 @@
         "seed": seed,
     }
     return replace(
-        drawn,
+        base,
         zones={"z0": 6},
         routers=["z0"] * routers,
         settings=settings,
@@ -87,7 +89,5 @@
 
 
 @pytest.mark.parametrize("attempts", [1, 3])
-def test_two_engines_in_slow_start_that_are_all_there_is_are_not_overloaded(
-    tmp_path: Path, attempts: int
-) -> None:
-    kept(tmp_path, few_left(1, 4, attempts), 100)
+def test_the_only_two_engines_are_not_overloaded_in_slow_start(tmp_path: Path, attempts: int) -> None:
+    assert_terms_hold(tmp_path, two_restarting_engines(1, 4, attempts), 100)
--- a/tests/test_pipeline_terms.py
+++ b/tests/test_pipeline_terms.py
@@ -1,4 +1,4 @@
-"""Requests that were read whole, and what comes behind them that is none."""
+"""Tests that pipelined requests before a malformed one are answered."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @pytest.mark.parametrize("behind", [b"\x00nonsense\r\n\r\n", b"POST / HTTP/1.1\r\nContent-Length: x\r\n\r\n"])
 def test_each_request_read_before_a_malformed_one_has_an_answer(behind: bytes) -> None:
-    """On a new connection: each has its own, and the connection ends behind the last of them."""
+    """Each request on the new connection gets its own response."""
     ids = ["one", "two", "three"]
     with running_router(serve_all) as (scene, _):
         client = scene.client().send(b"".join(ask(X_Correlation_Id=id) for id in ids) + behind)
--- a/tests/test_time_left_terms.py
+++ b/tests/test_time_left_terms.py
@@ -1,6 +1,6 @@
-"""What an engine is told of a client's patience where requests stood in the kernel before they were read.
+"""Tests the time left that engines receive for requests that waited in the kernel before being read.
 
-The process stands still in between, as on a busy machine: nothing runs, and nothing is waited for.
+The whole process sleeps in between, as on a busy machine: no greenlet runs.
 """
 
 from __future__ import annotations
@@ -13,16 +13,16 @@
 
 from spoolbarrow.net.http1 import Message
 from tests.router_harness import ask, running_router, serve_all, wait_until
-from tests.terms import ANSWER_SLACK_S, TOLD_SLACK_S
+from tests.terms import ANSWER_SLACK_S, TIME_LEFT_SLACK_S
 
-STILL_S = 0.4  # over twice what may be told too much
+PAUSE_S = 0.4  # over twice the permitted excess of the time left
 LEFT_MS, SHORT_MS = 5000, 1000
-LARGE = 250_000  # bytes: more than a connection's kernel takes in before it is read
+LARGE_BODY_BYTES = 250_000  # more than the kernel receives on a connection before it is read
 
 
 @pytest.mark.parametrize("together", [True, False])
-def test_requests_that_waited_unread_have_waited_all_the_same(together: bool) -> None:
-    """Both stand there before the pause, or the second one comes at its end: each counts from its sending."""
+def test_time_unread_in_the_kernel_counts_as_waiting(together: bool) -> None:
+    """Both are sent before the pause, or the second one after it: each waits from when it was sent."""
     arrived: list[tuple[float, float]] = []
 
     def serve(sock: socket.socket, message: Message) -> None:
@@ -39,51 +39,51 @@
         if together:
             client.send(second)
             sent.append(time.monotonic())
-        time.sleep(STILL_S)  # of the whole process: no greenlet runs
+        time.sleep(PAUSE_S)  # of the whole process: no greenlet runs
         if not together:
             client.send(second)
             sent.append(time.monotonic())
         wait_until(lambda: len(arrived) == 2)
         left = [LEFT_MS / 1000.0 - (at - begun) for (at, _), begun in zip(arrived, sent, strict=True)]
-        too_much = [told - own for (_, told), own in zip(arrived, left, strict=True)]
-        assert max(too_much) <= TOLD_SLACK_S, too_much
+        excess_s = [received_s - own for (_, received_s), own in zip(arrived, left, strict=True)]
+        assert max(excess_s) <= TIME_LEFT_SLACK_S, excess_s
         assert len(engine.requests) == 3
 
 
 @pytest.mark.parametrize("fresh", [True, False])
-def test_a_request_that_the_kernel_had_half_of_has_waited_all_the_same(fresh: bool) -> None:
-    """The rest stands in its client's kernel until some of it is read, and comes in with that read."""
-    told: list[tuple[float, float]] = []
+def test_time_half_received_in_the_kernel_counts_as_waiting(fresh: bool) -> None:
+    """The rest stays in the client's kernel until some is read, and arrives with that read."""
+    received_s: list[tuple[float, float]] = []
 
     def serve(sock: socket.socket, message: Message) -> None:
-        told.append((time.monotonic(), float(message.fields[b"x-time-left-ms"]) / 1000.0))
+        received_s.append((time.monotonic(), float(message.fields[b"x-time-left-ms"]) / 1000.0))
         serve_all(sock, message)
 
     with running_router(serve) as (scene, _):
         client = scene.client()
-        client.sock.setsockopt(plain.SOL_SOCKET, plain.SO_SNDBUF, 2 * LARGE)
+        client.sock.setsockopt(plain.SOL_SOCKET, plain.SO_SNDBUF, 2 * LARGE_BODY_BYTES)
         if not fresh:
             client.send(ask(X_Correlation_Id="before")).answer()
-            told.clear()
-        raw = ask(b"x" * LARGE, left=LEFT_MS)
+            received_s.clear()
+        raw = ask(b"x" * LARGE_BODY_BYTES, left=LEFT_MS)
         assert client.sock.send(raw) == len(raw)  # handed over at once: no greenlet has run
         sent = time.monotonic()
-        time.sleep(STILL_S)
-        wait_until(lambda: told)
-        ((at, seconds),) = told
-        too_much = seconds - (LEFT_MS / 1000.0 - (at - sent))
-        assert too_much <= TOLD_SLACK_S, too_much
+        time.sleep(PAUSE_S)
+        wait_until(lambda: received_s)
+        ((at, seconds),) = received_s
+        excess_s = seconds - (LEFT_MS / 1000.0 - (at - sent))
+        assert excess_s <= TIME_LEFT_SLACK_S, excess_s
 
 
-def test_a_request_that_the_kernel_had_half_of_has_its_answer_before_its_deadline() -> None:
-    """Its engine says nothing: what its client gets is the 504, and in time."""
+def test_a_request_half_received_by_the_kernel_is_answered_before_its_deadline() -> None:
+    """The engine never responds: the client gets a 504 in time."""
     with running_router(lambda sock, message: None) as (scene, _):
         client = scene.client()
-        client.sock.setsockopt(plain.SOL_SOCKET, plain.SO_SNDBUF, 2 * LARGE)
-        raw = ask(b"x" * LARGE, left=SHORT_MS)
+        client.sock.setsockopt(plain.SOL_SOCKET, plain.SO_SNDBUF, 2 * LARGE_BODY_BYTES)
+        raw = ask(b"x" * LARGE_BODY_BYTES, left=SHORT_MS)
         assert client.sock.send(raw) == len(raw)
         due = time.monotonic() + SHORT_MS / 1000.0 + ANSWER_SLACK_S
-        time.sleep(STILL_S)
+        time.sleep(PAUSE_S)
         assert client.answer().status == 504
         late = time.monotonic() - due
         assert late <= 0.0, late
