--- a/benchmarks/drain_propagation.py
+++ b/benchmarks/drain_propagation.py
@@ -1,13 +1,13 @@
-"""How late a fleet hears of a drain that its list service could tell, whatever calls failed before.
+"""Measures how late routers learn of a drain from their list service after earlier calls failed.
 
     python benchmarks/drain_propagation.py [--short] [--before TREE]
 
-Real routers (1 and 40; 12 in the short form) with clients, and an engine that drains while the service fails
-in each way of `lab/told.py`: seconds from when a new call could be answered to a router's last request
-there. Then 1, 40 and 200 routers in virtual time (`lab/callers.py`), at services of several rates: seconds to
-when the last of them hears, calls a router, and the least rate at which all hear within the clock. With TREE,
-the program of another checkout plays the real routers. `holds`: all within 6 s and a drain's grace, and in
-virtual time half a second sooner at FITS calls a second.
+Runs real routers (1 and 40; 12 in the short form) with clients, and drains an engine while the service fails
+in each way of `lab/told.py`: seconds from when a new call could be answered to a router's last request to the
+engine. Then 1, 40 and 200 routers in virtual time (`lab/callers.py`), with services of several rates: seconds
+until the last of them is notified, calls per router, and the least rate at which all are notified in time.
+With TREE, the real routers run the program of another checkout. `holds`: all within 6 s and a drain's grace,
+and in virtual time half a second sooner at MIN_CALLS_PER_S.
 """
 
 from __future__ import annotations
@@ -30,19 +30,25 @@
 from spoolbarrow.lab.process import end_all_at_sigterm  # noqa: E402
 from spoolbarrow.lab.told import CASES, play, take_back  # noqa: E402
 
-BOUND_S = LIST_DEADLINE_MS / 1000 + 0.25  # and a drain's grace
-FITS_S = LIST_DEADLINE_MS / 1000 - 0.5
-FITS = {1: 10.0, 40: 20.0, 200: 75.0}  # calls a second
-RATES = (10.0, 20.0, 30.0, 45.0, 60.0, 75.0, 100.0)
-A_ROUTER_S = 20.0  # calls a second for each of real routers: the fleet's part is virtual
-OF_ALL = ("refuses", "restarts")  # faults that a service has for all routers at once
+BOUND_S = LIST_DEADLINE_MS / 1000 + 0.25  # includes a drain's grace
+VIRTUAL_BOUND_S = LIST_DEADLINE_MS / 1000 - 0.5
+MIN_CALLS_PER_S = {
+    1: 10.0,
+    40: 20.0,
+    200: 75.0,
+}  # lowest service rate that must suffice, by number of routers
+CALLS_PER_S = (10.0, 20.0, 30.0, 45.0, 60.0, 75.0, 100.0)
+CALLS_PER_ROUTER_S = 20.0  # service rate per real router; fleet effects are measured in virtual time
+FLEET_WIDE_FAULTS = ("refuses", "restarts")  # faults that affect all routers at once
 
 
-def real(routers: int, down_s: float, together: bool, tree: Path | None) -> dict[str, dict[str, float]]:
-    """The worst and median delay of each case; `together`: faults of some routers only are played at once."""
+def measure_processes(
+    routers: int, down_s: float, together: bool, tree: Path | None
+) -> dict[str, dict[str, float]]:
+    """The worst and median delay of each case; `together`: run the faults of single routers at once."""
     found: dict[str, list[float]] = {}
     with tempfile.TemporaryDirectory() as folder:
-        made = Cluster(
+        fleet = Cluster(
             Path(folder),
             {"a": 2},
             ["a"] * routers,
@@ -50,40 +56,42 @@
             gates=False,
             control=False,
             known="old",
-            rate=max(A_ROUTER_S, float(routers)),
+            rate=max(CALLS_PER_ROUTER_S, float(routers)),
             tree=tree,
         )
         try:
-            made.start()
-            load = Load(made, 1, 0.1 if routers < 20 else 0.5)
-            some = [name for name in CASES if name not in OF_ALL]
-            rounds: list[dict[str, Sequence[int]]] = [{name: range(routers)} for name in OF_ALL]
+            fleet.start()
+            load = Load(fleet, 1, 0.1 if routers < 20 else 0.5)
+            partial_faults = [name for name in CASES if name not in FLEET_WIDE_FAULTS]
+            rounds: list[dict[str, Sequence[int]]] = [{name: range(routers)} for name in FLEET_WIDE_FAULTS]
             if together:
-                rounds.append({name: range(n, routers, len(some)) for n, name in enumerate(some)})
+                rounds.append(
+                    {name: range(n, routers, len(partial_faults)) for n, name in enumerate(partial_faults)}
+                )
             else:
-                rounds += [{name: range(routers)} for name in some]
+                rounds += [{name: range(routers)} for name in partial_faults]
             for groups in rounds:
-                found |= play(made, groups, 0, down_s)
-                take_back(made, 0)
+                found |= play(fleet, groups, 0, down_s)
+                take_back(fleet, 0)
             load.stop()
         finally:
-            made.end(kill=True)
+            fleet.end(kill=True)
     return {
         name: {"worst_s": max(late), "median_s": sorted(late)[len(late) // 2]} for name, late in found.items()
     }
 
 
-def virtual(routers: int, seeds: int) -> dict[str, Any]:
-    """By rate and beginning: when the last hears, calls a router; and from which rate on all fit."""
+def measure_virtual(routers: int, seeds: int) -> dict[str, Any]:
+    """By rate and start: when the last router knows, calls per router; and the least sufficient rate."""
     table: dict[str, dict[str, list[float]]] = {}
     least: dict[str, float] = {}
-    for rate in RATES:
+    for rate in CALLS_PER_S:
         row = table[str(rate)] = {}
         for beginning in BEGINNINGS:
             plays = [heard(beginning, routers, rate, seed) for seed in range(seeds)]
             last = max(max(one.told) for one in plays) / 1000
             row[beginning] = [round(last, 2), round(sum(one.calls for one in plays) / seeds / routers, 2)]
-            if last <= FITS_S:
+            if last <= VIRTUAL_BOUND_S:
                 least.setdefault(beginning, rate)
             else:
                 least.pop(beginning, None)
@@ -91,22 +99,25 @@
 
 
 def main() -> dict[str, Any]:
-    """Everything, as one object."""
+    """Measure everything and return it as one object."""
     arguments = argparse.ArgumentParser(description=(__doc__ or "").splitlines()[0])
     arguments.add_argument("--short", action="store_true", help="ends within 45 s")
     arguments.add_argument("--before", type=Path, help="a checkout whose program plays the real routers")
-    given = arguments.parse_args()
-    short: bool = given.short
+    args = arguments.parse_args()
+    short: bool = args.short
     cluster.LIFE_S = 600.0
-    fleets = {routers: virtual(routers, 3 if short else 20) for routers in FITS}
+    fleets = {routers: measure_virtual(routers, 3 if short else 20) for routers in MIN_CALLS_PER_S}
     processes = (
-        {12: real(12, 3.0, True, given.before)}
+        {12: measure_processes(12, 3.0, True, args.before)}
         if short
-        else {1: real(1, 9.0, False, given.before), 40: real(40, 9.0, False, given.before)}
+        else {
+            1: measure_processes(1, 9.0, False, args.before),
+            40: measure_processes(40, 9.0, False, args.before),
+        }
     )
     worst = max(case["worst_s"] for cases in processes.values() for case in cases.values())
     fits = all(
-        fleet["fits_from"].get(beginning, 1e9) <= FITS[routers]
+        fleet["fits_from"].get(beginning, 1e9) <= MIN_CALLS_PER_S[routers]
         for routers, fleet in fleets.items()
         for beginning in BEGINNINGS
     )
--- a/benchmarks/fleet_updates.py
+++ b/benchmarks/fleet_updates.py
@@ -1,11 +1,11 @@
-"""Following the store measured: how soon all routers act on a change, on another holder, or on none.
+"""Measures how soon all routers act on a changed document, on a new lease holder, or without a holder.
 
     python benchmarks/fleet_updates.py [--short]
 
-Five routers on three members under load. Times are given as shares of the settings that bound them, since a
-busy machine stretches all of them: a change as shares of `period_ms`; from a holder's death to another's
+Five routers use three store members under load. Times are shares of the settings that bound them, since a
+busy machine stretches all of them: a change as shares of `period_ms`; from a holder's kill to another's
 decision at all routers, and from a cut to the fallback, as shares of `ttl_s`. Memory is the difference of the
-median router with `[fleet]` and without. Histories of the lease are counted, and those that break.
+median router with `[fleet]` and without. Histories of the lease are counted, and those that violate it.
 """
 
 from __future__ import annotations
@@ -28,57 +28,57 @@
 from spoolbarrow.lab.lease_histories import InvariantViolated, play  # noqa: E402
 from tests.test_fleet_follow import ALL, NAMES, OPERATOR, TTL_S, Fleet  # noqa: E402
 
-PERIOD_S = 0.1  # of OPERATOR
+POLL_INTERVAL_S = 0.1  # as set in OPERATOR
 
 
-def summed(found: list[float]) -> dict[str, Any]:
+def summarize(found: list[float]) -> dict[str, Any]:
     """Median and worst of shares."""
     return {"plays": len(found), "median": round(statistics.median(found), 2), "worst": round(max(found), 2)}
 
 
-def change(made: Fleet, turn: int) -> float:
-    """From the store's answer until all routers act on a change."""
-    revision = made.suspend(f"e{turn % 2}")
-    begun = time.time()
+def change_delay(fleet: Fleet, turn: int) -> float:
+    """From the store's response until all routers act on a change."""
+    revision = fleet.suspend(f"e{turn % 2}")
+    changed_at = time.time()
 
     def times() -> list[float]:
         found = [
             [one["time"] for one in router.events("fleet_shared") if one["revision"] == revision]
-            for router in made.routers
+            for router in fleet.routers
         ]
         return [its[0] for its in found] if all(found) else []
 
     at: list[float] = until(times)
-    return max(0.0, max(at) - begun) / PERIOD_S
+    return max(0.0, max(at) - changed_at) / POLL_INTERVAL_S
 
 
-def fallbacks(made: Fleet, routers: list[int]) -> int:
-    """How often these routers have gone from a decision to none."""
-    return sum(not one["acts"] for n in routers for one in made.routers[n].events("fleet_decision"))
+def count_fallbacks(fleet: Fleet, routers: list[int]) -> int:
+    """How often these routers have fallen back from a decision to none."""
+    return sum(not one["acts"] for n in routers for one in fleet.routers[n].events("fleet_decision"))
 
 
-def holder_lost(made: Fleet) -> tuple[float, int]:
-    """From a holder's death until all others act on another's decision; how many acted on none meanwhile."""
-    holder = made.holder()
-    left = [n for n in ALL if n != holder]
-    before = fallbacks(made, left)
-    begun = time.monotonic()
-    made.kill_router(holder)
-    made.wait_called([f"r{n}" for n in left], left)
-    took, gaps = time.monotonic() - begun, fallbacks(made, left) - before
-    made.restart_router(holder)
-    made.wait_called(NAMES)
+def holder_failover(fleet: Fleet) -> tuple[float, int]:
+    """From a holder's kill until all others act on another's decision; how many fell back meanwhile."""
+    holder = fleet.holder()
+    others = [n for n in ALL if n != holder]
+    before = count_fallbacks(fleet, others)
+    killed_at = time.monotonic()
+    fleet.kill_router(holder)
+    fleet.wait_called([f"r{n}" for n in others], others)
+    took, gaps = time.monotonic() - killed_at, count_fallbacks(fleet, others) - before
+    fleet.restart_router(holder)
+    fleet.wait_called(NAMES)
     return took / TTL_S, gaps
 
 
-def cut_off(made: Fleet) -> float:
-    """From the cut of all routers from the store until none acts on a decision."""
-    begun = time.monotonic()
-    made.to_store("drop")
-    until(lambda: all(made.part(n)["routers"] is None for n in ALL))
-    took = time.monotonic() - begun
-    made.to_store("pass")
-    made.wait_called(NAMES)
+def fallback_delay(fleet: Fleet) -> float:
+    """From cutting all routers off the store until none acts on a decision."""
+    cut_at = time.monotonic()
+    fleet.to_store("drop")
+    until(lambda: all(fleet.part(n)["routers"] is None for n in ALL))
+    took = time.monotonic() - cut_at
+    fleet.to_store("pass")
+    fleet.wait_called(NAMES)
     return took / TTL_S
 
 
@@ -92,7 +92,7 @@
 
 
 def measure(plays: int, seeds: int) -> dict[str, Any]:
-    """All figures."""
+    """Measure all figures."""
     broken = []
     for seed in range(seeds):
         try:
@@ -101,33 +101,35 @@
             broken.append([seed, str(error)])
     result: dict[str, Any] = {"name": "follow", "histories": seeds, "broken": broken}
     with tempfile.TemporaryDirectory() as folder:
-        plain = Cluster(Path(folder), {"a": 6}, ["a"] * 5, OPERATOR.partition("[fleet]")[0])
+        plain_cluster = Cluster(Path(folder), {"a": 6}, ["a"] * 5, OPERATOR.partition("[fleet]")[0])
         try:
-            plain.start()
-            without = memory_kb(plain.routers)
+            plain_cluster.start()
+            without = memory_kb(plain_cluster.routers)
         finally:
-            plain.end()
+            plain_cluster.end()
     with tempfile.TemporaryDirectory() as folder:
-        made = Fleet(Path(folder))
+        fleet = Fleet(Path(folder))
         try:
-            made.start()
-            made.wait_called(NAMES)
-            result["memory_more_mb"] = round((memory_kb(made.routers) - without) / 1024, 2)
-            load = Load(made, pause_s=0.02)
+            fleet.start()
+            fleet.wait_called(NAMES)
+            result["memory_more_mb"] = round((memory_kb(fleet.routers) - without) / 1024, 2)
+            load = Load(fleet, pause_s=0.02)
             try:
-                result["change_by_period"] = summed([change(made, turn) for turn in range(4 * plays)])
-                result["cut_off_by_ttl"] = summed([cut_off(made) for _ in range(plays)])
-                lost = [holder_lost(made) for _ in range(plays)]
-                result["holder_lost_by_ttl"] = summed([took for took, _ in lost])
+                result["change_by_period"] = summarize(
+                    [change_delay(fleet, turn) for turn in range(4 * plays)]
+                )
+                result["cut_off_by_ttl"] = summarize([fallback_delay(fleet) for _ in range(plays)])
+                lost = [holder_failover(fleet) for _ in range(plays)]
+                result["holder_lost_by_ttl"] = summarize([delay for delay, _ in lost])
                 result["holder_lost_fallbacks"] = sum(gaps for _, gaps in lost)
             finally:
                 load.stop()
             result["lost_elsewhere"] = sum(
-                one.status in (0, 1) and one.router not in made.ended for one in load.answers
+                one.status in (0, 1) and one.router not in fleet.ended for one in load.answers
             )
         finally:
-            made.end()
-            made.store.end()
+            fleet.end()
+            fleet.store.end()
     result["holds"] = not broken and result["lost_elsewhere"] == 0
     return result
 
--- a/benchmarks/flows.py
+++ b/benchmarks/flows.py
@@ -1,10 +1,10 @@
-"""Flow export measured: what collectors count, and what export costs the router's answers.
+"""Measures flow export: the accuracy of what collectors receive, and the cost for the router's responses.
 
     python benchmarks/flows.py [--short]
 
-Four routers stand before the same stand-in engines on loopback: two without export (the second shows the
-noise), one that exports over TCP to a collector, one that exports to a collector which accepts and never
-reads. Each round of a worker asks all four the same, in a random order, so that differences are paired.
+Four routers share the same stub engines on loopback: two without export (the second shows the noise), one
+that exports over TCP to a collector, and one that exports to a collector that accepts and never reads. Each
+round of a worker sends all four the same request in random order, so that differences are paired.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 sys.path[:0] = [str(ROOT), str(ROOT / "benchmarks")]
 
 import stub_servers  # noqa: E402
-from paired_routers import ENGINES, WORKERS, Load, Rig, anonymous_kb, apart, compared  # noqa: E402
+from paired_routers import ENGINES, WORKERS, Load, RouterGroup, anonymous_kb, compare_all, max_deviation  # noqa: E402
 
 from spoolbarrow.flows import encode  # noqa: E402
 from spoolbarrow.flows.collector import Listener  # noqa: E402
@@ -36,50 +36,50 @@
 from spoolbarrow.net.log import default_log  # noqa: E402
 from spoolbarrow.operator import Collector, FlowsTable  # noqa: E402
 
-OWN = 32_473
-WITHIN = 0.02  # of the medians
-COUNT_WITHIN = 0.01  # of each connection's octets and packets
-FLAT_KB = 1024  # memory may grow by so much over 100,000 records
+ENTERPRISE_NUMBER = 32_473
+MEDIAN_TOLERANCE = 0.02  # relative
+COUNT_TOLERANCE = 0.01  # of each connection's octets and packets
+MAX_GROWTH_KB = 1024  # over 100,000 records
 
 
-class Collecting(Rig):
-    """The rig with a collector, and one that accepts and never reads."""
+class ExportingGroup(RouterGroup):
+    """Routers with a collector, and with one that accepts and never reads."""
 
     def __init__(self, directory: Path) -> None:
         self.messages: list[Message] = []
-        self.collector = Listener(Collector("tcp", stub_servers.HOST, 0), OWN, self._hear)
-        self.deaf = socket.socket()
-        self.deaf.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-        self.deaf.bind((stub_servers.HOST, 0))
-        self.deaf.listen()
+        self.collector = Listener(Collector("tcp", stub_servers.HOST, 0), ENTERPRISE_NUMBER, self._on_message)
+        self.stalled_collector = socket.socket()
+        self.stalled_collector.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
+        self.stalled_collector.bind((stub_servers.HOST, 0))
+        self.stalled_collector.listen()
         table = (
             '[flows]\ncollectors = ["tcp://{}:{}"]\n'
             "active_timeout_ms = 100.0\nqueue_records = 200\nwrite_timeout_ms = 2000.0\n"
         )
         on = table.format(stub_servers.HOST, self.collector.port)
-        stalled = table.format(stub_servers.HOST, self.deaf.getsockname()[1])
+        stalled = table.format(stub_servers.HOST, self.stalled_collector.getsockname()[1])
         super().__init__(directory, {"off": "", "off_again": "", "on": on, "stalled": stalled})
 
-    def _hear(self, exporter: str, message: Message, data: bytes) -> None:
+    def _on_message(self, exporter: str, message: Message, data: bytes) -> None:
         self.messages.append(message)
 
     def times_stalled(self) -> int:
-        """How often the deaf collector was given up: it held the export up, and nothing else."""
+        """How often the exporter gave up on the stalled collector, which delays only the export."""
         return self.log("stalled").count(b"TimeoutError")
 
     def close(self) -> None:
-        """End all of it."""
+        """Stop the processes and collectors."""
         super().close()
         self.collector.close()
-        self.deaf.close()
+        self.stalled_collector.close()
 
     def flows(self, template: int) -> list[dict[str, Any]]:
-        """What the collector was told."""
+        """Records of a template that the collector received."""
         return [r.values for m in self.messages for r in m.records if r.template == template]
 
 
-def differences(rig: Collecting, load: Load) -> dict[str, float]:
-    """The largest difference of any connection between its records and what its client's kernel counted."""
+def differences(group: ExportingGroup, load: Load) -> dict[str, float]:
+    """The largest relative difference between a connection's records and its client's kernel counters."""
     sums: dict[int, list[int]] = {}
     names = (
         "transportOctetDeltaCount",
@@ -87,13 +87,13 @@
         "packetDeltaCount",
         "reversePacketDeltaCount",
     )
-    for record in rig.flows(CONNECTION_TEMPLATE.number):
+    for record in group.flows(CONNECTION_TEMPLATE.number):
         if record["routerConnectionSide"] == 0:
             total = sums.setdefault(record["sourceTransportPort"], [0] * 4)
             for n, name in enumerate(names):
                 total[n] += record[name]
     octets = packets = 0.0
-    for port, counted in load.counted.items():
+    for port, counted in load.tcp_counters.items():
         ours = sums.get(port, [0] * 4)
         theirs = (
             counted.bytes_sent,
@@ -101,14 +101,14 @@
             counted.segments_sent,
             counted.segments_received,
         )
-        off = [abs(a - b) / b for a, b in zip(ours, theirs, strict=True)]
-        octets, packets = max(octets, *off[:2]), max(packets, *off[2:])
+        errors = [abs(a - b) / b for a, b in zip(ours, theirs, strict=True)]
+        octets, packets = max(octets, *errors[:2]), max(packets, *errors[2:])
     return {"octets": round(octets, 5), "packets": round(packets, 5)}
 
 
 def rates(number: int) -> dict[str, float]:
-    """Records a second that are written and read, and read by a library."""
-    writer, stream = RecordWriter(CONNECTION_TEMPLATE), ExportStream(IPFIX, 1, OWN, 16_384, 0.0)
+    """Records per second that are encoded, decoded, and decoded by a library."""
+    writer, stream = RecordWriter(CONNECTION_TEMPLATE), ExportStream(IPFIX, 1, ENTERPRISE_NUMBER, 16_384, 0.0)
     ends = (encode.ipv4("127.0.0.1"), encode.ipv4("127.0.0.2"), 4000, 7070, 6)
     values = (1, 2, 3, *ends, 100, 2, 48, 1, 300, 3, 200, 2, 1, 3, 0, 5, 0, 120)
     messages = stream.template_messages(0.0)
@@ -119,7 +119,7 @@
         messages.append(data)
         del records[:taken]
     written = time.perf_counter() - begun
-    session, begun = Session(OWN), time.perf_counter()
+    session, begun = Session(ENTERPRISE_NUMBER), time.perf_counter()
     ours = sum(len(session.read(data, 0.0).records) for data in messages)
     read = time.perf_counter() - begun
     library: Any = netflume.Decoder()  # type: ignore[no-untyped-call]
@@ -136,14 +136,14 @@
 
 
 def memory(number: int) -> dict[str, int]:
-    """How an exporter's memory grows over so many records, once the first tenth has passed."""
+    """Growth of an exporter's memory over `number` records, after the first tenth."""
     seen = 0
 
-    def hear(who: str, message: Message, data: bytes) -> None:
+    def on_message(who: str, message: Message, data: bytes) -> None:
         nonlocal seen
         seen += len(message.records)
 
-    listener = Listener(Collector("tcp", stub_servers.HOST, 0), OWN, hear)
+    listener = Listener(Collector("tcp", stub_servers.HOST, 0), ENTERPRISE_NUMBER, on_message)
     where = Collector("tcp", stub_servers.HOST, listener.port)
     table = FlowsTable([str(where)], flush_ms=1.0)
     statistics_record = encode.statistics_writer.record(1, 0, 0, 0, 0, 0, 0)
@@ -166,40 +166,40 @@
 
 
 def main() -> dict[str, Any]:
-    """Everything, as one object."""
+    """Measure everything and return it as one object."""
     arguments = argparse.ArgumentParser(description=(__doc__ or "").splitlines()[0])
     arguments.add_argument("--short", action="store_true", help="ends within 45 s")
     short = arguments.parse_args().short
     seconds = 22.0 if short else 240.0
     default_log.configure("error")
     with tempfile.TemporaryDirectory() as directory:
-        rig = Collecting(Path(directory))
+        group = ExportingGroup(Path(directory))
         try:
-            rig.wait()
-            load, before = Load(rig, seconds), rig.cpu()
+            group.wait()
+            load, before = Load(group, seconds), group.cpu()
             load.run()
-            cpu = {kind: used - before[kind] for kind, used in rig.cpu().items()}
-            for _ in range(100):  # the last records are on their way
-                if len(rig.flows(REQUEST_TEMPLATE.number)) >= load.asked["on"] + 1:
+            cpu = {kind: used - before[kind] for kind, used in group.cpu().items()}
+            for _ in range(100):  # until the last records have arrived
+                if len(group.flows(REQUEST_TEMPLATE.number)) >= load.asked["on"] + 1:
                     break
                 gevent.sleep(0.05)
             gevent.sleep(1.0)
-            requests = len(rig.flows(REQUEST_TEMPLATE.number)) - 1  # one was asked to see whether it serves
-            records = sum(len(m.records) for m in rig.messages)
-            off = differences(rig, load)
-            stalled = rig.times_stalled()
-            lost = rig.collector.lost + load.asked["on"] - requests
+            requests = len(group.flows(REQUEST_TEMPLATE.number)) - 1  # without the readiness check
+            records = sum(len(m.records) for m in group.messages)
+            errors = differences(group, load)
+            stalled = group.times_stalled()
+            lost = group.collector.lost + load.asked["on"] - requests
         finally:
-            rig.close()
-    times = compared(load.rounds, rig.ports)
-    flat = memory(100_000)
+            group.close()
+    times = compare_all(load.rounds, group.ports)
+    growth = memory(100_000)
     holds = (
-        apart(times) <= WITHIN
-        and max(off.values()) <= COUNT_WITHIN
+        max_deviation(times) <= MEDIAN_TOLERANCE
+        and max(errors.values()) <= COUNT_TOLERANCE
         and lost == 0
         and load.failed == 0
-        and flat["grown_kb"] <= FLAT_KB
-        and flat["dropped"] == 0
+        and growth["grown_kb"] <= MAX_GROWTH_KB
+        and growth["dropped"] == 0
         and stalled > 0
     )
     extra = (cpu["on"] - (cpu["off"] + cpu["off_again"]) / 2) / records
@@ -209,16 +209,16 @@
         "rounds": len(load.rounds),
         "requests": sum(load.asked.values()),
         "failed": load.failed,
-        "connections": len(load.counted),
+        "connections": len(load.tcp_counters),
         "records": records,
         "lost": lost,
-        "difference": off,
+        "difference": errors,
         "times": times,
         "cpu_us_per_record": round(extra * 1e6, 1),
         "cpu_s": {kind: round(used, 2) for kind, used in cpu.items()},
         "times_stalled": stalled,
         "rates": rates(20_000 if short else 100_000),
-        "memory": flat,
+        "memory": growth,
         "workers": WORKERS,
         "engines": ENGINES,
         "seconds": seconds,
--- a/benchmarks/list_pacing.py
+++ b/benchmarks/list_pacing.py
@@ -1,9 +1,9 @@
-"""Ways for a fleet to call its list service (`spoolbarrow/lab/callers.py`), as tables.
+"""Compares ways for a fleet to pace calls to its list service (`spoolbarrow/lab/callers.py`), as tables.
 
     python benchmarks/list_pacing.py [--short]
 
-Each cell is the mean of the seeds: calls a router, failed %, the longest wait over the time-out, calls in
-the busiest second, and when half and all had their list, over the least time that the service needs for that.
+Each cell has means over the seeds: calls per router, failed %, the longest wait relative to the timeout,
+calls in the busiest second, and when half and all had their list, over the least time the service needs.
 """
 
 from __future__ import annotations
@@ -31,12 +31,14 @@
             for name, make in WAYS.items():
                 cells = []
                 for rate in RATES:
-                    cells.append(cell([play(make, routers, rate, known, down, seed) for seed in seeds]))
+                    cells.append(
+                        format_cell([play(make, routers, rate, known, down, seed) for seed in seeds])
+                    )
                 print(f"| {name} | {' | '.join(cells)} |")
 
 
-def cell(plays: list[Result]) -> str:
-    """Calls a router, failed %, longest wait, busiest second, half and all told."""
+def format_cell(plays: list[Result]) -> str:
+    """Format calls per router, failed %, longest wait, busiest second, and when half and all had a list."""
     calls, failed, queue, busiest, half, last = (mean(values) for values in zip(*plays, strict=True))
     return f"{calls:.2f}, {100 * failed:.0f}, {queue:.2f}, {busiest:.0f}, {half:.1f}, {last:.1f}"
 
--- a/benchmarks/publish_result.py
+++ b/benchmarks/publish_result.py
@@ -1,9 +1,10 @@
-"""Keep the result of a long run: a table and a chart in docs/measurements/.
+"""Writes the result of a long run as a table and a chart to docs/measurements/.
 
-    python benchmarks/NAME.py | tail -n 1 | python benchmarks/publish_result.py "what was measured, and on what"
+    python benchmarks/NAME.py | tail -n 1 |
+        python benchmarks/publish_result.py "what was measured, and on what"
 
-The chart has a pair of bars, median and 99th percentile, for each kind under `times`; the lab's shows cost
-by size, and how far sockets and the simulator agree.
+The chart has a pair of bars, median and 99th percentile, for each kind under `times`. The chart of the lab
+shows the cost by fleet size and the agreement between sockets and the simulator.
 """
 
 from __future__ import annotations
@@ -15,42 +16,42 @@
 
 import orjson
 
-PLACE = Path(__file__).resolve().parent.parent / "docs" / "measurements"
+OUTPUT_DIR = Path(__file__).resolve().parent.parent / "docs" / "measurements"
 
 
-def flat(value: Any, name: str = "") -> Iterator[tuple[str, Any]]:
-    """Every figure with the way to it."""
+def flatten(value: Any, name: str = "") -> Iterator[tuple[str, Any]]:
+    """Yield every figure with its dotted path."""
     if isinstance(value, dict):
         for key, inner in value.items():
-            yield from flat(inner, f"{name}.{key}" if name else key)
+            yield from flatten(inner, f"{name}.{key}" if name else key)
     else:
         yield name, value
 
 
 def chart(result: dict[str, Any], path: Path) -> None:
-    """Bars of the times; needs matplotlib (extra `lab`)."""
+    """Draw bars of the times; needs matplotlib (extra `lab`)."""
     import matplotlib
 
     matplotlib.use("svg")
     from matplotlib import pyplot
 
-    matplotlib.rcParams["svg.hashsalt"] = result["name"]  # the same figures, the same file
+    matplotlib.rcParams["svg.hashsalt"] = result["name"]  # the same figures give the same file
     kinds = list(result["times"])
     fields = list(result["times"][kinds[0]])
     figure, axes = pyplot.subplots(1, len(fields), figsize=(4 * len(fields), 3), layout="constrained")
-    for place, field in zip(axes, fields, strict=True):
-        for n, which in enumerate(("median_ms", "p99_ms")):
-            heights = [result["times"][kind][field][which] for kind in kinds]
-            place.bar([at + 0.4 * n for at in range(len(kinds))], heights, 0.4, label=which)
-        place.set_xticks([at + 0.2 for at in range(len(kinds))], kinds)
-        place.set_title(field)
-        place.set_ylabel("ms")
+    for axis, field in zip(axes, fields, strict=True):
+        for n, statistic in enumerate(("median_ms", "p99_ms")):
+            heights = [result["times"][kind][field][statistic] for kind in kinds]
+            axis.bar([at + 0.4 * n for at in range(len(kinds))], heights, 0.4, label=statistic)
+        axis.set_xticks([at + 0.2 for at in range(len(kinds))], kinds)
+        axis.set_title(field)
+        axis.set_ylabel("ms")
     axes[0].legend()
     figure.savefig(path, metadata={"Date": None})
 
 
-def panels(result: dict[str, Any], path: Path) -> None:
-    """The lab's: what a decision costs by size, and sockets against the simulator."""
+def lab_chart(result: dict[str, Any], path: Path) -> None:
+    """Draw the cost of a decision by fleet size, and sockets against the simulator."""
     import matplotlib
 
     matplotlib.use("svg")
@@ -72,20 +73,20 @@
 
 
 def main() -> None:
-    """Write both files."""
-    result, said = orjson.loads(sys.stdin.buffer.read().splitlines()[-1]), " ".join(sys.argv[1:])
+    """Write the table and the chart."""
+    result, description = orjson.loads(sys.stdin.buffer.read().splitlines()[-1]), " ".join(sys.argv[1:])
     name = result["name"]
-    PLACE.mkdir(exist_ok=True)
-    lines = [f"# {name}", "", said, ""]
+    OUTPUT_DIR.mkdir(exist_ok=True)
+    lines = [f"# {name}", "", description, ""]
     if "times" in result:
-        chart(result, PLACE / f"{name}.svg")
+        chart(result, OUTPUT_DIR / f"{name}.svg")
         lines += [f"![times]({name}.svg)", ""]
     if "days" in result:
-        panels(result, PLACE / f"{name}.svg")
+        lab_chart(result, OUTPUT_DIR / f"{name}.svg")
         lines += [f"![sizes, and agreement]({name}.svg)", ""]
     lines += ["| figure | value |", "| --- | --- |"]
-    lines += [f"| {key} | {value} |" for key, value in flat(result)]
-    (PLACE / f"{name}.md").write_text("\n".join(lines) + "\n")
+    lines += [f"| {key} | {value} |" for key, value in flatten(result)]
+    (OUTPUT_DIR / f"{name}.md").write_text("\n".join(lines) + "\n")
 
 
 if __name__ == "__main__":
--- a/benchmarks/shadow.py
+++ b/benchmarks/shadow.py
@@ -1,10 +1,10 @@
-"""Shadow traffic measured: what copying costs live answers, and whether its limits hold.
+"""Measures shadow traffic: the cost of copying for live responses, and whether its limits hold.
 
     python benchmarks/shadow.py [--short]
 
-Four routers stand before the same stand-in engines on loopback: two without copying (the second shows the
-noise), one that copies to a sound candidate, one whose candidate stalls half-way. Clients ask all four in
-turn. The share over 10,000 sessions and the memory over 100,000 requests are the deciding part's own.
+Four routers share the same stub engines on loopback: two without copying (the second shows the noise), one
+that copies to a healthy candidate, one whose candidate stalls halfway. Clients send requests to all four in
+turn. The share over 10,000 sessions and the memory over 100,000 requests are the copy controller's own.
 """
 
 from __future__ import annotations
@@ -24,23 +24,26 @@
 sys.path[:0] = [str(ROOT), str(ROOT / "benchmarks")]
 
 import stub_servers  # noqa: E402
-from paired_routers import ENGINES, WORKERS, Load, Rig, anonymous_kb, apart, compared  # noqa: E402
+from paired_routers import ENGINES, WORKERS, Load, RouterGroup, anonymous_kb, compare_all, max_deviation  # noqa: E402
 
 from spoolbarrow.shadow import copy_controller  # noqa: E402
 
-SHARE, LIMIT = 0.5, 8.0  # of sessions; copies a second: less than the share asks for, so that it binds
-SLOW_MS, DEADLINE_MS = 300.0, 1500.0
-WITHIN = 0.02  # of live medians
-SHARE_WITHIN = 0.02
-FLAT_KB = 512
-STOPPED_WITHIN_S = 1.5  # from a stall's begin to the last copy
+COPY_SHARE, MAX_COPIES_PER_S = (
+    0.5,
+    8.0,
+)  # of sessions; lower than the share would need, so that the limit binds
+SLOW_FIRST_MS, DEADLINE_MS = 300.0, 1500.0
+MEDIAN_TOLERANCE = 0.02  # of live medians, relative
+SHARE_TOLERANCE = 0.02
+MAX_GROWTH_KB = 512
+MAX_STOP_S = 1.5  # from the start of a stall to the last copy
 
 
 class Candidate:
-    """A stand-in candidate that writes down when copies come, and may stall."""
+    """A stub candidate that records when copies arrive, and can stall."""
 
     def __init__(self) -> None:
-        self.came: list[float] = []
+        self.received: list[float] = []
         self.stalled_at = 0.0
         self.port: int
         listener = stub_servers.listen()
@@ -48,13 +51,13 @@
         gevent.spawn(stub_servers.serve, listener, self._answer)
 
     def stall(self) -> None:
-        """From now on nothing is said."""
+        """Stop responding from now on."""
         self.stalled_at = time.monotonic()
 
-    def most_a_second(self) -> int:
-        """Copies in the fullest second."""
+    def max_per_second(self) -> int:
+        """Copies in the busiest second."""
         window, most = deque[float](), 0
-        for at in self.came:
+        for at in self.received:
             window.append(at)
             while window[0] <= at - 1.0:
                 window.popleft()
@@ -62,14 +65,14 @@
         return most
 
     def after_stall_s(self) -> float:
-        """Seconds from the stall's begin to the last copy that was not a single try."""
-        late = [at - self.stalled_at for at in self.came if at > self.stalled_at]
-        # Once the breaker is open one copy at a time tries again: those stand alone for over a second.
+        """Seconds from the start of the stall to the last copy that was not a single trial."""
+        late = [at - self.stalled_at for at in self.received if at > self.stalled_at]
+        # Once the breaker is open, single trial copies follow, each over a second after the last.
         dense = [at for n, at in enumerate(late) if n == 0 or at - late[n - 1] < 1.0]
         return max(dense, default=0.0)
 
     def _answer(self, sock: Any, message: Any) -> None:
-        self.came.append(time.monotonic())
+        self.received.append(time.monotonic())
         if self.stalled_at:
             gevent.sleep(60.0)
             return
@@ -82,17 +85,17 @@
 
 
 def table(candidate: Candidate) -> str:
-    """The operator's file of a copying router."""
+    """The operator file of a router that copies requests."""
     return (
-        f'[shadow]\nshare = {SHARE}\ncandidates = ["{stub_servers.HOST}:{candidate.port}"]\n'
-        f"requests_per_s = {LIMIT}\nslow_first_ms = {SLOW_MS}\ndeadline_ms = {DEADLINE_MS}\n"
+        f'[shadow]\nshare = {COPY_SHARE}\ncandidates = ["{stub_servers.HOST}:{candidate.port}"]\n'
+        f"requests_per_s = {MAX_COPIES_PER_S}\nslow_first_ms = {SLOW_FIRST_MS}\ndeadline_ms = {DEADLINE_MS}\n"
         "bad_copies = 3\nopen_ms = 2000.0\nin_flight = 16\nengine_in_flight = 16\n"
     )
 
 
-def deciding(requests: int) -> dict[str, Any]:
-    """The share reached over 10,000 sessions, and memory over many requests."""
-    plenty = copy_controller.Limits(
+def measure_decisions(requests: int) -> dict[str, Any]:
+    """Measure the share reached over 10,000 sessions, and memory over many requests."""
+    limits = copy_controller.Limits(
         share=0.3,
         classes=frozenset({0}),
         in_flight=10,
@@ -101,17 +104,19 @@
         prompt_tokens_per_s=1e9,
         answer_tokens_per_s=1e9,
     )
-    made = copy_controller.CopyController(0.0, plenty, 1)
-    made.allowance.value = 1.0
-    made.handle(1e6, [copy_controller.CandidatePool((copy_controller.Engine("c"),))])
+    controller = copy_controller.CopyController(0.0, limits, 1)
+    controller.allowance.value = 1.0
+    controller.handle(1e6, [copy_controller.CandidatePool((copy_controller.Engine("c"),))])
     copied, before = 0, 0
     for n in range(requests):
         now, name = 1e6 + n * 10.0, str(n)
-        actions = made.handle(now, [copy_controller.RequestReceived(name, 0, 0, n + 1, 100, 100, 500)])
+        actions = controller.handle(now, [copy_controller.RequestReceived(name, 0, 0, n + 1, 100, 100, 500)])
         if any(isinstance(action, copy_controller.SendCopy) for action in actions):
-            made.handle(now + 5.0, [copy_controller.CopyStarted(name), copy_controller.CopyEnded(name, True)])
+            controller.handle(
+                now + 5.0, [copy_controller.CopyStarted(name), copy_controller.CopyEnded(name, True)]
+            )
         if n == 9_999:
-            copied, before = made.copied, anonymous_kb()
+            copied, before = controller.copied, anonymous_kb()
     return {
         "share": 0.3,
         "share_reached": copied / 10_000,
@@ -121,37 +126,37 @@
 
 
 def main() -> dict[str, Any]:
-    """Everything, as one object."""
+    """Measure everything and return it as one object."""
     arguments = argparse.ArgumentParser(description=(__doc__ or "").splitlines()[0])
     arguments.add_argument("--short", action="store_true", help="ends within 45 s")
     seconds = 26.0 if arguments.parse_args().short else 240.0
     sound, stalling = Candidate(), Candidate()
     with tempfile.TemporaryDirectory() as directory:
         tables = {"off": "", "off_again": "", "on": table(sound), "stalled": table(stalling)}
-        rig = Rig(Path(directory), tables)
+        group = RouterGroup(Path(directory), tables)
         try:
-            rig.wait()
-            load, before = Load(rig, seconds), rig.cpu()
+            group.wait()
+            load, before = Load(group, seconds), group.cpu()
             gevent.spawn_later(seconds / 2, stalling.stall)
             load.run()
-            cpu = {kind: used - before[kind] for kind, used in rig.cpu().items()}
-            opened = rig.log("stalled").count(b"breaker open")
+            cpu = {kind: used - before[kind] for kind, used in group.cpu().items()}
+            opened = group.log("stalled").count(b"breaker open")
         finally:
-            rig.close()
-    times = compared(load.rounds, rig.ports)
-    pure = deciding(100_000)
-    most = max(sound.most_a_second(), stalling.most_a_second())
+            group.close()
+    times = compare_all(load.rounds, group.ports)
+    decided = measure_decisions(100_000)
+    most = max(sound.max_per_second(), stalling.max_per_second())
     stopped = stalling.after_stall_s()
     holds = (
-        apart(times) <= WITHIN
+        max_deviation(times) <= MEDIAN_TOLERANCE
         and load.failed == 0
-        and 0 < most <= LIMIT
+        and 0 < most <= MAX_COPIES_PER_S
         and opened > 0
-        and 0 < stopped <= STOPPED_WITHIN_S
-        and pure["grown_kb"] <= FLAT_KB
-        and abs(pure["share_reached"] - pure["share"]) <= SHARE_WITHIN
+        and 0 < stopped <= MAX_STOP_S
+        and decided["grown_kb"] <= MAX_GROWTH_KB
+        and abs(decided["share_reached"] - decided["share"]) <= SHARE_TOLERANCE
     )
-    copies = len(sound.came)
+    copies = len(sound.received)
     extra = (cpu["on"] - (cpu["off"] + cpu["off_again"]) / 2) / max(copies, 1)
     return {
         "name": "shadow",
@@ -161,13 +166,13 @@
         "failed": load.failed,
         "copies": copies,
         "copies_a_second_most": most,
-        "limit": LIMIT,
+        "limit": MAX_COPIES_PER_S,
         "last_copy_after_stall_s": round(stopped, 3),
         "breaker_opened": opened,
         "times": times,
         "cpu_us_per_copy": round(extra * 1e6),
         "cpu_s": {kind: round(used, 2) for kind, used in cpu.items()},
-        "deciding": pure,
+        "deciding": decided,
         "workers": WORKERS,
         "engines": ENGINES,
         "seconds": seconds,
--- a/benchmarks/shims/sitecustomize.py
+++ b/benchmarks/shims/sitecustomize.py
@@ -1,8 +1,8 @@
-"""System calls of a router's process that fail, or do less than they were asked, as Linux documents.
+"""Makes system calls of a router's process fail or complete partially, as Linux documents that they may.
 
-Loaded by the interpreter where this folder is on PYTHONPATH; it changes `python -m spoolbarrow` alone. Drawn
-by the name of the process's configuration: errors of accept that cost no connection, errors of connect, short
-reads and writes, and a wall clock that was set before the process began.
+The interpreter loads it where this folder is on PYTHONPATH; it changes only `python -m spoolbarrow`. The name
+of the configuration file seeds what happens: accept errors that lose no connection, connect errors, short
+reads and writes, and a wall clock that was set before the process started.
 """
 
 from __future__ import annotations
@@ -15,15 +15,15 @@
 from collections.abc import Sequence
 from typing import Any
 
-ACCEPT = ("ENFILE", "ENOBUFS", "EINTR", "EPROTO", "ENETDOWN")
-CONNECT = ("EADDRNOTAVAIL", "ENOBUFS", "ENETUNREACH", "EHOSTUNREACH", "ETIMEDOUT")
-FAILS, SHORT = 0.1, 0.4  # share of calls
-MOST_READ = 60  # bytes of a short read
-STEPS_S = (0, 5, -5, 3600, -3600)
+ACCEPT_ERRORS = ("ENFILE", "ENOBUFS", "EINTR", "EPROTO", "ENETDOWN")
+CONNECT_ERRORS = ("EADDRNOTAVAIL", "ENOBUFS", "ENETUNREACH", "EHOSTUNREACH", "ETIMEDOUT")
+FAILURE_SHARE, SHORT_SHARE = 0.1, 0.4  # share of calls
+MAX_SHORT_READ_BYTES = 60  # bytes of a short read
+CLOCK_STEPS_S = (0, 5, -5, 3600, -3600)
 
 
-def _fail(rng: random.Random, names: Sequence[str]) -> None:
-    if rng.random() < FAILS:
+def _maybe_fail(rng: random.Random, names: Sequence[str]) -> None:
+    if rng.random() < FAILURE_SHARE:
         number = getattr(errno, rng.choice(names))
         raise OSError(number, os.strerror(number))
 
@@ -31,40 +31,45 @@
 def _install(rng: random.Random) -> None:
     from gevent import socket
 
-    kind: Any = socket.socket
-    accept, connect, recv_into, sendmsg = kind.accept, kind.connect, kind.recv_into, kind.sendmsg
+    socket_class: Any = socket.socket
+    accept, connect, recv_into, sendmsg = (
+        socket_class.accept,
+        socket_class.connect,
+        socket_class.recv_into,
+        socket_class.sendmsg,
+    )
 
     def failing_accept(self: Any) -> Any:
-        _fail(rng, ACCEPT)
+        _maybe_fail(rng, ACCEPT_ERRORS)
         return accept(self)
 
     def failing_connect(self: Any, address: Any) -> Any:
         if self.family == socket.AF_INET:
-            _fail(rng, CONNECT)
+            _maybe_fail(rng, CONNECT_ERRORS)
         return connect(self, address)
 
     def short_recv_into(self: Any, buffer: Any, nbytes: int = 0, flags: int = 0) -> Any:
-        if not flags and rng.random() < SHORT:
-            buffer, nbytes = memoryview(buffer)[: rng.randint(1, MOST_READ)], 0
+        if not flags and rng.random() < SHORT_SHARE:
+            buffer, nbytes = memoryview(buffer)[: rng.randint(1, MAX_SHORT_READ_BYTES)], 0
         return recv_into(self, buffer, nbytes, flags)
 
     def short_sendmsg(self: Any, buffers: Sequence[bytes], *rest: Any) -> Any:
-        if rng.random() < SHORT:
+        if rng.random() < SHORT_SHARE:
             data = b"".join(map(bytes, buffers))
             buffers = [data[: rng.randint(1, max(1, len(data)))]]
         return sendmsg(self, buffers, *rest)
 
-    kind.accept, kind.connect = failing_accept, failing_connect
-    kind.recv_into, kind.sendmsg = short_recv_into, short_sendmsg
+    socket_class.accept, socket_class.connect = failing_accept, failing_connect
+    socket_class.recv_into, socket_class.sendmsg = short_recv_into, short_sendmsg
 
 
-def _step(seconds: int) -> None:
+def _step_clock(seconds: int) -> None:
     now, now_ns = time.time, time.time_ns
     time.time = lambda: now() + seconds
     time.time_ns = lambda: now_ns() + seconds * 10**9
 
 
 if sys.orig_argv[-2:] == ["-m", "spoolbarrow"]:
-    _drawn = random.Random(os.path.basename(os.environ.get("NODE_CONFIG", "")))
-    _install(_drawn)
-    _step(_drawn.choice(STEPS_S))
+    _rng = random.Random(os.path.basename(os.environ.get("NODE_CONFIG", "")))
+    _install(_rng)
+    _step_clock(_rng.choice(CLOCK_STEPS_S))
--- a/benchmarks/slow_start_overload.py
+++ b/benchmarks/slow_start_overload.py
@@ -1,11 +1,12 @@
-"""Cold engines: the chance that one falls when all it is open to is sent there, and what share that is.
+"""Measures the chance that an engine in slow start is overloaded, and the usable share of its budget.
 
     python benchmarks/slow_start_overload.py [--short]
 
-Several sites' rule 4, 1 to 200 routers, and traffic of many kinds (`lab/slow_start_exposure.py`). The share of starts that
-fell is told with its interval (Clopper and Pearson, 95 %). `holds`: of all judged starts together no more
-than CHANCE fell, and engines of each site are open to USED of their budget at full load; a short run, of
-few starts, is judged by the interval's lower end and by 0.95 of USED.
+Uses the slow start rule (rule 4) of several sites, 1 to 200 routers, and traffic of many kinds
+(`lab/slow_start_exposure.py`). The share of starts that were overloaded has an interval (Clopper and Pearson,
+95 %). `holds`: of all judged starts together no more than MAX_FALL_CHANCE were overloaded, and engines of
+each site may get MIN_BUDGET_USED of their budget at full load; a short run, with few starts, is judged by the
+interval's lower end and by 0.95 of MIN_BUDGET_USED.
 """
 
 from __future__ import annotations
@@ -45,15 +46,15 @@
     "restarts told within 1.5 s": Traffic(notified_within_ms=1500.0),
     "slow engines": Traffic(capacity=0.6),
 }
-TOLD_ONLY = ("slow engines",)  # not judged: a router does not know that they bear less than the mean
+NOT_JUDGED = ("slow engines",)  # a router does not know that their capacity is below the mean
 ENGINES = 30
-COLD = (6, 9, 18)  # of them, at once, by seed: also a zone, and six in ten
-CHANCE = 0.001  # of a fall, for an engine of mean capacity
-USED = 0.5  # of the budget, at least, to which a cold engine is open at full load: less would starve it
+COLD_ENGINES = (6, 9, 18)  # that start at once, by seed; among them a zone, and six in ten of all
+MAX_FALL_CHANCE = 0.001  # of an overload, for an engine of mean capacity
+MIN_BUDGET_USED = 0.5  # of the budget that a cold engine may get at full load: less would starve it
 
 
 def interval(falls: int, starts: int) -> tuple[float, float]:
-    """Clopper and Pearson, 95 %."""
+    """The 95 % interval of Clopper and Pearson."""
 
     def at_most(p: float, most: int) -> float:
         return sum(comb(starts, k) * p**k * (1.0 - p) ** (starts - k) for k in range(most + 1))
@@ -68,47 +69,47 @@
     return (solve(falls - 1, 0.975) if falls else 0.0), solve(falls, 0.025)
 
 
-def case(rule: Rule, nodes: int, traffic: Traffic, plays: int) -> dict[str, float]:
-    """Plays of one case."""
-    all_of = [
-        one
-        for seed in range(plays)
-        for one in play(nodes, rule, seed, traffic, ENGINES, COLD[seed % len(COLD)])
+def case(rule: Rule, nodes: int, traffic: Traffic, runs: int) -> dict[str, float]:
+    """Run one case with several seeds."""
+    results = [
+        result
+        for seed in range(runs)
+        for result in play(nodes, rule, seed, traffic, ENGINES, COLD_ENGINES[seed % len(COLD_ENGINES)])
     ]
-    falls = sum(one.broke for one in all_of)
+    falls = sum(result.broke for result in results)
     return {
-        "starts": len(all_of),
+        "starts": len(results),
         "falls": falls,
-        "with_untold": sum(one.worst > 1.0 for one in all_of),
-        "worst": round(max(one.worst for one in all_of), 3),
-        "used": round(sum(one.used for one in all_of) / len(all_of), 3),
+        "with_untold": sum(result.worst > 1.0 for result in results),
+        "worst": round(max(result.worst for result in results), 3),
+        "used": round(sum(result.used for result in results) / len(results), 3),
     }
 
 
 def main() -> int:
-    """Play, print a line each, and a JSON object last; exit status 1 where it does not hold."""
+    """Run, print one line for each case, and a JSON object last; exit status 1 if it does not hold."""
     parser = argparse.ArgumentParser()
     parser.add_argument("--short", action="store_true")
     short = parser.parse_args().short
     found: dict[str, dict[str, dict[str, float]]] = {}
     falls = starts = 0
     for number, (name, traffic) in enumerate(TRAFFIC.items()):
-        for at, (site, rule) in enumerate(RULES.items()):
-            routers = (ROUTERS[(number + at) % len(ROUTERS)],) if short else ROUTERS
+        for offset, (site, rule) in enumerate(RULES.items()):
+            routers = (ROUTERS[(number + offset) % len(ROUTERS)],) if short else ROUTERS
             for nodes in routers:
-                told = case(rule, nodes, traffic, 2 if short else 10)
-                found.setdefault(name, {})[f"{site}, {nodes} routers"] = told
-                print(f"{name}: {site} site, {nodes} routers: {told}", flush=True)
-                if name not in TOLD_ONLY:
-                    falls, starts = falls + int(told["falls"]), starts + int(told["starts"])
-    # What an engine is open to: all that may go there does, also what may go to others.
+                figures = case(rule, nodes, traffic, 2 if short else 10)
+                found.setdefault(name, {})[f"{site}, {nodes} routers"] = figures
+                print(f"{name}: {site} site, {nodes} routers: {figures}", flush=True)
+                if name not in NOT_JUDGED:
+                    falls, starts = falls + int(figures["falls"]), starts + int(figures["starts"])
+    # The most an engine may get: every request that may go there does, even if it may go to others.
     opened = {
         site: case(rule, 20, Traffic(attempts=ENGINES, load=1.0), 18 if short else 60)["used"]
         for site, rule in RULES.items()
     }
     low, high = interval(falls, starts)
-    chance, least = (low, 0.95 * USED) if short else (falls / starts, USED)
-    holds = bool(chance <= CHANCE and min(opened.values()) >= least)
+    fall_chance, least = (low, 0.95 * MIN_BUDGET_USED) if short else (falls / starts, MIN_BUDGET_USED)
+    holds = bool(fall_chance <= MAX_FALL_CHANCE and min(opened.values()) >= least)
     print(
         json.dumps(
             {
--- a/benchmarks/startup_cpu.py
+++ b/benchmarks/startup_cpu.py
@@ -1,14 +1,14 @@
-"""Starts measured in processor time: imports, a whole start, and one beside many others on a busy machine.
+"""Measures the processor time of imports and of a router's start, alone and beside many others.
 
     python benchmarks/startup_cpu.py [--short] [--at-once N]
 
-A router that begins with a list of 100 engines, its discovery away, is measured until `/up` says 200, by the
-scheduler's own count. What else runs on the machine moves such a figure, too: each round measures a bare
-`import gevent` beside the others, and what is told are medians of the rounds' ratios to it. Then N processes
-(60, 12 in the short form) begin in one instant at the lowest priority, on two processors: how long nine in
-ten of them took by the clock, and the share of a processor each had.
-`holds`: a start costs at most RATIO of the bare import, and nine in ten of those that begin together are
-ready within READY_S.
+A router that starts with a list of 100 engines and unreachable discovery is measured until `/up` returns 200,
+by the scheduler's count. Other load on the machine changes that figure too, so each round also measures a
+bare `import gevent`, and the results are medians of the rounds' ratios to it. Then N processes (60, 12 in the
+short form) start at the same time at the lowest priority, on two processors: how long nine in ten of them
+took by the clock, and the share of a processor each had.
+`holds`: a start costs at most MAX_RATIO of the bare import, and nine in ten of those that start together are
+ready within MAX_READY_S.
 """
 
 from __future__ import annotations
@@ -31,14 +31,14 @@
 
 from spoolbarrow.lab.process import LISTEN, free_ports  # noqa: E402
 
-RATIO = 2.6  # of a start to the bare import
-READY_S = 10.0
-ENGINES, PROCESSORS, GIVE_UP_S = 100, 2, 40.0
-AWAY = "127.0.0.1:1"
-LOOK_S = 0.01
+MAX_RATIO = 2.6  # of a start to the bare import
+MAX_READY_S = 10.0
+ENGINES, PROCESSORS, TIMEOUT_S = 100, 2, 40.0
+UNREACHABLE = "127.0.0.1:1"
+POLL_INTERVAL_S = 0.01
 
 
-def bare(code: str) -> float:
+def interpreter_cpu_ms(code: str) -> float:
     """Processor time of a Python that runs `code`, ms."""
     before = os.times()
     subprocess.run([sys.executable, "-c", code], cwd=ROOT, check=True)
@@ -48,14 +48,14 @@
 
 
 class Start:
-    """One router, begun."""
+    """A started router process."""
 
     def __init__(self, folder: Path, number: int, port: int) -> None:
         lines = [{"name": f"e{n}", "address": f"127.0.0.1:{9000 + n}", "zone": "a", "type": "m"}
                  for n in range(ENGINES)]  # fmt: skip
         chat = {"Name": "chat", "AimMs": 2000.0, "DeadlineMs": 5000.0, "Effect": "retryable", "Stream": True}
         raw = {
-            "name": f"r{number}", "listen": f"{LISTEN}:{port}", "discovery": AWAY, "seed": "8c1f",
+            "name": f"r{number}", "listen": f"{LISTEN}:{port}", "discovery": UNREACHABLE, "seed": "8c1f",
             "known": {"index": 7, "snapshot": True, "endpoints": lines},
             "settings": {"Balancers": 1, "Classes": [chat], "Zones": ["a"], "Skus": ["m"]},
         }  # fmt: skip
@@ -68,8 +68,8 @@
         )  # fmt: skip
         self.ready_s = self.spent_ms = -1.0
 
-    def look(self) -> bool:
-        """Whether it is ready, as was seen first now or before."""
+    def poll_ready(self) -> bool:
+        """Whether the router is ready; records when that was seen first."""
         if self.ready_s < 0.0:
             try:
                 with socket.create_connection((LISTEN, self.port), 1.0) as sock:
@@ -84,18 +84,18 @@
         return True
 
     def end(self) -> None:
-        """End it, by its id."""
+        """Kill the process by its id."""
         self.process.send_signal(signal.SIGKILL)
         self.process.wait()
 
 
-def begun_together(folder: Path, count: int) -> list[Start]:
-    """So many that begin in one instant, each until it is ready, or all until GIVE_UP_S have passed."""
+def start_together(folder: Path, count: int) -> list[Start]:
+    """Start `count` routers at once and run them until all are ready or TIMEOUT_S have passed."""
     made = [Start(folder, number, port) for number, port in enumerate(free_ports(count))]
     try:
-        end = time.monotonic() + GIVE_UP_S
-        while not all([one.look() for one in made]) and time.monotonic() < end:
-            time.sleep(LOOK_S)
+        end = time.monotonic() + TIMEOUT_S
+        while not all([one.poll_ready() for one in made]) and time.monotonic() < end:
+            time.sleep(POLL_INTERVAL_S)
     finally:
         for one in made:
             one.end()
@@ -103,48 +103,52 @@
 
 
 def main() -> int:
-    """Measure, print a line each, and a JSON object last; exit status 1 where it does not hold."""
+    """Measure, print one line for each, and a JSON object last; exit status 1 if it does not hold."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--short", action="store_true")
     parser.add_argument("--at-once", type=int, default=0)
-    asked = parser.parse_args()
-    rounds, at_once = (5, 12) if asked.short else (15, 60)
-    at_once = asked.at_once or at_once
+    args = parser.parse_args()
+    rounds, at_once = (5, 12) if args.short else (15, 60)
+    at_once = args.at_once or at_once
     os.nice(19 - os.nice(0))
     os.sched_setaffinity(0, sorted(os.sched_getaffinity(0))[-PROCESSORS:])
     with tempfile.TemporaryDirectory() as scratch:
         folder = Path(scratch)
         cases: dict[str, Callable[[], float]] = {
-            "python": lambda: bare("pass"),
-            "gevent": lambda: bare("import gevent"),
-            "imports": lambda: bare("import spoolbarrow.serve"),
-            "start": lambda: begun_together(folder, 1)[0].spent_ms,
+            "python": lambda: interpreter_cpu_ms("pass"),
+            "gevent": lambda: interpreter_cpu_ms("import gevent"),
+            "imports": lambda: interpreter_cpu_ms("import spoolbarrow.serve"),
+            "start": lambda: start_together(folder, 1)[0].spent_ms,
         }
-        bare("import spoolbarrow.serve")  # compiled from here on
-        spent: dict[str, list[float]] = {name: [] for name in cases}
+        interpreter_cpu_ms("import spoolbarrow.serve")  # writes the bytecode cache
+        spent_ms: dict[str, list[float]] = {name: [] for name in cases}
         for _ in range(rounds):
             for name, measure in cases.items():
-                spent[name].append(measure())
+                spent_ms[name].append(measure())
         ratios = {
-            name: statistics.median(one / by for one, by in zip(found, spent["gevent"], strict=True))
-            for name, found in spent.items()
+            name: statistics.median(
+                one / baseline for one, baseline in zip(found, spent_ms["gevent"], strict=True)
+            )
+            for name, found in spent_ms.items()
         }
-        for name, found in spent.items():
+        for name, found in spent_ms.items():
             print(f"{name}: {statistics.median(found):.0f} ms of a processor, {ratios[name]:.2f} of gevent")
-        made = begun_together(folder, at_once)
-    ready = sorted(one.ready_s if one.ready_s >= 0.0 else GIVE_UP_S for one in made)
-    nine = ready[max(0, -(-9 * len(ready) // 10) - 1)]
-    shares = [one.spent_ms / 1000.0 / one.ready_s for one in made if one.ready_s > 0.0]
+        starts = start_together(folder, at_once)
+    ready = sorted(one.ready_s if one.ready_s >= 0.0 else TIMEOUT_S for one in starts)
+    nine_in_ten_s = ready[max(0, -(-9 * len(ready) // 10) - 1)]
+    shares = [one.spent_ms / 1000.0 / one.ready_s for one in starts if one.ready_s > 0.0]
     share = statistics.median(shares) if shares else 0.0
-    print(f"{at_once} at once: nine in ten ready in {nine:.1f} s, each with {share:.3f} of a processor")
-    holds = ratios["start"] <= RATIO and nine <= READY_S
-    told = {
+    print(
+        f"{at_once} at once: nine in ten ready in {nine_in_ten_s:.1f} s, each with {share:.3f} of a processor"
+    )
+    holds = ratios["start"] <= MAX_RATIO and nine_in_ten_s <= MAX_READY_S
+    result = {
         "name": "ready", "holds": holds, "ratios": {name: round(one, 2) for name, one in ratios.items()},
-        "start_ms": round(statistics.median(spent["start"])), "at_once": at_once,
-        "nine_in_ten_s": round(nine, 2), "share_of_a_processor": round(share, 3),
-        "least_share_for_10_s": round(statistics.median(spent["start"]) / 1000.0 / READY_S, 3),
+        "start_ms": round(statistics.median(spent_ms["start"])), "at_once": at_once,
+        "nine_in_ten_s": round(nine_in_ten_s, 2), "share_of_a_processor": round(share, 3),
+        "least_share_for_10_s": round(statistics.median(spent_ms["start"]) / 1000.0 / MAX_READY_S, 3),
     }  # fmt: skip
-    print(json.dumps(told))
+    print(json.dumps(result))
     return 0 if holds else 1
 
 
--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -1,10 +1,10 @@
-"""The store measured: histories under faults, bugs put in on purpose, and what members write in a second.
+"""Measures the store: histories under faults, detection of deliberate bugs, and writes per second.
 
     python benchmarks/store.py [--short]
 
-Histories of three and five members in virtual time (`spoolbarrow/lab/quorum.py`), one by seed. A bug that no
-history finds is left to the scripted dialogues of the tests. Then three member processes on loopback, and one
-alone, take changes of 200 bytes from eight writers until so many keys are kept.
+Runs histories of three and five members in virtual time (`spoolbarrow/lab/quorum.py`), one per seed. A bug
+that no history finds is left to the scripted dialogues of the tests. Then three member processes on loopback,
+and one alone, take changes of 200 bytes from eight writers until a number of keys is stored.
 """
 
 from __future__ import annotations
@@ -30,29 +30,29 @@
 from spoolbarrow.lab.cluster import LISTEN, Process, free_ports  # noqa: E402
 from spoolbarrow.lab.quorum import MUTANTS, Play, survives  # noqa: E402
 
-SIZES = (3, 5)
-FOUND_BY_PLAY = 7  # of the bugs, at least
+CLUSTER_SIZES = (3, 5)
+MIN_BUGS_FOUND = 7  # by histories
 
 
 WRITERS, VALUE = 8, b"x" * 200
-SLOWER_AT_MOST = 10.0  # three members against one
+MAX_SLOWDOWN = 10.0  # of three members against one
 
 
-def ask(member: str, method: str, path: str, body: bytes = b"") -> tuple[int, dict[str, Any]]:
-    """A member's answer; status 0 with the reason where none came."""
+def call_member(member: str, method: str, path: str, body: bytes = b"") -> tuple[int, dict[str, Any]]:
+    """A member's response; status 0 with the reason without one."""
     try:
         return request_json(member, method, path, body)
     except NoAnswer as error:
         return 0, {"error": str(error)}
 
 
-def members(count: int, keys: int) -> dict[str, Any]:
-    """So many members take so many keys: changes a second, how long each took, memory, and what was lost."""
+def measure_members(count: int, keys: int) -> dict[str, Any]:
+    """Write keys to a cluster of members: changes per second, their duration, memory, and losses."""
     free = free_ports(2 * count)
     listens, controls = free[:count], [f"{LISTEN}:{port}" for port in free[count:]]
-    named = [part for n, port in enumerate(listens) for part in ("--member", f"m{n}={LISTEN}:{port}")]
+    member_args = [part for n, port in enumerate(listens) for part in ("--member", f"m{n}={LISTEN}:{port}")]
     with tempfile.TemporaryDirectory() as directory:
-        made = [
+        processes = [
             Process(
                 "-m",
                 "spoolbarrow",
@@ -60,7 +60,7 @@
                 "serve",
                 "--name",
                 f"m{n}",
-                *named,
+                *member_args,
                 "--listen",
                 f"{LISTEN}:{listens[n]}",
                 "--control",
@@ -71,59 +71,63 @@
             for n in range(count)
         ]
         try:
-            at = ""
-            while not at:
-                led = [one for one in controls if ask(one, "GET", "/v1/status")[1].get("role") == "leader"]
-                at = led[0] if led else ""
+            leader = ""
+            while not leader:
+                leading = [
+                    one
+                    for one in controls
+                    if call_member(one, "GET", "/v1/status")[1].get("role") == "leader"
+                ]
+                leader = leading[0] if leading else ""
             times: list[float] = []
             failed: list[int] = []
 
             def write(writer: int) -> None:
                 for key in range(writer, keys, WRITERS):
                     begun = time.perf_counter()
-                    code, _ = ask(at, "PUT", f"/v1/store/k{key}", VALUE)
+                    code, _ = call_member(leader, "PUT", f"/v1/store/k{key}", VALUE)
                     times.append((time.perf_counter() - begun) * 1000)
                     if code != 200:
                         failed.append(code)
 
-            before, begun = anonymous_kb(made[0].popen.pid), time.perf_counter()
+            before, begun = anonymous_kb(processes[0].popen.pid), time.perf_counter()
             writers = [threading.Thread(target=write, args=(n,)) for n in range(WRITERS)]
             for writer in writers:
                 writer.start()
             for writer in writers:
                 writer.join()
-            took = time.perf_counter() - begun
-            grown = (max(anonymous_kb(one.popen.pid) for one in made) - before) / 1024
-            kept = [ask(one, "GET", "/v1/status")[1]["keys"] for one in controls]
+            elapsed_s = time.perf_counter() - begun
+            grown = (max(anonymous_kb(one.popen.pid) for one in processes) - before) / 1024
+            kept = [call_member(one, "GET", "/v1/status")[1]["keys"] for one in controls]
         finally:
-            for one in made:
+            for one in processes:
                 one.end()
     return {
         "keys": max(kept),
         "failed": len(failed),
-        "a_second": round(keys / took),
+        "a_second": round(keys / elapsed_s),
         "median_ms": round(statistics.median(times), 2),
         "grown_mb": round(grown, 1),
         "p99_ms": round(statistics.quantiles(times, n=100)[98], 2),
     }
 
 
-def first_found(mutant: Any, seeds: int) -> int:
-    """The first seed that finds a bug; -1 where none does."""
+def first_failing_seed(mutant: Any, seeds: int) -> int:
+    """The first seed that finds a bug; -1 if none does."""
     for seed in range(seeds):
-        if any(survives(seed, size, mutant) for size in SIZES):
+        if any(survives(seed, size, mutant) for size in CLUSTER_SIZES):
             return seed
     return -1
 
 
 def main() -> dict[str, Any]:
-    """Everything, as one object."""
+    """Measure everything and return it as one object."""
     arguments = argparse.ArgumentParser(description=(__doc__ or "").splitlines()[0])
     arguments.add_argument("--short", action="store_true", help="ends within 45 s")
-    seeds, hunted = (60, 70) if arguments.parse_args().short else (1000, 200)
+    seeds, bug_seeds = (60, 70) if arguments.parse_args().short else (1000, 200)
     begun, broken, applied, leaders = time.perf_counter(), [], [], []
     for seed in range(seeds):
-        for size in SIZES:
+        for size in CLUSTER_SIZES:
             play = Play(seed, size)
             try:
                 play.run()
@@ -131,23 +135,23 @@
                 broken.append(f"seed {seed}, {size} members: {error}")
             applied.append(play.last())
             leaders.append(len(play.leaders))
-    took = time.perf_counter() - begun
-    found = {mutant.__name__: first_found(mutant, hunted) for mutant in MUTANTS}
+    elapsed_s = time.perf_counter() - begun
+    found = {mutant.__name__: first_failing_seed(mutant, bug_seeds) for mutant in MUTANTS}
     keys = 1000 if seeds < 100 else 10_000
-    running = {str(count): members(count, keys) for count in (1, 3)}
+    measured = {str(count): measure_members(count, keys) for count in (1, 3)}
     holds = (
         not broken
-        and sum(seed >= 0 for seed in found.values()) >= FOUND_BY_PLAY
-        and all(one["failed"] == 0 and one["keys"] == keys for one in running.values())
-        and running["1"]["a_second"] <= SLOWER_AT_MOST * running["3"]["a_second"]
+        and sum(seed >= 0 for seed in found.values()) >= MIN_BUGS_FOUND
+        and all(one["failed"] == 0 and one["keys"] == keys for one in measured.values())
+        and measured["1"]["a_second"] <= MAX_SLOWDOWN * measured["3"]["a_second"]
     )
     return {
         "name": "store",
         "holds": holds,
-        "members": running,
+        "members": measured,
         "histories": len(applied),
         "broken": broken[:5],
-        "a_minute": round(len(applied) / took * 60),
+        "a_minute": round(len(applied) / elapsed_s * 60),
         "applied_median": statistics.median(applied),
         "leaders_median": statistics.median(leaders),
         "leaders_most": max(leaders),
--- a/benchmarks/stub_servers.py
+++ b/benchmarks/stub_servers.py
@@ -1,4 +1,4 @@
-"""Stand-ins for measurements: engines that stream at a set pace, discovery, and a client that times answers.
+"""Provides stub engines that stream at a fixed pace, stub discovery, and a client that times responses.
 
 python benchmarks/stub_servers.py FIRST_MS EVENTS GAP_MS ENGINES      prints discovery's port, then serves
 """
@@ -19,17 +19,17 @@
 
 HOST = "127.0.0.1"
 HEAD = b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
-PLAIN = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s"
+PLAIN_RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s"
 EVENT = b'data: {"choices":[{"index":0,"delta":{"content":"%s"},"finish_reason":null}]}\n\n' % (b"word " * 4)
 
 
 def chunk(part: bytes) -> bytes:
-    """A chunk of an answer."""
+    """One chunk of a chunked response."""
     return b"%x\r\n%s\r\n" % (len(part), part)
 
 
 def listen() -> Any:
-    """A listener on a free port."""
+    """Listen on a free port."""
     sock = socket.socket()
     sock.bind((HOST, 0))
     sock.listen(1024)
@@ -37,18 +37,18 @@
 
 
 def serve(listener: Any, answer: Any) -> None:
-    """Accept for ever."""
+    """Accept connections forever."""
     while True:
         gevent.spawn(converse, listener.accept()[0], answer)
 
 
 def engines(first_ms: float, events: int, gap_ms: float, number: int) -> None:
-    """Serve until killed."""
+    """Serve engines and discovery until killed."""
 
     def stream(sock: Any, message: Any) -> None:
         if message.method == b"GET":
             body = b"x1=0,util=0.1,x0=0.1"
-            sock.sendall(PLAIN % (len(body), body))
+            sock.sendall(PLAIN_RESPONSE % (len(body), body))
             return
         gevent.sleep(first_ms / 1000)
         sock.sendall(HEAD + chunk(EVENT))
@@ -58,24 +58,24 @@
         sock.sendall(chunk(b"data: [DONE]\n\n") + b"0\r\n\r\n")
 
     listeners = [listen() for _ in range(number)]
-    for one in listeners:
-        gevent.spawn(serve, one, stream)
-    names = [f"{HOST}:{one.getsockname()[1]}" for one in listeners]
+    for listener in listeners:
+        gevent.spawn(serve, listener, stream)
+    names = [f"{HOST}:{listener.getsockname()[1]}" for listener in listeners]
     endpoints = [{"name": f"e{n}", "address": name, "zone": "a", "type": "m"} for n, name in enumerate(names)]
-    whole = orjson.dumps({"index": 1, "snapshot": True, "endpoints": endpoints})
+    snapshot = orjson.dumps({"index": 1, "snapshot": True, "endpoints": endpoints})
 
-    def tell(sock: Any, message: Any) -> None:
+    def discover(sock: Any, message: Any) -> None:
         if b"stream=1" not in message.target:
-            sock.sendall(PLAIN % (len(whole), whole))
+            sock.sendall(PLAIN_RESPONSE % (len(snapshot), snapshot))
             return
-        sock.sendall(HEAD + chunk(whole + b"\n"))
+        sock.sendall(HEAD + chunk(snapshot + b"\n"))
         while True:
             gevent.sleep(2.0)
             sock.sendall(chunk(b"\n"))
 
     discovery = listen()
     print(discovery.getsockname()[1], flush=True)
-    serve(discovery, tell)
+    serve(discovery, discover)
 
 
 def config(listen_port: int, discovery_port: int) -> dict[str, Any]:
@@ -101,16 +101,16 @@
 
 
 class Timed(NamedTuple):
-    """One answer; ms from when its request was written."""
+    """One response; times in ms from when its request was written."""
 
     status: int
     first_ms: float
     whole_ms: float
-    closing: bool = False  # the router ends the connection after it
+    closing: bool = False  # the router closes the connection after it
 
 
 class Client:
-    """A client's connection, kept alive."""
+    """A keep-alive connection of a client."""
 
     def __init__(self, port: int) -> None:
         self._sock = socket.socket()
@@ -120,7 +120,7 @@
         self._buffer = bytearray(65_536)
 
     def ask(self, name: str, session: int = 0x7F3A) -> Timed:
-        """One request; OSError or HttpError where its answer is none."""
+        """Send one request; OSError or HttpError without a valid response."""
         body = b'{"model":"chat","stream":true}'
         head = (
             f"POST /v1/chat/completions HTTP/1.1\r\nHost: api\r\nX-Correlation-Id: {name}\r\n"
@@ -129,7 +129,7 @@
             f"X-Facts: prompt_len=40,max_out=40\r\nContent-Length: {len(body)}\r\n\r\n"
         )
         parser, first = ResponseParser(16_384), 0.0
-        begun = time.perf_counter()
+        started_at = time.perf_counter()
         self._sock.sendall(head.encode() + body)
         while not parser.complete:
             parser.read(self._sock, self._buffer)
@@ -137,13 +137,13 @@
                 first = time.perf_counter()
         end = time.perf_counter()
         closing = parser.fields.get(b"connection", b"").lower() == b"close"
-        return Timed(parser.status, ((first or end) - begun) * 1000, (end - begun) * 1000, closing)
+        return Timed(parser.status, ((first or end) - started_at) * 1000, (end - started_at) * 1000, closing)
 
     def close(self) -> tcpinfo.Counters:
-        """End it; what the kernel counted."""
-        counted = tcpinfo.counters(self._sock)
+        """Close the connection and return the kernel's counters of it."""
+        counters = tcpinfo.counters(self._sock)
         self._sock.close()
-        return counted
+        return counters
 
 
 if __name__ == "__main__":
--- a/tests/fleet_runs.py
+++ b/tests/fleet_runs.py
@@ -288,7 +288,7 @@
                     )
 
     def _mark_cut(self, arrival: dict[str, Any]) -> dict[str, Any]:
-        """Attribute responses that the proxy reset to the engine, since the router did not cause their end."""
+        """Attribute responses that the proxy reset to the engine: the router did not cause their end."""
         for engine, at in self.cuts:
             if arrival["engine"] == engine and arrival["first_at"] < at and arrival["end"] == "left":
                 return {**arrival, "end": "broken"}
--- a/tests/terms.py
+++ b/tests/terms.py
@@ -168,7 +168,7 @@
     stream where clients request the rest; and requests that were in transit, unread, when the router closed
     the connection between two requests: the kernel signals that by a reset, and no byte of a response came.
     The first request on a connection can't be in that position.
-    Responses come in the order of requests: a pipelined request is due when its predecessor has its response
+    Responses come in the order of requests: a pipelined request is due when its predecessor is answered,
     if that is later, and no response is due behind an interrupted stream. A response may be later by as long
     as its router's process was runnable without a processor.
     """
