--- a/benchmarks/event_delay.py
+++ b/benchmarks/event_delay.py
@@ -1,15 +1,15 @@
-"""How late events of streams leave a router that has a fifth of a core, and what in it holds them up.
+"""Measures the delay of stream events in a router that has a fifth of a core, and what in it delays them.
 
     python benchmarks/event_delay.py [--short] [--share 0.2]
 
-One router as a process of its own, stopped and let go on in turns so that it runs for the share of the time
-(SIGSTOP, SIGCONT; no limit of the machine is changed). An engine writes streams of events, each with the time
-at which it was written; a client says how long after that it had them. Beside them one engine floods, one
-client does not read, and bursts of requests come. Then, in this process and without the stops: what a full
-collection of garbage takes with many open requests, and deciding on many requests.
+One router runs in a process of its own, stopped and continued in turn so that it runs for the given share of
+the time (SIGSTOP, SIGCONT; no limit of the machine is changed). An engine writes streams of events with the
+time at which each was written; a client measures how long after that it received them. Besides, one engine
+floods, one client does not read, and bursts of requests arrive. Then, in this process and without stops, it
+measures a full garbage collection with many open requests, and decisions on many requests.
 
-The last line is a JSON object; exit status 1 where an event was later than 0.3 s. A `longest_stop_ms` far
-over 20 says that the machine kept this script waiting: the router stood still for that long.
+The last line is a JSON object; exit status 1 if an event was later than 0.3 s. A `longest_stop_ms` far over
+20 means that the machine delayed this script, and the router was stopped for that long.
 """
 
 from __future__ import annotations
@@ -41,16 +41,16 @@
 from spoolbarrow.net.inbound import Inbound
 
 ROOT = Path(__file__).resolve().parent.parent
-SLICE_S = 0.02  # of one turn of running and standing still
-STREAMS, GAP_S = 20, 0.05  # of timed events at once; between the events of one
-ALLOWED_S = 0.3
-BURST, BURST_EVERY_S = 100, 3.0  # requests that come at once
+CYCLE_S = 0.02  # one cycle of running and being stopped
+STREAMS, GAP_S = 20, 0.05  # concurrent streams of timed events; the mean gap between events
+MAX_DELAY_S = 0.3
+BURST_REQUESTS, BURST_INTERVAL_S = 100, 3.0  # requests that arrive at once
 FLOOD = stub_servers.chunk(b"data: " + b"x" * 60 + b"\n\n") * 200
-COLLECTED = ((1000, 2000), (480, 480))  # open requests and connections
+OPEN_COUNTS = ((1000, 2000), (480, 480))  # open requests and connections
 
 
 class Engine:
-    """Streams by the name of the request: timed, flooding, or one that has begun and says no more."""
+    """Streams by the name of the request: timed, flooding, or started and then idle."""
 
     def __init__(self) -> None:
         self.listener = stub_servers.listen()
@@ -71,21 +71,21 @@
 
 
 def settings(port: int, engine: Engine) -> dict[str, Any]:
-    """A router's configuration: its list is known, and discovery is down."""
-    made = stub_servers.config(port, 1)
+    """A router's configuration with a known list, and discovery down."""
+    raw = stub_servers.config(port, 1)
     address = f"{stub_servers.HOST}:{engine.listener.getsockname()[1]}"
-    made["known"] = {
+    raw["known"] = {
         "index": 1,
         "snapshot": True,
         "endpoints": [{"name": "e0", "address": address, "zone": "a", "type": "m"}],
     }
-    made["settings"]["Classes"][0] |= {"AimMs": 60e3, "DeadlineMs": 120e3}
-    made["limits"] = {"cores": 1.0, "memory_mb": 2048, "sockets": 9000}
-    return made
+    raw["settings"]["Classes"][0] |= {"AimMs": 60e3, "DeadlineMs": 120e3}
+    raw["limits"] = {"cores": 1.0, "memory_mb": 2048, "sockets": 9000}
+    return raw
 
 
 def request(name: str) -> bytes:
-    """One, as clients write it."""
+    """A request as a client sends it."""
     return (
         f"POST /v1/chat/completions HTTP/1.1\r\nHost: api\r\nX-Correlation-Id: {name}\r\n"
         f"X-Service-Class: chat\r\nX-Account: acme\r\nX-Time-Left-Ms: 100000\r\n"
@@ -94,7 +94,7 @@
 
 
 def connect(port: int, name: str = "") -> Any:
-    """A client's connection, with a request on it where it has a name."""
+    """Connect a client, and send a request if it has a name."""
     sock = socket.create_connection((stub_servers.HOST, port))
     if name:
         sock.sendall(request(name))
@@ -102,7 +102,7 @@
 
 
 def read(port: int, name: str, delays: list[float]) -> None:
-    """Read a stream to its end; notes how long each timed event took."""
+    """Read a stream to its end, and record the delay of each timed event."""
     parser, rest = ResponseParser(16_384), b""
     with connect(port, name) as sock, suppress(OSError, HttpError):
         while not parser.complete:
@@ -117,26 +117,26 @@
 
 
 def throttle(process: subprocess.Popen[bytes], share: float, stops: list[float]) -> None:
-    """Let it run for a share of the time only; notes how long it stood still, as this process came to it."""
+    """Let the process run for a share of the time, and record how long each stop really took."""
     while True:
         process.send_signal(signal.SIGSTOP)
-        begun = time.monotonic()
-        gevent.sleep((1 - share) * SLICE_S)
+        stopped_at = time.monotonic()
+        gevent.sleep((1 - share) * CYCLE_S)
         process.send_signal(signal.SIGCONT)
-        stops.append(time.monotonic() - begun)
-        gevent.sleep(share * SLICE_S)
+        stops.append(time.monotonic() - stopped_at)
+        gevent.sleep(share * CYCLE_S)
 
 
-def forever(port: int, name: str, delays: list[float]) -> None:
-    """One stream after the other."""
+def read_forever(port: int, name: str, delays: list[float]) -> None:
+    """Read one stream after another."""
     number = 0
     while True:
         number += 1
         read(port, f"{name}-{number}", delays)
 
 
-def play(seconds: float, share: float, beside: bool) -> dict[str, Any]:
-    """The delays of events, with trouble `beside` them or without."""
+def play(seconds: float, share: float, disturbed: bool) -> dict[str, Any]:
+    """Measure the delays of events, with or without disturbing traffic."""
     engine, delays, stops, bursts = Engine(), list[float](), list[float](), 0
     with socket.socket() as probe:
         probe.bind((stub_servers.HOST, 0))
@@ -144,37 +144,39 @@
     with tempfile.TemporaryDirectory() as directory:
         file = Path(directory) / "router.json"
         file.write_bytes(orjson.dumps(settings(port, engine)))
-        told = {**os.environ, "NODE_CONFIG": str(file), "PYTHONPATH": str(ROOT)}
+        env = {**os.environ, "NODE_CONFIG": str(file), "PYTHONPATH": str(ROOT)}
         with (Path(directory) / "log").open("wb") as log:
             run = [sys.executable, "-m", "spoolbarrow"]
-            router = subprocess.Popen(run, cwd=ROOT, env=told, stderr=log)
-        running: list[Any] = []
+            router = subprocess.Popen(run, cwd=ROOT, env=env, stderr=log)
+        greenlets: list[Any] = []
         try:
             for _ in range(600):
                 with socket.socket() as sock:
                     if not sock.connect_ex((stub_servers.HOST, port)):
                         break
                 gevent.sleep(0.05)
-            running.append(gevent.spawn(throttle, router, share, stops))
-            running += [gevent.spawn(forever, port, f"timed{n}", delays) for n in range(STREAMS)]
-            if beside:
+            greenlets.append(gevent.spawn(throttle, router, share, stops))
+            greenlets += [gevent.spawn(read_forever, port, f"timed{n}", delays) for n in range(STREAMS)]
+            if disturbed:
                 stuck = connect(port, "slow")
-                running.append(gevent.spawn(forever, port, "flood", []))
+                greenlets.append(gevent.spawn(read_forever, port, "flood", []))
             end = time.monotonic() + seconds
             while time.monotonic() < end:
-                gevent.sleep(min(BURST_EVERY_S, seconds))
-                if beside:
+                gevent.sleep(min(BURST_INTERVAL_S, seconds))
+                if disturbed:
                     bursts += 1
-                    running += [gevent.spawn(read, port, f"b{bursts}-{n}", []) for n in range(BURST)]
-            gevent.killall(running)
-            if beside:
+                    greenlets += [
+                        gevent.spawn(read, port, f"b{bursts}-{n}", []) for n in range(BURST_REQUESTS)
+                    ]
+            gevent.killall(greenlets)
+            if disturbed:
                 stuck.close()
         finally:
-            gevent.killall(running)
+            gevent.killall(greenlets)
             router.send_signal(signal.SIGCONT)
             router.kill()
             router.wait()
-    late = sum(one > ALLOWED_S for one in delays)
+    late = sum(delay > MAX_DELAY_S for delay in delays)
     delays.sort()
     return {
         "events": len(delays),
@@ -187,17 +189,17 @@
 
 
 def collection(requests: int, connections: int) -> dict[str, Any]:
-    """Processor time of full collections, with so many open; clients and the engine are another process."""
+    """Processor time of full collections; clients and the engine run in another process."""
     with socket.socket() as probe:
         probe.bind((stub_servers.HOST, 0))
         port: int = probe.getsockname()[1]
-    others = subprocess.Popen(
+    peers = subprocess.Popen(
         [sys.executable, __file__, "--others", str(port), str(requests), str(connections)],
         stdout=subprocess.PIPE,
         env={**os.environ, "PYTHONPATH": str(ROOT)},
     )
-    assert others.stdout is not None
-    engine = json.loads(others.stdout.readline())
+    assert peers.stdout is not None
+    engine = json.loads(peers.stdout.readline())
     made = config.parse(orjson.dumps(engine))
     host = Host(made)
     inbound = Inbound(made, host)
@@ -211,26 +213,26 @@
     found, times = {"requests": host.in_progress(), "connections": len(inbound._clients)}, []
     for _ in range(20):
         gevent.sleep(0.05)
-        begun = time.process_time()
+        started_at = time.process_time()
         gc.collect()
-        times.append((time.process_time() - begun) * 1000)
+        times.append((time.process_time() - started_at) * 1000)
     found["objects"] = len(gc.get_objects())
     inbound.close()
     host.stop()
-    others.kill()
-    others.wait()
+    peers.kill()
+    peers.wait()
     return {**found, "median_ms": round(sorted(times)[10], 1), "longest_ms": round(max(times), 1)}
 
 
 def others(port: int, requests: int, connections: int) -> None:
-    """An engine, and clients of the router on `port`; until killed."""
+    """Run an engine and clients of the router on `port` until killed."""
     engine = Engine()
     print(json.dumps(settings(port, engine)), flush=True)
-    kept = []
+    sockets = []
     for n in range(connections):
         for _ in range(200):
             try:
-                kept.append(connect(port, f"open{n}" if n < requests else ""))
+                sockets.append(connect(port, f"open{n}" if n < requests else ""))
                 break
             except OSError:
                 gevent.sleep(0.05)
@@ -239,48 +241,49 @@
     gevent.sleep(600)
 
 
-class Nobody:
-    """An answer that goes nowhere."""
+class NullResponse:
+    """A response that discards everything."""
 
-    def gone(self) -> bool:
-        """Whether the client has gone."""
+    def disconnected(self) -> bool:
+        """Whether the client has disconnected."""
         return False
 
     def __getattr__(self, name: str) -> Any:
-        """Whatever else is told, it does nothing with."""
+        """Ignore any other call."""
         return lambda *given: None
 
 
-def decisions(many: int) -> dict[str, Any]:
-    """Processor time of deciding on so many requests of one tick, and the longest part without a switch."""
-    made = settings(1, Engine())
+def decisions(count: int) -> dict[str, Any]:
+    """Processor time of decisions on requests of one tick, and the longest part without a greenlet switch."""
+    raw = settings(1, Engine())
     endpoints = [
-        {"name": f"e{n}", "address": f"{stub_servers.HOST}:{n + 1}", "zone": "a", "type": "m"} for n in range(100)
+        {"name": f"e{n}", "address": f"{stub_servers.HOST}:{n + 1}", "zone": "a", "type": "m"}
+        for n in range(100)
     ]
-    made["known"]["endpoints"] = endpoints
-    host = Host(config.parse(msgspec.json.encode(made)))
+    raw["known"]["endpoints"] = endpoints
+    host = Host(config.parse(msgspec.json.encode(raw)))
     host.destinations.restore(None, None)
-    nothing: Any = lambda *given: None  # noqa: E731
-    host._endpoints.send = host._endpoints.probe = nothing  # type: ignore[method-assign]
+    ignore: Any = lambda *given: None  # noqa: E731
+    host._endpoints.send = host._endpoints.probe = ignore  # type: ignore[method-assign]
     parts: list[float] = []
     decide = host._decide
 
     def timed(now: float, events: list[i.Event]) -> None:
-        begun = time.process_time()
+        started_at = time.process_time()
         decide(now, events)
-        parts.append((time.process_time() - begun) * 1000)
+        parts.append((time.process_time() - started_at) * 1000)
 
     host._decide = timed  # type: ignore[method-assign]
-    luck = random.Random(1)
-    for n in range(many):
-        facts = i.RequestArrived("", 0, 5000.0, 0, 2000, 1000, session=luck.getrandbits(60))
-        answer: Any = Nobody()
-        host.submit(f"{many}-{n}", Message(), answer, host.now() + 5000, facts)
+    rng = random.Random(1)
+    for n in range(count):
+        facts = i.RequestArrived("", 0, 5000.0, 0, 2000, 1000, session=rng.getrandbits(60))
+        answer: Any = NullResponse()
+        host.submit(f"{count}-{n}", Message(), answer, host.now() + 5000, facts)
     host._loop = gevent.spawn(host._run)
-    while sum(one.attempts != [] for one in host._requests.values()) < many:
+    while sum(one.attempts != [] for one in host._requests.values()) < count:
         gevent.sleep(0.01)
     host.stop()
-    return {"requests": many, "all_ms": round(sum(parts), 1), "longest_part_ms": round(max(parts), 1)}
+    return {"requests": count, "all_ms": round(sum(parts), 1), "longest_part_ms": round(max(parts), 1)}
 
 
 def main() -> int:
@@ -289,17 +292,17 @@
     parser.add_argument("--short", action="store_true")
     parser.add_argument("--share", type=float, default=0.2)
     parser.add_argument("--others", nargs=3, type=int)
-    given = parser.parse_args()
-    if given.others:
-        others(*given.others)
-    seconds = 10.0 if given.short else 60.0
-    found: dict[str, Any] = {"share": given.share, "seconds": seconds}
-    for kind, beside in (("alone", False), ("beside", True)):
-        found[kind] = play(seconds, given.share, beside)
+    args = parser.parse_args()
+    if args.others:
+        others(*args.others)
+    seconds = 10.0 if args.short else 60.0
+    found: dict[str, Any] = {"share": args.share, "seconds": seconds}
+    for kind, disturbed in (("alone", False), ("beside", True)):
+        found[kind] = play(seconds, args.share, disturbed)
         print(f"{kind}: {found[kind]}", flush=True)
-    found["collections"] = [collection(*each) for each in COLLECTED]
+    found["collections"] = [collection(*each) for each in OPEN_COUNTS]
     found["decisions"] = decisions(500)
-    holds = all(found[kind]["latest_ms"] <= ALLOWED_S * 1000 for kind in ("alone", "beside"))
+    holds = all(found[kind]["latest_ms"] <= MAX_DELAY_S * 1000 for kind in ("alone", "beside"))
     print(json.dumps({"name": "event_delay", "holds": holds, **found}))
     return 0 if holds else 1
 
--- a/benchmarks/placement.py
+++ b/benchmarks/placement.py
@@ -1,12 +1,12 @@
-"""Placement on deployments made up at random: variants of the decisions, paired over the same days.
+"""Compares variants of the placement decisions on random deployments, paired over the same scenarios.
 
     python benchmarks/placement.py [--short] [--module FILE ...] [--set NAME=VALUE ...] [--seeds N]
                                    [--routers N] [--engines N] [--length S] [--jobs N]
 
-The decisions are played on sites of two sorts (`spoolbarrow/lab/random_scenarios.py`): few openings, and hundreds.
-Each `--module` is another text of the decision module, each `--set` this one with constants changed
-(`A=1,B=2`). Without either, the decisions are held against themselves with requests taken that are predicted
-to be late by half of their aim, which they must not lose to on either sort.
+Simulates sites of two sorts (`spoolbarrow/lab/random_scenarios.py`): few openings, and hundreds. Each
+`--module` is another version of the decision module, each `--set` the current one with constants changed
+(`A=1,B=2`). Without either, the decisions are compared with a variant that accepts requests predicted to be
+late by half of their latency objective; that variant must not be better on either sort.
 """
 
 from __future__ import annotations
@@ -30,13 +30,14 @@
 
 MODULE = ROOT / "spoolbarrow" / "router.py"
 LOADS = (0.25, 0.32, 0.4)
-LOSS = 0.01  # of the worth, that refusing what is predicted to be late may cost on a sort of sites
-CAUSES = {"refused": "refused", "late_first": "late first token", "late_tokens": "slow stream"}
-TOLD = ("read_anew_share", "probes_a_request", "attempts_a_request")
+# What refusing requests predicted to be late may cost in worth on a sort of sites.
+MAX_GAIN = 0.01
+LOSS_CAUSES = {"refused": "refused", "late_first": "late first token", "late_tokens": "slow stream"}
+REPORT_KEYS = ("read_anew_share", "probes_a_request", "attempts_a_request")
 
 
-def decisions(text: str, constants: dict[str, float]) -> ModuleType:
-    """The decision module from a text, with constants changed."""
+def load_decisions(text: str, constants: dict[str, float]) -> ModuleType:
+    """Load the decision module from source text, with constants changed."""
     module = ModuleType("spoolbarrow.router_played")
     sys.modules[module.__name__] = module
     exec(compile(text, "the module played", "exec"), module.__dict__)
@@ -46,8 +47,8 @@
 
 
 def play(text: str, constants: dict[str, float], scenario: Scenario, seed: int) -> dict[str, float]:
-    """One day with one variant."""
-    module = decisions(text, constants)
+    """Simulate one scenario with one variant."""
+    module = load_decisions(text, constants)
 
     def make(settings: Any, number: int, truth: Any) -> Any:
         return module.Router(settings, number)
@@ -55,14 +56,14 @@
     policies.POLICIES["played"] = make
     report = simulate(scenario, "played", seed)
     lost = report["worth_lost"]
-    found = {"worth": report["worth"], **{key: lost.get(cause, 0.0) for key, cause in CAUSES.items()}}
-    found |= {key: report[key] for key in TOLD}
+    found = {"worth": report["worth"], **{key: lost.get(cause, 0.0) for key, cause in LOSS_CAUSES.items()}}
+    found |= {key: report[key] for key in REPORT_KEYS}
     found["first_token_ms_p90"] = report["times"]["first_token_ms_p90"]
     return found | {"decision_us": report["run"]["decision_us_a_request"]}
 
 
 def variants(args: argparse.Namespace) -> dict[str, tuple[str, dict[str, float]]]:
-    """What is played, by name; the first is what the others are held against."""
+    """The variants by name; the first is the baseline for the others."""
     text = MODULE.read_text()
     found: dict[str, tuple[str, dict[str, float]]] = {"as it is": (text, {})}
     for file in args.module:
@@ -76,7 +77,7 @@
 
 
 def main() -> int:
-    """Play, print a line for each variant and sort of site, and a JSON object last."""
+    """Run, print a line for each variant and sort of site, and a JSON object last."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--short", action="store_true")
     parser.add_argument("--module", action="append", default=[])
@@ -107,19 +108,24 @@
         }
         found = {key: run.result() for key, run in runs.items()}
     base = next(iter(chosen))
-    told: dict[str, Any] = {}
+    sites: dict[str, Any] = {}
     for many in (False, True):
-        sort = "many openings" if many else "few openings"
+        site_sort = "many openings" if many else "few openings"
         seeds = [seed for of, seed, _ in days if of is many]
         for name in chosen:
             rows = [found[name, many, seed] for seed in seeds]
             mean = {key: round(sum(row[key] for row in rows) / len(rows), 4) for key in rows[0]}
-            usual = sum(found[base, many, seed]["worth"] for seed in seeds) / len(seeds)
-            mean["gain"] = round(mean["worth"] - usual, 4)
-            told.setdefault(sort, {})[name] = mean
-            print(f"{sort}, {name}: {mean}", flush=True)
-    holds = all(one["gain"] <= LOSS for sort in told.values() for name, one in sort.items() if name != base)
-    print(json.dumps({"name": "placement", "holds": holds, "sites": told}))
+            base_worth = sum(found[base, many, seed]["worth"] for seed in seeds) / len(seeds)
+            mean["gain"] = round(mean["worth"] - base_worth, 4)
+            sites.setdefault(site_sort, {})[name] = mean
+            print(f"{site_sort}, {name}: {mean}", flush=True)
+    holds = all(
+        one["gain"] <= MAX_GAIN
+        for site_sort in sites.values()
+        for name, one in site_sort.items()
+        if name != base
+    )
+    print(json.dumps({"name": "placement", "holds": holds, "sites": sites}))
     return 0 if holds else 1
 
 
--- a/benchmarks/served_share.py
+++ b/benchmarks/served_share.py
@@ -1,14 +1,16 @@
-"""Who is served: the share answered by length of prompt, and the sessions that are refused throughout.
+"""Measures the share of requests answered by prompt length, and the sessions that are refused throughout.
 
     python benchmarks/served_share.py [--short] [--module FILE ...] [--day NAME ...] [--seeds N] [--routers N]
                                 [--engines N] [--length S] [--jobs N]
 
-Played on sites drawn at random (`spoolbarrow/lab/random_scenarios.py`), of both sorts: at four loads, and on a
-quiet day on which all engines begin cold. Each `--module` is another text of the decision module, played on
-the same days.
-Told are means over the classes of all days, and the worst class. On the quiet day the longest tenth and the
-fifth after it have to get two thirds of their class's share, on the others half; and on the quiet day the
-sessions of which all turns are refused may be 0.12 of a class's sessions more than chance gives.
+Simulates randomly drawn sites (`spoolbarrow/lab/random_scenarios.py`) of both sorts: at four loads, and at a
+quiet load with all engines in slow start. Each `--module` is another version of the decision module, run on
+the same scenarios.
+
+Prints means over the classes of all scenarios, and the worst class. In the quiet scenario the longest tenth
+and the fifth after it must get two thirds of their class's share, in the others half; and in the quiet
+scenario the sessions of which all turns are refused may exceed what chance gives by 0.12 of a class's
+sessions.
 """
 
 from __future__ import annotations
@@ -26,7 +28,7 @@
 sys.path[:0] = [str(ROOT), str(ROOT / "benchmarks")]
 
 import msgspec  # noqa: E402
-from placement import MODULE, decisions  # noqa: E402
+from placement import MODULE, load_decisions  # noqa: E402
 
 from spoolbarrow.lab import policies  # noqa: E402
 from spoolbarrow.lab.random_scenarios import random_scenario  # noqa: E402
@@ -35,23 +37,24 @@
 from spoolbarrow.lab.simulate import Simulation  # noqa: E402
 
 LOADS = {"quiet": 0.25, "usual": 0.45, "busy": 0.7, "full": 1.1, "cold": 0.25}
-LEAST = {"quiet": 2.0 / 3.0, "usual": 0.5, "busy": 0.5, "full": 0.5, "cold": 0.5}
-MANY, TENTH, QUARTER = 400, 0.1, 0.25  # from so many requests the longest are a tenth, below a quarter
-NEXT = 0.2
-REFUSED_MORE = 0.12  # of a class's sessions, on the quiet day
-FEW = 40  # requests of a class, below which it says nothing
+MIN_RELATIVE_SHARE = {"quiet": 2.0 / 3.0, "usual": 0.5, "busy": 0.5, "full": 0.5, "cold": 0.5}
+# From MANY_REQUESTS requests on the longest are a tenth, below that a quarter.
+MANY_REQUESTS, TENTH, QUARTER = 400, 0.1, 0.25
+NEXT_SHARE = 0.2
+MAX_EXCESS_REFUSED = 0.12  # of a class's sessions, in the quiet scenario
+MIN_REQUESTS = 40  # of a class; fewer are not significant
 DECILES = 10
 
 Row = dict[str, Any]
 
 
-def share(records: list[Record]) -> float:
-    """The part that was answered, in time or late."""
+def answered_share(records: list[Record]) -> float:
+    """The share that was answered, in time or late."""
     return sum(one.first_ms >= 0.0 for one in records) / max(1, len(records))
 
 
 def refused_throughout(records: list[Record]) -> tuple[float, float]:
-    """The part of sessions of which all turns are refused, and what chance would give."""
+    """The share of sessions of which all turns are refused, and the share expected by chance."""
     sessions: dict[int, list[bool]] = defaultdict(list)
     for one in records:
         sessions[one.planned.session].append(one.outcome in ("refused", "failed"))
@@ -60,29 +63,29 @@
     return sum(map(all, sessions.values())) / len(sessions), by_chance / len(sessions)
 
 
-def of_class(records: list[Record]) -> Row:
-    """What became of one class's requests."""
+def class_result(records: list[Record]) -> Row:
+    """The results of one class's requests."""
     ranked = sorted(records, key=lambda one: one.planned.prompt, reverse=True)
-    first = round(len(ranked) * (TENTH if len(ranked) >= MANY else QUARTER))
-    after = first + round(len(ranked) * NEXT)
-    whole = max(share(ranked), 1e-9)
+    longest_count = round(len(ranked) * (TENTH if len(ranked) >= MANY_REQUESTS else QUARTER))
+    next_end = longest_count + round(len(ranked) * NEXT_SHARE)
+    whole = max(answered_share(ranked), 1e-9)
     throughout, chance = refused_throughout(records)
     size = len(ranked) / DECILES
     deciles = [ranked[round(n * size) : round((n + 1) * size)] for n in reversed(range(DECILES))]
     return {
         "requests": len(ranked),
-        "answered": share(ranked),
-        "longest": share(ranked[:first]) / whole,
-        "next": share(ranked[first:after]) / whole,
+        "answered": answered_share(ranked),
+        "longest": answered_share(ranked[:longest_count]) / whole,
+        "next": answered_share(ranked[longest_count:next_end]) / whole,
         "refused_throughout": throughout,
         "by_chance": chance,
-        "deciles": [share(decile) for decile in deciles],
+        "deciles": [answered_share(decile) for decile in deciles],
     }
 
 
 def play(text: str, scenario: Scenario, seed: int) -> Row:
-    """One day with one text of the decisions."""
-    module = decisions(text, {})
+    """Simulate one scenario with one version of the decision module."""
+    module = load_decisions(text, {})
 
     def make(settings: Any, number: int, truth: Any) -> Any:
         return module.Router(settings, number)
@@ -97,12 +100,12 @@
         "worth": report["worth"],
         "broken": sum(report["rules_broken"].values()),
         "decision_us": report["run"]["decision_us_a_request"],
-        "classes": [of_class(records) for records in by_class.values() if len(records) >= FEW],
+        "classes": [class_result(records) for records in by_class.values() if len(records) >= MIN_REQUESTS],
     }
 
 
-def scenario_of(name: str, seed: int, many: bool, args: argparse.Namespace) -> Scenario:
-    """A day of that name on the site of that seed."""
+def scenario_for(name: str, seed: int, many: bool, args: argparse.Namespace) -> Scenario:
+    """The scenario of that name on the site of that seed."""
     made = random_scenario(seed, many, args.routers, args.engines, LOADS[name], args.length)
     if name != "cold":
         return made
@@ -111,13 +114,13 @@
 
 
 def summary(days: list[Row]) -> Row:
-    """Means over the classes of several days, and the worst of them."""
+    """Means over the classes of several scenarios, and the worst of them."""
     classes = [one for day in days for one in day["classes"]]
 
     def mean(key: str) -> float:
         return round(float(sum(one[key] for one in classes)) / len(classes), 4)
 
-    more = [one["refused_throughout"] - one["by_chance"] for one in classes]
+    excess = [one["refused_throughout"] - one["by_chance"] for one in classes]
     return {
         "worth": round(sum(day["worth"] for day in days) / len(days), 4),
         "worths": [round(day["worth"], 4) for day in days],
@@ -130,21 +133,21 @@
         "worst_next": round(min(one["next"] for one in classes), 4),
         "refused_throughout": mean("refused_throughout"),
         "by_chance": mean("by_chance"),
-        "worst_refused_more": round(max(more), 4),
+        "worst_refused_more": round(max(excess), 4),
         "deciles": [
             round(sum(one["deciles"][n] for one in classes) / len(classes), 3) for n in range(DECILES)
         ],
     }
 
 
-def holds(name: str, told: Row) -> bool:
-    """Whether the terms hold in every class of every day of that name."""
-    longest = min(told["worst_longest"], told["worst_next"]) >= LEAST[name]
-    return longest and (name != "quiet" or told["worst_refused_more"] <= REFUSED_MORE)
+def holds(name: str, result: Row) -> bool:
+    """Whether the bounds hold in every class of every scenario of that name."""
+    longest = min(result["worst_longest"], result["worst_next"]) >= MIN_RELATIVE_SHARE[name]
+    return longest and (name != "quiet" or result["worst_refused_more"] <= MAX_EXCESS_REFUSED)
 
 
 def main() -> int:
-    """Play, print a line for each day and text, and a JSON object last."""
+    """Run, print a line for each scenario and module, and a JSON object last."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--short", action="store_true")
     parser.add_argument("--module", action="append", default=[])
@@ -163,20 +166,20 @@
     with ProcessPoolExecutor(args.jobs, mp_context=get_context("spawn"), max_tasks_per_child=1) as pool:
         runs = {
             (name, text): [
-                pool.submit(play, texts[text], scenario_of(name, seed, many, args), seed)
+                pool.submit(play, texts[text], scenario_for(name, seed, many, args), seed)
                 for many, seed in days
             ]
             for name in names
             for text in texts
         }
-        told: dict[str, dict[str, Row]] = {}
+        results: dict[str, dict[str, Row]] = {}
         for (name, text), some in runs.items():
-            found = told.setdefault(name, {})[text] = summary([run.result() for run in some])
+            found = results.setdefault(name, {})[text] = summary([run.result() for run in some])
             found["holds"] = holds(name, found)
             print(f"{name}, {text}: {found}", flush=True)
-    held = all(found["as it is"]["holds"] for found in told.values())
-    print(json.dumps({"name": "served", "holds": held, "days": told}))
-    return 0 if held else 1
+    all_hold = all(found["as it is"]["holds"] for found in results.values())
+    print(json.dumps({"name": "served", "holds": all_hold, "days": results}))
+    return 0 if all_hold else 1
 
 
 if __name__ == "__main__":
--- a/benchmarks/service.py
+++ b/benchmarks/service.py
@@ -1,11 +1,11 @@
-"""Daily service measured: how late the operators' listener answers under load, and what upgrades cost.
+"""Measures the latency of the operators' listener under load, and the cost of upgrades for clients.
 
     python benchmarks/service.py [--short]
 
-One router on loopback serves clients on kept connections, through one upgrade after another on an inherited
-socket. Meanwhile an operator fetches the figures, and callers that say nothing hold as many connections as
-they can. Calls are compared with those of the same router before its clients come; answers that ran during
-an upgrade with those that did not.
+One router on loopback serves clients on keep-alive connections, through one upgrade after another on an
+inherited socket. Meanwhile an operator fetches the metrics, and idle callers hold as many connections as they
+can. Calls are compared with those of the same router before its clients connect; responses that overlapped an
+upgrade with those that did not.
 """
 
 from __future__ import annotations
@@ -34,41 +34,43 @@
 from spoolbarrow.net.http1 import HttpError, ResponseParser  # noqa: E402
 
 CLIENTS = 24
-SILENT = 20  # callers that say nothing: more than the listener holds
-SILENT_PAUSE_S = 0.5
-CALL_EACH_S = 0.05
-DUE_MS = 1000.0  # of an answer to a call
-REST_S = 3.0  # between upgrades
-MEDIAN_WITHIN = 1.1  # answers during upgrades against the others
-LAG_WITHIN = 0.25  # of what is allowed, at the 99th percentile
+IDLE_CALLERS = 20  # more than the listener's connection limit
+IDLE_PAUSE_S = 0.5
+CALL_INTERVAL_S = 0.05
+MAX_CALL_MS = 1000.0  # for a response to a call
+UPGRADE_PAUSE_S = 3.0  # between upgrades
+MAX_MEDIAN_RATIO = 1.1  # of responses during upgrades to the others
+MAX_P99_SHARE = 0.25  # of MAX_CALL_MS, at the 99th percentile
 
 
 class Platform:
-    """What holds the clients' socket, and starts one process of the router after another on it."""
+    """Holds the clients' listening socket, and starts one process of the router after another on it."""
 
     def __init__(self, folder: Path, discovery: int) -> None:
         self._folder, self._discovery = folder, discovery
         self.listener = stub_servers.listen()
         self.port: int = self.listener.getsockname()[1]
         self.processes: list[subprocess.Popen[bytes]] = []
-        self.control = 0  # where the newest process listens for calls
+        self.control = 0  # operators' port of the newest process
 
     def start(self) -> None:
-        """One more process; returns when it is ready."""
+        """Start one more process and wait until it is ready."""
         with socket.socket() as probe:
             probe.bind((stub_servers.HOST, 0))
             control = probe.getsockname()[1]
         number, descriptor = len(self.processes), self.listener.fileno()
         file = self._folder / f"{number}.json"
-        raw = stub_servers.config(self.port, self._discovery) | {"control": f"{stub_servers.HOST}:{control}"}
-        file.write_bytes(orjson.dumps(raw))
-        told = {"NODE_CONFIG": str(file), "TMPDIR": str(self._folder), INHERITED_FD_VARIABLE: str(descriptor)}
+        config = stub_servers.config(self.port, self._discovery) | {
+            "control": f"{stub_servers.HOST}:{control}"
+        }
+        file.write_bytes(orjson.dumps(config))
+        env = {"NODE_CONFIG": str(file), "TMPDIR": str(self._folder), INHERITED_FD_VARIABLE: str(descriptor)}
         with (self._folder / f"{number}.log").open("wb") as log:
             self.processes.append(
                 subprocess.Popen(
                     [sys.executable, "-m", "spoolbarrow"],
                     cwd=ROOT,
-                    env=os.environ | told,
+                    env=os.environ | env,
                     stderr=log,
                     pass_fds=[descriptor],
                 )
@@ -78,25 +80,25 @@
                 break
             gevent.sleep(0.05)
         else:
-            raise OSError("the new process is never ready")
+            raise OSError("the new router process did not become ready")
         self.control = control
 
     def end_oldest(self) -> None:
-        """SIGTERM to the oldest that runs; returns when it has exited."""
+        """Terminate the oldest running process and wait until it has exited."""
         oldest = next(one for one in self.processes if one.poll() is None)
         oldest.terminate()
         while oldest.poll() is None:
             gevent.sleep(0.02)
 
     def close(self) -> None:
-        """End all."""
+        """Kill all processes."""
         for one in self.processes:
             one.kill()
             one.wait()
 
 
 def call(port: int, path: str) -> tuple[int, float]:
-    """A call to the operators' listener: its status, 0 where none came, and ms to its last byte."""
+    """Call the operators' listener; returns the status, 0 without a response, and ms to its last byte."""
     begun, parser, buffer = time.perf_counter(), ResponseParser(16_384), bytearray(65_536)
     try:
         with socket.create_connection((stub_servers.HOST, port), 5.0) as sock:
@@ -110,15 +112,15 @@
 
 
 class Load:
-    """Clients on kept connections; each answer with when it began and ended."""
+    """Clients on keep-alive connections; records each response with its start and end."""
 
     def __init__(self, port: int) -> None:
         self._port, self.ended = port, False
         self.answers: list[tuple[float, float, stub_servers.Timed]] = []
-        self.failed = self.unheard = self.told_to_go = 0
+        self.failed = self.lost = self.closed_by_router = 0
 
     def work(self, worker: int) -> None:
-        """Until `ended`."""
+        """Send requests until `ended`."""
         client, number = stub_servers.Client(self._port), 0
         while not self.ended:
             number += 1
@@ -126,50 +128,50 @@
             try:
                 timed = client.ask(f"{worker}-{number}", worker * 100_003 + number)
             except (OSError, HttpError):
-                self.unheard += 1  # the connection was closed under the request
+                self.lost += 1  # the connection was closed during the request
                 client = stub_servers.Client(self._port)
                 continue
             self.answers.append((begun, time.monotonic(), timed))
             self.failed += timed.status != 200
             if timed.closing:
-                self.told_to_go += 1
+                self.closed_by_router += 1
                 client = stub_servers.Client(self._port)
 
 
 def fetch(platform: Platform, count: int) -> list[tuple[int, float]]:
-    """Calls at a steady pace."""
+    """Fetch the metrics at fixed intervals."""
     found = []
     for _ in range(count):
         found.append(call(platform.control, "metrics"))
-        gevent.sleep(CALL_EACH_S)
+        gevent.sleep(CALL_INTERVAL_S)
     return found
 
 
-def summed(calls: list[tuple[int, float]]) -> dict[str, Any]:
-    """Of calls: how many, how many wrongly or late, and how long they took."""
+def summarize(calls: list[tuple[int, float]]) -> dict[str, Any]:
+    """Summarize calls: their number, how many failed or were late, and their latency."""
     times = [ms for _, ms in calls]
     return {
         "calls": len(calls),
         "statuses": sorted({status for status, _ in calls}),
-        "late_or_wrong": sum(status != 200 or ms > DUE_MS for status, ms in calls),
+        "late_or_wrong": sum(status != 200 or ms > MAX_CALL_MS for status, ms in calls),
         "median_ms": round(statistics.median(times), 2),
         "p99_ms": round(statistics.quantiles(times, n=100)[98], 2),
     }
 
 
-def be_silent(platform: Platform, load: Load) -> None:
-    """A caller that connects, says nothing until it is sent off, and comes again."""
+def hold_connection(platform: Platform, load: Load) -> None:
+    """Connect, stay idle until disconnected, and connect again."""
     while not load.ended:
         try:
             with socket.create_connection((stub_servers.HOST, platform.control), 5.0) as sock:
                 sock.recv(4096)
         except OSError:
-            pass  # it gave way to others
-        gevent.sleep(SILENT_PAUSE_S)
+            pass  # the listener closed it in favour of others
+        gevent.sleep(IDLE_PAUSE_S)
 
 
 def main() -> dict[str, Any]:
-    """Everything, as one object."""
+    """Measure everything and return it as one object."""
     arguments = argparse.ArgumentParser(description=(__doc__ or "").splitlines()[0])
     arguments.add_argument("--short", action="store_true", help="ends within 45 s")
     upgrades = 3 if arguments.parse_args().short else 15
@@ -185,15 +187,15 @@
             calm = fetch(platform, 40)
             load = Load(platform.port)
             workers = [gevent.spawn(load.work, n) for n in range(CLIENTS)]
-            callers = [gevent.spawn(be_silent, platform, load) for _ in range(SILENT)]
+            callers = [gevent.spawn(hold_connection, platform, load) for _ in range(IDLE_CALLERS)]
             busy: list[tuple[int, float]] = []
             for _ in range(upgrades):
-                busy += fetch(platform, round(REST_S / CALL_EACH_S))
+                busy += fetch(platform, round(UPGRADE_PAUSE_S / CALL_INTERVAL_S))
                 begun = time.monotonic()
                 platform.start()
                 platform.end_oldest()
                 spans.append((begun, time.monotonic()))
-            busy += fetch(platform, round(REST_S / CALL_EACH_S))
+            busy += fetch(platform, round(UPGRADE_PAUSE_S / CALL_INTERVAL_S))
             load.ended = True
             gevent.joinall(workers, raise_error=True)
             gevent.killall(callers)
@@ -206,35 +208,35 @@
             engines.kill()
             engines.wait()
     during = [t for begin, end, t in load.answers if any(begin < b and end > a for a, b in spans)]
-    others = [t for begin, end, t in load.answers if not any(begin < b and end > a for a, b in spans)]
+    outside = [t for begin, end, t in load.answers if not any(begin < b and end > a for a, b in spans)]
     ratios = {
         f"{field}_{name}": round(
-            of([getattr(t, field) for t in during]) / of([getattr(t, field) for t in others]), 3
+            of([getattr(t, field) for t in during]) / of([getattr(t, field) for t in outside]), 3
         )
         for field in ("first_ms", "whole_ms")
         for name, of in (("median", statistics.median), ("p99", lambda v: statistics.quantiles(v, n=100)[98]))
     }
-    told = {"calm": summed(calm), "busy": summed(busy)}
+    summaries = {"calm": summarize(calm), "busy": summarize(busy)}
     holds = (
-        load.failed == load.unheard == faults == 0
-        and told["busy"]["late_or_wrong"] == 0
-        and told["busy"]["p99_ms"] <= LAG_WITHIN * DUE_MS
-        and ratios["whole_ms_median"] <= MEDIAN_WITHIN
+        load.failed == load.lost == faults == 0
+        and summaries["busy"]["late_or_wrong"] == 0
+        and summaries["busy"]["p99_ms"] <= MAX_P99_SHARE * MAX_CALL_MS
+        and ratios["whole_ms_median"] <= MAX_MEDIAN_RATIO
     )
     return {
         "name": "service",
         "holds": holds,
         "upgrades": upgrades,
         "clients": CLIENTS,
-        "silent": SILENT,
+        "silent": IDLE_CALLERS,
         "answers": len(load.answers),
         "during_upgrades": len(during),
         "failed": load.failed,
-        "unheard": load.unheard,
-        "told_to_go": load.told_to_go,
+        "unheard": load.lost,
+        "told_to_go": load.closed_by_router,
         "faults": faults,
         "during_against_others": ratios,
-        "calls": told,
+        "calls": summaries,
         "upgrade_s": round(statistics.median(b - a for a, b in spans), 2),
     }
 
