--- a/benchmarks/pools.py
+++ b/benchmarks/pools.py
@@ -1,11 +1,11 @@
-"""The pool's split measured: what it is worth in the lab's virtual time, with the router's real decisions.
+"""Measures the worth of splitting the pool into prefill and decode, with the router's real decisions.
 
     python benchmarks/pools.py [--short] [--large]
 
-Each day is played with no split, with the learnt split, with half of the engines reading, and with every
-fixed number of readers; the same requests each time. The routers' decisions are those of
-`spoolbarrow.router`; what docs/pools.md proposes to tell them (the side of a request, the side of an engine)
-is weighed by `Sided` here.
+Each scenario is run with no split, with the learned split, with half of the engines for prefill, and with
+every fixed number of prefill engines; the same requests each time. The routers' decisions are those of
+`spoolbarrow.router`; `SplitRouter` adds the inputs that docs/pools.md proposes (the side of a request, the
+side of an engine).
 """
 
 from __future__ import annotations
@@ -38,42 +38,44 @@
 from spoolbarrow.pools import Engine, Pools, sketch, split  # noqa: E402
 from spoolbarrow.router import Replica, ReplicaPool, Request, Router  # noqa: E402
 
-FEE_READ, FEE_WRITE = 0.1, 1.0  # aims of waiting, that a place on the other side counts as
-OWN_PROBES = 0.7  # share of spare probes that go to the request's own side
-SAY_MS = 1000.0  # between a router's summaries
-DECIDE_MS = 2000.0  # between decisions
+# Predicted wait added to an engine of the other side, in latency objectives.
+PREFILL_FEE, DECODE_FEE = 0.1, 1.0
+OWN_PROBE_SHARE = 0.7  # of spare probes, to the request's own side
+SUMMARY_INTERVAL_MS = 1000.0  # between a router's summaries
+DECISION_INTERVAL_MS = 2000.0  # between decisions
 TIMER = "pools"
-READ_COST, WRITE_COST = 0.0667, 0.5  # ms of an engine for a token read, and about that for a token made
-LEAD_S = 40.0  # until evidence is there and the split stands
-GOAL_BEST, GOAL_NONE = 0.03, 0.01  # worth behind the best fixed split, and behind no split
-FOLLOW_S, MOVES_AN_HOUR = 30.0, 2.0
-ROUTERS = 0.5  # for each engine
-ERROR = 0.05  # of a quantile told
+PREFILL_COST_MS, DECODE_COST_MS = 0.0667, 0.5  # engine time per prefill token, and roughly per decode token
+LEAD_S = 40.0  # until there is evidence and the split is established
+# In worth, against the best fixed split, and against no split.
+MAX_LOSS_TO_BEST, MAX_LOSS_TO_NONE = 0.03, 0.01
+MAX_FOLLOW_S, MAX_MOVES_PER_HOUR = 30.0, 2.0
+ROUTERS_PER_ENGINE = 0.5
+MAX_QUANTILE_ERROR = 0.05  # of a quantile from a summary
 
 
 # --- the router with sides
 
 
-class SidedPool(ReplicaPool):
-    """The pool of replicas, in which those of the other side count as waiting longer."""
+class SplitPool(ReplicaPool):
+    """The pool of replicas, in which those of the other side have a longer predicted wait."""
 
     side_of: Callable[[str], bool | None] = staticmethod(lambda name: None)
-    asking: bool | None = None  # side of the request that is placed now
+    asking: bool | None = None  # side of the request being placed
     fee = 0.0
 
     def predict_wait(self, replica: Replica, now: float, with_failures: bool = False) -> float:
-        """With the fee where the cost is weighed, not where it is asked whether the fleet is full."""
+        """Add the fee when comparing costs, but not when checking whether the fleet is full."""
         found = super().predict_wait(replica, now, with_failures)
         other = with_failures and self.asking is not None and self.side_of(replica.id) is not self.asking
         return found + self.fee if other else found
 
 
-class Sided(Router):
-    """The router, told the side of requests and of replicas."""
+class SplitRouter(Router):
+    """The router with the sides of requests and of replicas."""
 
     def __init__(self, settings: i.Settings, seed: int) -> None:
         super().__init__(settings, seed)
-        self.pool: SidedPool = SidedPool(settings, self.rng)
+        self.pool: SplitPool = SplitPool(settings, self.rng)
         self.configure(settings)
         self.sides: dict[str, bool] = {}  # of open requests
         self.side: Callable[[i.RequestArrived], bool | None] = lambda event: None
@@ -87,10 +89,10 @@
         whole = pool.local_ring, pool.local
         near = [replica for replica in pool.local if pool.side_of(replica.id) is side]
         if near:
-            # Homes are on the own side; its loads are looked at more often than the other's.
+            # Preferred replicas are on the own side, whose loads are probed more often than the other's.
             pool.local_ring = HashRing()
             pool.local_ring.update(near, near)
-            if self.rng.random() < OWN_PROBES:
+            if self.rng.random() < OWN_PROBE_SHARE:
                 pool.local = [r for r in pool.local if pool.side_of(r.id) is side]
         try:
             super()._on_request(event)
@@ -99,7 +101,7 @@
 
     def _cheapest(self, request: Request, *told: Any, **named: Any) -> Any:
         self.pool.asking = self.sides.get(request.id)
-        self.pool.fee = (FEE_READ if self.pool.asking else FEE_WRITE) * request.objective_ms
+        self.pool.fee = (PREFILL_FEE if self.pool.asking else DECODE_FEE) * request.objective_ms
         return super()._cheapest(request, *told, **named)
 
     def _close(self, request: Request) -> None:
@@ -108,10 +110,10 @@
 
 
 def fixed(readers: frozenset[str], cls: int) -> Callable[[i.Settings, int, EngineOracle], RoutingPolicy]:
-    """Routers with a split that never changes: one class reads, and these engines."""
+    """Routers with a fixed split: one class is prefill, on these engines."""
 
     def make(settings: i.Settings, seed: int, truth: EngineOracle) -> RoutingPolicy:
-        router = Sided(settings, seed)
+        router = SplitRouter(settings, seed)
         if readers:
             router.side = lambda event: event.cls == cls
             router.pool.side_of = lambda name: name in readers
@@ -120,27 +122,27 @@
     return make
 
 
-class Hub:
-    """What stands for the store and the lease: the newest summaries, and one decision of them."""
+class SharedStore:
+    """Stands in for the store and the lease: the newest summaries, and the decision made from them."""
 
     def __init__(self) -> None:
         self.bodies: dict[int, bytes] = {}
         self.decision: bytes | None = None
         self.decided_ms = 0.0
-        self.history: list[tuple[float, int, str]] = []  # when, how many read, why
+        self.history: list[tuple[float, int, str]] = []  # time, number of prefill engines, reason
         self.said = 0  # bytes
-        self.took_s: list[float] = []
+        self.decision_s: list[float] = []
         self.moves: list[float] = []
 
     def turn(self, now: float, node: int, pools: Pools) -> None:
-        """A router says what it saw, the first one decides, all adopt."""
+        """Publish a router's summary; the first router decides, and all adopt the decision."""
         self.bodies[node] = pools.summary(now)
         self.said += len(self.bodies[node])
-        if node == 0 and now - self.decided_ms >= DECIDE_MS:
+        if node == 0 and now - self.decided_ms >= DECISION_INTERVAL_MS:
             self.decided_ms = now
             begin = time.perf_counter()
             new = pools.decide(now, list(self.bodies.values()), self.decision)
-            self.took_s.append(time.perf_counter() - begin)
+            self.decision_s.append(time.perf_counter() - begin)
             if new is not None:
                 self._note(now, split.decode_plan(new), split.decode_plan(self.decision))
                 self.decision = new
@@ -153,23 +155,24 @@
             self.moves.append(now)
 
 
-class Learning(Sided):
-    """Routers that learn the split: each notes what its requests showed."""
+class LearningRouter(SplitRouter):
+    """Routers that learn the split from the results of their requests."""
 
-    def __init__(self, settings: i.Settings, seed: int, hub: Hub) -> None:
+    def __init__(self, settings: i.Settings, seed: int, store: SharedStore) -> None:
         super().__init__(settings, seed)
-        self.hub = hub
+        self.store = store
         total = sum(t.portion for t in settings.tenants)
         self.pools = Pools(0.0, settings.classes, [t.portion / total for t in settings.tenants])
         self.pool.side_of = self.pools.is_prefill_engine
         self.side = lambda event: self.pools.is_prefill_request(event.cls, event.prompt_tokens)
-        self.open: dict[str, tuple[i.RequestArrived, float, float]] = {}  # when it came, its first token
-        self.armed = False
+        # Arrival time, and the time of the first token.
+        self.open: dict[str, tuple[i.RequestArrived, float, float]] = {}
+        self.timer_set = False
 
     def handle(self, now_ms: float, events: list[i.Event]) -> list[i.Action]:
-        """The decisions, with notes taken of what they see."""
+        """Decide as usual, and record the events."""
         rest = []
-        turned = not self.armed
+        turned = not self.timer_set
         for event in events:
             if isinstance(event, i.TimerFired) and event.token == TIMER:
                 turned = True
@@ -182,14 +185,14 @@
                 event, _, _ = self.open.pop(action.request)
                 self.pools.recorder.record_answer(now_ms, event.cls, event.tenant, 0, False, True)
         if turned:
-            self.armed = True
+            self.timer_set = True
             self.pools.set_engines({
                 name: Engine(str(r.kind), r.zone, 0.0 < now_ms - r.started_at < self.settings.cold_ms
                              and r.started_at > 0.0)
                 for name, r in self.pool.replicas.items() if r.serving
             })  # fmt: skip
-            self.hub.turn(now_ms, self.settings.node, self.pools)
-            actions = [*actions, i.SetTimer(TIMER, SAY_MS)]
+            self.store.turn(now_ms, self.settings.node, self.pools)
+            actions = [*actions, i.SetTimer(TIMER, SUMMARY_INTERVAL_MS)]
         return actions
 
     def _note(self, now: float, event: i.Event) -> None:
@@ -205,14 +208,14 @@
                 notes.record_load(now, str(replica.kind), report.busy_share, report.memory_share)
         elif isinstance(event, i.RequestGone) and event.request in self.open:
             one, _, first = self.open.pop(event.request)
-            self._asked(now, one, -1.0)
+            self._record_request(now, one, -1.0)
             notes.record_answer(now, one.cls, one.tenant, 0, False, first == 0.0)
         elif isinstance(event, i.AttemptEnded) and event.closed and event.request in self.open:
             one, came, first = self.open.pop(event.request)
             whole = event.outcome is i.Outcome.SERVED
             tokens = one.max_answer_tokens if whole else 0
             unread = one.prompt_tokens - event.kept_tokens
-            self._asked(now, one, unread if whole else -1.0)
+            self._record_request(now, one, unread if whole else -1.0)
             cls = self.settings.classes[one.cls]
             pace = (now - first) / max(1, tokens - 1)
             late = (
@@ -226,74 +229,77 @@
                 sent = event.lag_ms - (now - first)
                 notes.record_timing(now, str(replica.kind), unread, sent, tokens, now - first)
 
-    def _asked(self, now: float, event: i.RequestArrived, unread: float) -> None:
+    def _record_request(self, now: float, event: i.RequestArrived, unread: float) -> None:
         notes = self.pools.recorder
         if unread < 0.0:
             unread = notes.expected_unread(event.cls, event.tenant, event.prompt_tokens)
         notes.record_request(now, event.cls, event.tenant, event.prompt_tokens, unread)
 
 
-# --- days
+# --- scenarios
 
 
-READS = {"aim_ms": 1500.0, "deadline_ms": 6000.0, "token_aim_ms": 0.0, "new_tokens": [4000, 12000],
+PREFILL_CLASS = {"aim_ms": 1500.0, "deadline_ms": 6000.0, "token_aim_ms": 0.0, "new_tokens": [4000, 12000],
          "answer_tokens": [8, 32], "openings": 0, "opening_share": 0.0, "turns": 1.0}  # fmt: skip
-WRITES = {"aim_ms": 600.0, "deadline_ms": 4000.0, "token_aim_ms": 40.0, "new_tokens": [50, 300],
+DECODE_CLASS = {"aim_ms": 600.0, "deadline_ms": 4000.0, "token_aim_ms": 40.0, "new_tokens": [50, 300],
           "answer_tokens": [150, 500], "openings": 0, "opening_share": 0.0, "turns": 1.0}  # fmt: skip
 
 
-def day(reading: float, load: float, engines: int = 8, length_s: float = 40.0, **changes: Any) -> Scenario:
-    """A day with such a share of the engines' work in reading, at so much of what they can do."""
-    mean_read, mean_write = 7300.0 * READ_COST, 290.0 * WRITE_COST + 130.0 * READ_COST
+def mixed_scenario(
+    reading: float, load: float, engines: int = 8, length_s: float = 40.0, **changes: Any
+) -> Scenario:
+    """A scenario with this share of the engines' work in prefill, at this load relative to their capacity."""
+    mean_read, mean_write = 7300.0 * PREFILL_COST_MS, 290.0 * DECODE_COST_MS + 130.0 * PREFILL_COST_MS
     reads, writes = reading / mean_read, (1.0 - reading) / mean_write
     return convert({
         "name": f"{reading:g} reading at {load:g}", "length_s": length_s, "lead_s": LEAD_S,
-        "engines": engines, "routers": max(2, round(ROUTERS * engines)),
+        "engines": engines, "routers": max(2, round(ROUTERS_PER_ENGINE * engines)),
         "load": {"per_engine": load * 1000.0 * (reads + writes)},
-        "classes": {"read": {"share": reads, **READS}, "write": {"share": writes, **WRITES}}, **changes,
+        "classes": {"read": {"share": reads, **PREFILL_CLASS}, "write": {"share": writes, **DECODE_CLASS}},
+        **changes,
     })  # fmt: skip
 
 
-GROWS = {"aim_ms": 1000.0, "deadline_ms": 5000.0, "token_aim_ms": 60.0, "new_tokens": [200, 2000],
+SESSION_CLASS = {"aim_ms": 1000.0, "deadline_ms": 5000.0, "token_aim_ms": 60.0, "new_tokens": [200, 2000],
          "answer_tokens": [40, 200], "openings": 10, "opening_tokens": [2000, 4000], "turns": 5.0,
          "think_s": [1.0, 6.0]}  # fmt: skip
 
 
-def kept(per_engine: float, share: float) -> Scenario:
-    """A day on which so much of the requests belongs to sessions that grow and whose prompts are kept."""
+def session_scenario(per_engine: float, share: float) -> Scenario:
+    """A scenario in which this share of the requests is in growing sessions with cached prompts."""
     rest = (1.0 - share) / 2.0
     return convert({
         "name": f"{share:g} in sessions at {per_engine:g}", "length_s": 40.0, "lead_s": LEAD_S, "engines": 8,
         "routers": 4, "load": {"per_engine": per_engine},
-        "classes": {"read": {"share": rest, **READS}, "write": {"share": rest, **WRITES},
-                    "session": {"share": share / 5.0, **GROWS}},
+        "classes": {"read": {"share": rest, **PREFILL_CLASS}, "write": {"share": rest, **DECODE_CLASS},
+                    "session": {"share": share / 5.0, **SESSION_CLASS}},
     })  # fmt: skip
 
 
-class Played(msgspec.Struct):
-    """What a day came to."""
+class RunResult(msgspec.Struct):
+    """The results of one run."""
 
     worth: float
-    first_ms: list[float]  # by class, at the 95th
+    first_ms: list[float]  # by class, 95th percentile
     pace_ms: list[float]
     requests: int
     history: list[tuple[float, int, str]] = []
     moves: list[float] = []
-    said: float = 0.0  # bytes a router and second
+    said: float = 0.0  # bytes per router and second
     decide_ms: float = 0.0
 
 
 def play(
     scenario: Scenario, seed: int, make: Callable[[i.Settings, int, EngineOracle], RoutingPolicy]
-) -> Played:
-    """One day with these routers."""
+) -> RunResult:
+    """Simulate one scenario with these routers."""
     policies.POLICIES["pools"] = make
     simulation = Simulation(scenario, "pools", seed)
     report = simulation.play()
     assert not report["rules_broken"], report["rules_broken"]
     records = [r for r in simulation.clients.records if r.planned.at_ms >= scenario.lead_ms()]
     by_class = [[r for r in records if r.planned.cls == n] for n in range(len(scenario.classes))]
-    return Played(
+    return RunResult(
         report["worth"],
         [round(percentile([r.first_ms for r in some if r.first_ms >= 0.0], 95), 1) for some in by_class],
         [round(percentile([_pace(r) for r in some if r.outcome == "served"], 95), 2) for some in by_class],
@@ -305,31 +311,32 @@
     return (record.end_ms - record.first_ms) / max(1, record.planned.answer - 1)
 
 
-def learnt(scenario: Scenario, seed: int) -> Played:
-    """The same with the split learnt."""
-    hub = Hub()
-    played = play(scenario, seed, lambda settings, its, truth: Learning(settings, its, hub))
+def play_learned(scenario: Scenario, seed: int) -> RunResult:
+    """Simulate a scenario with the learned split."""
+    store = SharedStore()
+    played = play(scenario, seed, lambda settings, its, truth: LearningRouter(settings, its, store))
     whole = scenario.total_s() * scenario.routers
     return msgspec.structs.replace(
-        played, history=hub.history, moves=hub.moves, said=hub.said / whole,
-        decide_ms=1000.0 * percentile(hub.took_s, 50),
+        played, history=store.history, moves=store.moves, said=store.said / whole,
+        decide_ms=1000.0 * percentile(store.decision_s, 50),
     )  # fmt: skip
 
 
-def any_engines(scenario: Scenario, seed: int, count: int) -> frozenset[str]:
-    """So many engines of the day."""
+def pick_engines(scenario: Scenario, seed: int, count: int) -> frozenset[str]:
+    """The first `count` engines of the scenario."""
     return frozenset(sorted(Simulation(scenario, "random", seed).engines.by_id)[:count])
 
 
 def compared(scenario: Scenario, seeds: tuple[int, ...], tries: list[int]) -> dict[str, Any]:
-    """One mix: worth by seed without a split, with the learnt one, with halves, and with the best fixed one.
+    """Compare one mix without a split, with the learned one, with halves, and with the best fixed one.
 
-    The best fixed one is the number of readers with the highest mean over the seeds, no split among them.
+    The best fixed one is the number of prefill engines with the highest mean worth over the seeds; no split
+    is one of the candidates.
     """
     half = scenario.engines // 2
     counts = sorted({0, half, *tries})
-    plays = {n: [play(scenario, s, fixed(any_engines(scenario, s, n), 0)) for s in seeds] for n in counts}
-    own = [learnt(scenario, seed) for seed in seeds]
+    plays = {n: [play(scenario, s, fixed(pick_engines(scenario, s, n), 0)) for s in seeds] for n in counts}
+    own = [play_learned(scenario, seed) for seed in seeds]
     worth = {n: mean([one.worth for one in some]) for n, some in plays.items()}
     best = max(worth, key=lambda n: worth[n])
     ours = mean([one.worth for one in own])
@@ -360,23 +367,23 @@
 
 
 def turning(engines: int, seed: int, phase_s: float = 90.0) -> dict[str, Any]:
-    """Prompts three times as long from one second on, and back: how soon the split is where it then stays."""
+    """Make prompts three times as long at one time, and change back: how soon the split settles."""
     phases = (1.0, 3.0, 1.0)
     lines = []
     for n, factor in enumerate(phases):
-        part = day(0.45, 0.65, engines, phase_s * len(phases) - LEAD_S)
+        part = mixed_scenario(0.45, 0.65, engines, phase_s * len(phases) - LEAD_S)
         turned = msgspec.structs.replace(part.classes["read"], new_tokens=(2400.0 * factor, 7200.0 * factor))
         part = msgspec.structs.replace(part, classes=part.classes | {"read": turned})
         for one in draw_requests(part, [], Random(f"{seed} {n}")):
             if n * phase_s <= one.at_ms / 1000.0 < (n + 1) * phase_s:
                 lines.append({"at_ms": one.at_ms, "class": ("read", "write")[one.cls], "prompt": one.prompt,
                               "answer": one.answer, "session": f"{one.session:x}"})  # fmt: skip
-    made = day(0.45, 0.65, engines, phase_s * len(phases) - LEAD_S)
+    made = mixed_scenario(0.45, 0.65, engines, phase_s * len(phases) - LEAD_S)
     with tempfile.NamedTemporaryFile() as trace:
         trace.write(b"\n".join(map(orjson.dumps, lines)))
         trace.flush()
         made = msgspec.structs.replace(made, load=msgspec.structs.replace(made.load, trace=trace.name))
-        none, own = play(made, seed, fixed(frozenset(), 0)), learnt(made, seed)
+        none, own = play(made, seed, fixed(frozenset(), 0)), play_learned(made, seed)
     slack = max(1, engines // split.ENGINES_PER_MOVE)
     follows, settled = [], []
     for n in range(len(phases)):
@@ -393,26 +400,26 @@
 
 
 def readers(history: list[tuple[float, int, str]], at: float) -> int:
-    """How many engines read at a time."""
+    """The number of prefill engines at a time."""
     return next((n for when, n, _ in reversed(history) if when <= at), 0)
 
 
 def steady(reading: float, load: float, length_s: float, seed: int) -> dict[str, Any]:
-    """One mix that does not change, for long: moves an hour once the split stands."""
-    own = learnt(day(reading, load, length_s=length_s), seed)
+    """Run one constant mix for long: moves per hour once the split is established."""
+    own = play_learned(mixed_scenario(reading, load, length_s=length_s), seed)
     moves = [at for at in own.moves if at >= 2.0 * LEAD_S * 1000.0]
     hours = (length_s - LEAD_S) / 3600.0
     return {"reading": reading, "load": load, "s": length_s, "moves": len(moves),
             "an_hour": round(len(moves) / hours, 2)}  # fmt: skip
 
 
-def errors(seed: int) -> dict[str, float]:
-    """Largest error of quantiles told by a summary, as a share, against what was drawn; cut answers too."""
+def quantile_errors(seed: int) -> dict[str, float]:
+    """Largest relative error of quantiles in a summary against the drawn values, also of censored data."""
     rng, pools = Random(seed), Pools(0.0, ())
     prompts: list[float] = []
     wholes: list[float] = []
     for n in range(8000):
-        at = n * 0.5  # within a fraction of the half life: age must not be what is measured
+        at = n * 0.5  # all within a fraction of the half-life, so that aging does not affect the result
         prompt, whole = round(100 * 120 ** rng.random()), max(1, round(rng.expovariate(1 / 300.0)))
         left = round(rng.expovariate(1 / 600.0))
         prompts.append(prompt)
@@ -436,31 +443,37 @@
 
 
 def _perform(job: tuple[Callable[..., Any], Any]) -> Any:
-    call, told = job
-    return call(*told)
+    call, arguments = job
+    return call(*arguments)
 
 
 def main() -> dict[str, Any]:
-    """Everything; three mixes once, a turn and the sketches' errors in the short form."""
+    """Measure everything; the short form has three mixes once, one change and the quantile errors."""
     parser = argparse.ArgumentParser(description=__doc__.split("\n")[0] if __doc__ else None)
     parser.add_argument("--short", action="store_true")
     parser.add_argument("--large", action="store_true", help="200 engines as well; some ten minutes more")
-    told = parser.parse_args()
-    short = told.short
+    args = parser.parse_args()
+    short = args.short
     jobs: list[tuple[Callable[..., Any], Any]] = []
     if short:
         mixes = ((0.2, 0.85), (0.5, 0.7), (0.8, 0.85))
-        jobs = [(compared, (day(reading, load), (21,), [2, 4, 5, 6, 7])) for reading, load in mixes]
+        jobs = [
+            (compared, (mixed_scenario(reading, load), (21,), [2, 4, 5, 6, 7])) for reading, load in mixes
+        ]
         jobs += [(turning, (8, 21))]
     else:
         jobs = [(steady, (reading, load, 3640.0, 21)) for reading, load in ((0.5, 0.7), (0.8, 0.85))]
         jobs += [(turning, (engines, seed)) for engines, seed in ((8, 21), (8, 22), (32, 21))]
-        jobs += [(compared, (day(0.5, 0.75, 32), (21,), [8, 12, 20, 24]))]
-        jobs += [(compared, (kept(load, share), (21, 22), [])) for load in (2.0, 3.0) for share in (0.3, 0.8)]
-        jobs += [(compared, (day(reading, load), (21, 22), list(range(1, 8))))
+        jobs += [(compared, (mixed_scenario(0.5, 0.75, 32), (21,), [8, 12, 20, 24]))]
+        jobs += [
+            (compared, (session_scenario(load, share), (21, 22), []))
+            for load in (2.0, 3.0)
+            for share in (0.3, 0.8)
+        ]
+        jobs += [(compared, (mixed_scenario(reading, load), (21, 22), list(range(1, 8))))
                  for load in (0.5, 0.7, 0.85) for reading in MIXES]  # fmt: skip
-    if told.large:
-        jobs += [(compared, (day(0.5, 0.75, 200, 20.0), (21,), [75, 125]))]
+    if args.large:
+        jobs += [(compared, (mixed_scenario(0.5, 0.75, 200, 20.0), (21,), [75, 125]))]
     found: dict[str, list[Any]] = {"compared": [], "turning": [], "steady": []}
     with ProcessPoolExecutor(1 if short else 2, mp_context=get_context("spawn")) as pool:
         begun = {pool.submit(_perform, job): job[0].__name__ for job in jobs}
@@ -468,21 +481,23 @@
             found[begun[done]].append(done.result())
             print(orjson.dumps(done.result(), option=orjson.OPT_NON_STR_KEYS).decode(), flush=True)
     days, turns, still = found["compared"], found["turning"], found["steady"]
-    wrong = errors(21)
+    quantile_error = quantile_errors(21)
     follow = max(s for turn in turns for s in turn["follow_s"])
     checks = {
-        "never more than 1 % under no split": all(mean(one["against_none"]) >= -GOAL_NONE for one in days),
-        "within 3 % of the best fixed split": all(one["behind_best"] <= GOAL_BEST for one in days),
-        "follows a turn within 30 s": follow <= FOLLOW_S,
-        "quantiles within 5 %": wrong["prompt"] <= ERROR,
+        "never more than 1 % under no split": all(
+            mean(one["against_none"]) >= -MAX_LOSS_TO_NONE for one in days
+        ),
+        "within 3 % of the best fixed split": all(one["behind_best"] <= MAX_LOSS_TO_BEST for one in days),
+        "follows a turn within 30 s": follow <= MAX_FOLLOW_S,
+        "quantiles within 5 %": quantile_error["prompt"] <= MAX_QUANTILE_ERROR,
     }
     if still:
-        checks["at most 2 moves an hour"] = all(one["an_hour"] <= MOVES_AN_HOUR for one in still)
+        checks["at most 2 moves an hour"] = all(one["an_hour"] <= MAX_MOVES_PER_HOUR for one in still)
     return {
         "name": "pools", "holds": all(checks.values()), "checks": checks,
         "gain": {one["day"]: round(mean(one["against_none"]), 4) for one in days},
         "behind_best": {one["day"]: one["behind_best"] for one in days},
-        "turns": turns, "follow_s": follow, "steady": still, "errors": wrong,
+        "turns": turns, "follow_s": follow, "steady": still, "errors": quantile_error,
         "bytes_a_router_s": max(one["bytes_a_router_s"] for one in days),
         "decide_ms": max(one["decide_ms"] for one in days),
     }  # fmt: skip
