--- a/benchmarks/sessions.py
+++ b/benchmarks/sessions.py
@@ -1,9 +1,9 @@
-"""Sessions measured: are predictions true, what do reservations save, and what do they cost.
+"""Measures session predictions: their calibration, the benefit of cache reservations, and their cost.
 
     python benchmarks/sessions.py [--short]
 
-Sessions of four hidden kinds, mixed; the model learns from one day and is judged on others. Reservations are
-measured in the lab's virtual time: the real decisions, told what docs/sessions.md proposes they be told.
+Sessions of four hidden kinds are mixed; the model learns from one trace and is judged on others. Reservations
+are simulated with the real decisions, which get the inputs that docs/sessions.md proposes.
 """
 
 from __future__ import annotations
@@ -43,21 +43,27 @@
 from spoolbarrow.sessions.model import Prediction  # noqa: E402
 from spoolbarrow.sessions.part import MAX_MOVED_SHARE, UNKNOWN_HINT, CacheHint, Sessions, Settings  # noqa: E402
 
-TENTHS_WITHIN, LEFT_LESS, ANEW_LESS, WORTH_WITHIN, COST_SHARE = 0.05, 1 / 3, 0.25, 0.005, 0.1
-ALIKE_LEAST = 100  # turns of which the very same was stated, before its doubt is judged
-TENTH_LEAST = 300  # turns in a tenth before it is judged
-MEMORY_MOST = 16 << 20
-Asks = dict[int, list[float]]  # when each session asks, ms
+TENTH_TOLERANCE, MIN_TURNS_GAIN, MIN_REREAD_GAIN, WORTH_TOLERANCE, MAX_COST_SHARE = (
+    0.05,
+    1 / 3,
+    0.25,
+    0.005,
+    0.1,
+)
+MIN_EQUAL_TURNS = 100  # turns with the same prediction before its uncertainty is judged
+MIN_TENTH_TURNS = 300  # in a tenth before it is judged
+MAX_MEMORY_BYTES = 16 << 20
+RequestTimes = dict[int, list[float]]  # of each session, ms
 
 
 @dataclass(frozen=True)
 class Kind:
-    """How one hidden kind behaves; ranges are of logarithms, evenly."""
+    """The behaviour of one hidden kind; ranges are log-uniform."""
 
-    turns: tuple[int, int]  # evenly from one to the other, or with `going` one more with that chance
+    turns: tuple[int, int]  # uniform in this range, then one more with chance `going`, repeatedly
     going: float
     gap_s: tuple[float, float]
-    fresh: tuple[int, int]  # tokens of the first turn beside the opening
+    fresh: tuple[int, int]  # tokens of the first turn besides the opening
     adds: tuple[int, int]
     answer: tuple[int, int]
 
@@ -73,7 +79,7 @@
     "loops": (0.2, 0.6, 0.1, 0.1),
     "cases": (0.35, 0.05, 0.2, 0.4),
 }
-SITES = {  # which of two classes a kind's sessions are of: shares of the first
+SITES = {  # share of each kind's sessions in the first of two classes
     "docs": (0.6, 0.3, 0.5, 0.8),
     "agents": (0.5, 0.9, 0.1, 0.4),
 }
@@ -81,7 +87,7 @@
 
 @dataclass
 class Turn:
-    """One turn as its client means it."""
+    """One turn as its client plans it."""
 
     at: float  # ms
     session: int
@@ -91,7 +97,7 @@
     answer: int
     number: int  # from 1
     left: int  # turns after it
-    away: float  # until the next, ms after its answer; inf: none
+    away: float  # ms from its response to the next turn; inf: none
     kind: int
 
 
@@ -107,7 +113,7 @@
     seed: int,
     case: Kind = CASE,
 ) -> Iterator[Turn]:
-    """A day's turns in order: `rate` new sessions a second. An answer takes 30 ms a token."""
+    """Draw turns in order: `rate` new sessions per second. A response takes 30 ms per token."""
     rng, count, at = Random(f"sessions {seed}"), 0, 0.0
     heap: list[tuple[float, int, Turn]] = []
     kinds = (ONCE, LOOP, TALK, case)
@@ -135,8 +141,8 @@
         yield heappop(heap)[2]
 
 
-def known_kind(kind: Kind, number: int) -> float:
-    """Turns left on average, were the kind no secret."""
+def expected_turns_left(kind: Kind, number: int) -> float:
+    """The mean number of turns left if the kind is known."""
     more = kind.going / (1.0 - kind.going)
     low, high = kind.turns
     totals = [n for n in range(low, high + 1) if n >= number]
@@ -144,11 +150,11 @@
 
 
 def learn(days: list[Iterator[Turn]], length_s: float) -> tuple[bytes, list[bytes], float]:
-    """A model of days that as many routers saw, the bodies it was made of, and the time that took, s."""
+    """A model of traces seen by one router each, the summaries it was made of, and the time that took, s."""
     bodies = []
     for who, day in enumerate(days):
         one = Sessions(Settings(slots=32_768), who + 1)
-        for _ in played(one, day):
+        for _ in replay(one, day):
             pass
         one.sweep(length_s * 1000.0)
         bodies.append(one.summary(length_s * 1000.0))
@@ -158,8 +164,8 @@
     return body, bodies, perf_counter() - begin
 
 
-def played(part: Sessions, day: Iterator[Turn]) -> Iterator[tuple[float, tuple[Turn, Prediction | None]]]:
-    """Tell a router of a day, every answer found whole at one of eight engines; each turn's prediction."""
+def replay(part: Sessions, day: Iterator[Turn]) -> Iterator[tuple[float, tuple[Turn, Prediction | None]]]:
+    """Replay a trace to a router, served by one of eight engines; yields each turn's prediction."""
     ends: list[tuple[float, int, Turn]] = []
     swept = 0.0
 
@@ -181,7 +187,7 @@
 
 
 def calibration(mix: str, site: str, short: bool, seeds: tuple[int, ...]) -> dict[str, Any]:
-    """Stated against seen, on days that the model has not seen."""
+    """Compare predictions with outcomes, on traces that the model has not seen."""
     length, rate = (5_400.0, 1.0) if short else (10_800.0, 2.0)
     shape, classes = MIXES[mix], SITES[site]
     body, bodies, took = learn([turns(shape, classes, rate, length, 100 + n) for n in range(2)], length)
@@ -196,12 +202,12 @@
     kinds = ("own", "class", "own2", "class2", "known", "half", "next")
     off: dict[str, list[float]] = {kind: [] for kind in kinds}
     names: dict[str, int] = {}
-    due: dict[int, float] = {}  # the next prompt as predicted, by session
-    alike: dict[tuple[float, float, float], list[float]] = {}  # by what was stated: turns, returns
+    due: dict[int, float] = {}  # predicted next prompt, by session
+    alike: dict[tuple[float, float, float], list[float]] = {}  # by prediction: turns, returns
     for seed in seeds:
         part = Sessions(Settings(slots=32_768), 7)
         assert part.adopt(0.0, body) and part.predictor is not None
-        for _, (one, found) in played(part, turns(shape, classes, rate, length, seed)):
+        for _, (one, found) in replay(part, turns(shape, classes, rate, length, seed)):
             assert found is not None
             returns = float(one.away <= cells.HORIZON_MS)
             row = tenths[min(9, int(found.return_chance * 10.0))]
@@ -211,7 +217,7 @@
             brier.append((found.return_chance - returns) ** 2)
             blank.append((back - returns) ** 2)
             guess = part.predictor.turns_left(found, one.number)
-            known = known_kind((ONCE, LOOP, TALK, CASE)[one.kind], one.number)
+            known = expected_turns_left((ONCE, LOOP, TALK, CASE)[one.kind], one.number)
             off["known"].append(abs(known - one.left))
             off["own"].append(abs(guess - one.left))
             off["class"].append(abs(usual[one.cls] - one.left))
@@ -230,11 +236,11 @@
     told = [{"turns": int(n), "stated": round(s / n, 4), "seen": round(k / n, 4)} for n, s, k in tenths if n]
     sure = []
     for (low, high, chance), (n, back) in alike.items():
-        drawn = 1.645 * (chance * (1.0 - chance) / n) ** 0.5  # what is seen is itself a draw
+        drawn = 1.645 * (chance * (1.0 - chance) / n) ** 0.5  # sampling error of the observed share
         off_by, doubt = abs(back / n - chance), max(high - chance, chance - low)
-        if n >= ALIKE_LEAST:
+        if n >= MIN_EQUAL_TURNS:
             sure.append(off_by <= (doubt**2 + drawn**2) ** 0.5)
-    worst = max(abs(t["stated"] - t["seen"]) for t in told if t["turns"] >= TENTH_LEAST)
+    worst = max(abs(t["stated"] - t["seen"]) for t in told if t["turns"] >= MIN_TENTH_TURNS)
     return {
         "mix": mix, "site": site, "turns": len(brier), "clusters": len(names),
         "brier": round(mean(brier), 4), "brier_of_the_mean": round(mean(blank), 4),
@@ -249,7 +255,7 @@
     }  # fmt: skip
 
 
-# --- reservations in the lab
+# --- simulated reservations
 
 ENGINE = {"memory_tokens": 100_000, "slots": 64, "speed": [0.9, 1.2], "chunk_tokens": 2048}
 CLASSES: dict[str, list[dict[str, Any]]] = {
@@ -262,12 +268,12 @@
         {"aim_ms": 900.0, "deadline_ms": 5000.0, "worth": 2.0, "token_aim_ms": 80.0},
     ],
 }
-TELL_MS = 1000.0
-PUSH = 1.0  # of the price of reading, for what will be read anew later
+SWEEP_INTERVAL_MS = 1000.0
+EVICTION_WEIGHT = 1.0  # weight of the prefill cost of evicted prompts that must be read again
 
 
-class Engines(r.ReplicaPool):
-    """The pool of the decisions, told of homes and of what engines keep."""
+class ReservingPool(r.ReplicaPool):
+    """The pool of replicas, with preferred replicas by session and the contents of their caches."""
 
     def __init__(
         self, settings: i.Settings, rng: Random, part: Sessions, facts: dict[str, CacheHint]
@@ -277,7 +283,7 @@
         self.read = 0.0
 
     def preferred_replicas(self, request: r.Request, now: float) -> list[r.Replica]:
-        """Where its prompt was left, before where its key would have it."""
+        """The replica that has the session's prompt, before those preferred by its key."""
         usual = super().preferred_replicas(request, now)
         told = self.facts.get(request.id)
         home = self.replicas.get(told.home) if told is not None and told.home else None
@@ -286,7 +292,7 @@
         return usual
 
     def predict_prefill(self, request: r.Request, rank: int) -> float:
-        """Tokens to read: at the home, what is not kept there."""
+        """Tokens to prefill: at the preferred replica, those that are not cached there."""
         told = self.facts.get(request.id)
         self.read = super().predict_prefill(request, rank)
         if told is not None and told.home:
@@ -294,46 +300,48 @@
         return self.read
 
     def predict_wait(self, replica: r.Replica, now: float, with_failures: bool = False) -> float:
-        """Weighing a choice, also what it would push out."""
+        """When comparing choices, also count what the request would evict."""
         found = super().predict_wait(replica, now, with_failures)
         if not with_failures or self.part.moved_share > MAX_MOVED_SHARE:
             return found
         density = self.part.engine_reservations(now, replica.id).reuse_density
-        return found + PUSH * r.PREFILL_COST_FACTOR / r.PREFILL_TOKENS_PER_MS * density * self.read
+        return found + EVICTION_WEIGHT * r.PREFILL_COST_FACTOR / r.PREFILL_TOKENS_PER_MS * density * self.read
 
 
-class Knowing(Sessions):
-    """Predicts what will be: who returns, and when."""
+class OracleSessions(Sessions):
+    """Predicts returns from the actual future of the trace."""
 
-    def __init__(self, settings: Settings, who: int, asks: Asks) -> None:
+    def __init__(self, settings: Settings, who: int, asks: RequestTimes) -> None:
         super().__init__(settings, who)
         self.asks = asks
 
     def predict(self, now: float, key: int, cell: int) -> Prediction:
-        """What will be."""
+        """Predict the actual next request."""
         found = super().predict(now, key, cell)
         at = next((at for at in self.asks[key] if at > now), None)
         if at is None:
             return replace(found, return_chance=0.0)
-        return replace(found, return_chance=1.0, p90_return_chance=1.0, p90_return_ms=at - now + TELL_MS)
+        return replace(
+            found, return_chance=1.0, p90_return_chance=1.0, p90_return_ms=at - now + SWEEP_INTERVAL_MS
+        )
 
 
-class Told:
-    """The real decisions with sessions beside them; `asks`: the oracle's."""
+class SessionRouter:
+    """The real decisions with session predictions; `asks`: request times for the oracle."""
 
-    def __init__(self, settings: i.Settings, seed: int, body: bytes, asks: Asks | None) -> None:
-        told = Settings(routers=settings.nodes, slots=32_768)
-        self.part = Sessions(told, seed) if asks is None else Knowing(told, seed, asks)
+    def __init__(self, settings: i.Settings, seed: int, body: bytes, asks: RequestTimes | None) -> None:
+        options = Settings(routers=settings.nodes, slots=32_768)
+        self.part = Sessions(options, seed) if asks is None else OracleSessions(options, seed, asks)
         assert self.part.adopt(0.0, body)
         self.facts: dict[str, CacheHint] = {}
         self.router = r.Router(settings, seed)
-        self.router.pool = Engines(settings, self.router.rng, self.part, self.facts)
+        self.router.pool = ReservingPool(settings, self.router.rng, self.part, self.facts)
         self.router.pool.full_wait_ms = self.router.full_wait_ms
-        self.told_at = 0.0
+        self.swept_at = 0.0
         self.asked: dict[str, i.RequestArrived] = {}
 
     def handle(self, now: float, events: list[i.Event]) -> list[i.Action]:
-        """Tell the sessions first, then the decisions."""
+        """Notify the sessions first, then the decisions."""
         for event in events:
             if isinstance(event, i.RequestArrived):
                 self.asked[event.request] = event
@@ -350,23 +358,23 @@
                 for line in event.entries:
                     serving = line.state is i.ReplicaState.SERVING
                     self.part.update_engine(now, line.replica, serving, line.started_at_ms)
-        if now - self.told_at >= TELL_MS:
+        if now - self.swept_at >= SWEEP_INTERVAL_MS:
             self.part.sweep(now)
-            self.told_at = now
+            self.swept_at = now
             for name in [n for n in self.asked if n not in self.router.requests]:
                 del self.asked[name], self.facts[name]
         return self.router.handle(now, events)
 
 
-class Heard:
-    """Any decisions, and what their answers tell was found kept."""
+class CacheRecorder:
+    """Wraps any decisions, and records the cached tokens reported in their responses."""
 
     def __init__(self, its: RoutingPolicy, seen: dict[str, tuple[i.RequestArrived, int]]) -> None:
         self.its, self.seen = its, seen
         self.open: dict[str, i.RequestArrived] = {}
 
     def handle(self, now: float, events: list[i.Event]) -> list[i.Action]:
-        """Note, and decide."""
+        """Record the events, and decide."""
         for event in events:
             if isinstance(event, i.RequestArrived):
                 self.open[event.request] = event
@@ -379,9 +387,9 @@
         return self.its.handle(now, events)
 
 
-def trace(path: Path, mix: str, site: str, rate: float, length_s: float, seed: int) -> Asks:
-    """Write a day in the lab's own form; when each session asks, ms."""
-    asks: Asks = {}
+def trace(path: Path, mix: str, site: str, rate: float, length_s: float, seed: int) -> RequestTimes:
+    """Write a trace in the simulator's format; returns the request times of each session, ms."""
+    asks: RequestTimes = {}
     with path.open("wb") as out:
         for one in turns(MIXES[mix], SITES[site], rate, length_s, seed, QUICK_CASE):
             asks.setdefault(one.session, []).append(one.at)
@@ -397,18 +405,18 @@
     return asks
 
 
-class Sticky(Scenario, frozen=True):
-    """A front that sends a session to the same router each time."""
+class StickyScenario(Scenario, frozen=True):
+    """A load balancer that sends a session to the same router each time."""
 
     def routers_in_zone(self, routers: list[int], session: int) -> list[int]:
-        """One of them, by the session."""
+        """Choose one router by the session."""
         return [routers[session // 7 % len(routers)]]
 
 
 def day(
     path: Path, site: str, engines: int, routers: int, length_s: float, lead_s: float, sticky: bool
 ) -> Scenario:
-    """The lab's scenario of a trace."""
+    """The simulator's scenario of a trace."""
     found = convert({
         "name": "sessions", "length_s": length_s - lead_s, "lead_s": lead_s,
         "engines": engines, "routers": routers, "load": {"per_engine": 1.0, "trace": str(path)},
@@ -417,19 +425,19 @@
         "tenants": {"t0": {"share": 0.6}, "t1": {"share": 0.4}},
     })  # fmt: skip
     names = [field.name for field in fields(Scenario)]
-    return Sticky(**{name: getattr(found, name) for name in names}) if sticky else found
+    return StickyScenario(**{name: getattr(found, name) for name in names}) if sticky else found
 
 
 def play(
-    scenario: Scenario, make: Callable[[i.Settings, int], RoutingPolicy], seed: int, asks: Asks
+    scenario: Scenario, make: Callable[[i.Settings, int], RoutingPolicy], seed: int, asks: RequestTimes
 ) -> dict[str, Any]:
-    """One day; what was found kept, of all prompts and of those of sessions that returned."""
+    """Simulate one scenario; the cached share of all prompts, and of those of returning sessions."""
     seen: dict[str, tuple[i.RequestArrived, int]] = {}
     made: list[RoutingPolicy] = []
 
     def heard(settings: i.Settings, number: int, truth: EngineOracle) -> RoutingPolicy:
         made.append(make(settings, number))
-        return Heard(made[-1], seen)
+        return CacheRecorder(made[-1], seen)
 
     POLICIES["measured"] = heard
     simulation = Simulation(scenario, "measured", seed)
@@ -443,13 +451,13 @@
         before = left.get(one.session, 0)
         left[one.session] = one.prompt_tokens + one.max_answer_tokens
         if begun[one.session] < lead:
-            continue  # of the lead, and of who came in it
+            continue  # skip sessions that started in the lead time
         prompts += one.prompt_tokens
         kept += found
         if before:
             back += min(before, one.prompt_tokens)
             anew += max(0, min(before, one.prompt_tokens) - found)
-    told = [one for one in made if isinstance(one, Told)]
+    told = [one for one in made if isinstance(one, SessionRouter)]
     return {
         "worth": report["worth"], "kept_share": round(kept / max(1, prompts), 4),
         "anew": anew, "anew_share": round(anew / max(1, back), 4),
@@ -459,10 +467,10 @@
     }  # fmt: skip
 
 
-def saved(
+def compare_reservations(
     mix: str, site: str, engines: int, routers: int, rate: float, length_s: float, seed: int, sticky: bool
 ) -> dict[str, Any]:
-    """The same day without reservations, with them, and with an oracle's returns."""
+    """The same trace without reservations, with them, and with an oracle's predictions."""
     learnt, _, _ = learn(
         [turns(MIXES[mix], SITES[site], 1.0, 3600.0, 300 + n, QUICK_CASE) for n in range(2)], 3600.0
     )
@@ -472,29 +480,29 @@
         scenario = day(path, site, engines, routers, length_s, 0.25 * length_s, sticky)
         makes: dict[str, Callable[[i.Settings, int], RoutingPolicy]] = {
             "plain": lambda settings, number: r.Router(settings, number),
-            "reserved": lambda settings, number: Told(settings, number, learnt, None),
-            "oracle": lambda settings, number: Told(settings, number, learnt, asks),
+            "reserved": lambda settings, number: SessionRouter(settings, number, learnt, None),
+            "oracle": lambda settings, number: SessionRouter(settings, number, learnt, asks),
         }
         found = {name: play(scenario, make, seed, asks) for name, make in makes.items()}
     return {"mix": mix, "site": site, "routers": routers, "requests": sum(map(len, asks.values())), **found}
 
 
-# --- what it costs
+# --- cost
 
 
 def cost(short: bool) -> dict[str, Any]:
-    """Processor time that a request costs here, sweeps included, against the decisions alone, turn about."""
+    """Processor time per request here, sweeps included, against that of the decisions alone, in turn."""
     shape, classes = MIXES["even"], SITES["docs"]
     body, _, took = learn([turns(shape, classes, 1.0, 3600.0, 300, QUICK_CASE)], 3600.0)
     own, decisions = [], []
     for seed in range(3 if short else 9):
         asked = list(turns(shape, classes, 3.0, 300.0, seed, QUICK_CASE))
         spent = []
-        for make in (Sessions, Idle):
+        for make in (Sessions, NullSessions):
             part = make(Settings(slots=32_768), 7)
             assert part.adopt(0.0, body)
             begin = process_time_ns()
-            for _ in played(part, iter(asked)):
+            for _ in replay(part, iter(asked)):
                 pass
             spent.append(process_time_ns() - begin)
         own.append((spent[0] - spent[1]) / 1000.0 / len(asked))
@@ -502,8 +510,8 @@
             path = Path(folder) / "day.jsonl"
             asks = trace(path, "even", "docs", 3.0, 60.0, seed)
             scenario = day(path, "docs", 8, 1, 60.0, 1.0, True)
-            timed = Timed(scenario.settings(0), seed)
-            play(scenario, partial(the, timed), seed, asks)
+            timed = TimedRouter(scenario.settings(0), seed)
+            play(scenario, partial(existing, timed), seed, asks)
         decisions.append(timed.spent_ns / 1000.0 / timed.taken)
     return {
         "us_a_request": round(median(own), 1), "decision_us": round(median(decisions), 1),
@@ -512,20 +520,20 @@
     }  # fmt: skip
 
 
-def the(timed: Timed, settings: i.Settings, seed: int) -> RoutingPolicy:
-    """This one, made before."""
+def existing(timed: TimedRouter, settings: i.Settings, seed: int) -> RoutingPolicy:
+    """Return the policy that was made before."""
     return timed
 
 
-class Timed:
-    """The real decisions, and the processor time they take: the lab's own figure is by the wall."""
+class TimedRouter:
+    """Measures the processor time of the real decisions; the simulator's own figure is wall time."""
 
     def __init__(self, settings: i.Settings, seed: int) -> None:
         self.its = r.Router(settings, seed)
         self.spent_ns = self.taken = 0
 
     def handle(self, now: float, events: list[i.Event]) -> list[i.Action]:
-        """Decide, timed."""
+        """Decide, and add up the time."""
         self.taken += sum(isinstance(event, i.RequestArrived) for event in events)
         begin = process_time_ns()
         actions = self.its.handle(now, events)
@@ -533,8 +541,8 @@
         return actions
 
 
-class Idle(Sessions):
-    """Does nothing: what the measuring itself costs."""
+class NullSessions(Sessions):
+    """Does nothing, to measure the cost of the measurement itself."""
 
     def request_arrived(
         self, now: float, key: int, cls: int, tenant: int, prompt: int, shared: int
@@ -551,23 +559,23 @@
 
 
 def memory() -> dict[str, Any]:
-    """What 100,000 sessions hold, with their reservations: resident memory of a process of its own."""
+    """Resident memory of 100,000 sessions with their reservations, in a process of its own."""
     done = subprocess.run([sys.executable, __file__, "--memory"], capture_output=True, check=True)
     found: dict[str, Any] = orjson.loads(done.stdout)
     return found
 
 
-def resident() -> int:
-    """Bytes of this process in memory."""
+def resident_bytes() -> int:
+    """Resident memory of this process in bytes."""
     gc.collect()
     return int(Path("/proc/self/statm").read_text().split()[1]) * 4096
 
 
-def fill() -> dict[str, Any]:
-    """Fill a table with 100,000 sessions that have all asked and are away."""
+def fill_table() -> dict[str, Any]:
+    """Fill a table with 100,000 sessions that wait between turns."""
     body, _, _ = learn([turns(MIXES["even"], SITES["docs"], 1.0, 1800.0, 300)], 1800.0)
     rng = Random(1)
-    before = resident()
+    before = resident_bytes()
     part = Sessions(Settings(), 7)
     assert part.adopt(0.0, body)
     for n in range(64):
@@ -578,19 +586,19 @@
         part.request_arrived(n * 0.1, key, n % 2, n % 5, rng.randint(100, 3000), 0)
         part.answer_ended(n * 0.1, key, f"e{n % 50}", rng.randint(30, 300), 0)
     return {
-        "bytes": resident() - before, "columns": part.table.size_bytes(), "sessions": part.table.count,
+        "bytes": resident_bytes() - before, "columns": part.table.size_bytes(), "sessions": part.table.count,
         "reservations": len(part.reservations.by_key),
     }  # fmt: skip
 
 
-# --- libraries, where they are installed
+# --- libraries, if they are installed
 
 
-def libraries() -> dict[str, Any]:
-    """The same evidence given to libraries: how well each predicts the next day, and what it takes.
+def compare_libraries() -> dict[str, Any]:
+    """Fit libraries to the same evidence: how well each predicts the next trace, and at what cost.
 
     scikit-learn's mixture gets the cells' centres, repeated by count; river's k-means each turn, one by one;
-    lifelines the waits of one stage, to compare with our curve.
+    lifelines the waits of one stage, to compare with this project's curve.
     """
     made: dict[str, Any] = {}
     shape, classes, length = MIXES["questions"], SITES["agents"], 5_400.0
@@ -602,17 +610,17 @@
     assert ours.adopt(0.0, body)
     got = [
         (found.return_chance - (one.away <= cells.HORIZON_MS)) ** 2
-        for _, (one, found) in played(ours, iter(days[1]))
+        for _, (one, found) in replay(ours, iter(days[1]))
         if found is not None
     ]
     made["own"] = {"brier": round(mean(got), 4), "fit_s": round(took, 3), "import_bytes": 0}
     for name, fit in (("scikit-learn", by_sklearn), ("river", by_river)):
-        before, begin = resident(), perf_counter()
+        before, begin = resident_bytes(), perf_counter()
         try:
             whose = fit()
         except ImportError:
             continue
-        imported, begin = resident() - before, perf_counter()
+        imported, begin = resident_bytes() - before, perf_counter()
         first, second = whose(states[0], states[1])
         rates: dict[Any, list[float]] = {}
         for key, back in zip(first, returns[0], strict=True):
@@ -624,16 +632,16 @@
             "fit_s": round(perf_counter() - begin, 3), "import_bytes": imported,
         }  # fmt: skip
     try:
-        before = resident()
+        before = resident_bytes()
         lifelines = importlib.import_module("lifelines")
     except ImportError:
         return made
-    imported, begin = resident() - before, perf_counter()
+    imported, begin = resident_bytes() - before, perf_counter()
     waits = [min(one.away, cells.HORIZON_MS * 2) for one in days[0] if one.number == 1]
     meier = lifelines.KaplanMeierFitter().fit(waits, [w <= cells.HORIZON_MS for w in waits])
     took = perf_counter() - begin
     one = Sessions(Settings(slots=32_768), 7)
-    for _ in played(one, iter(days[0])):
+    for _ in replay(one, iter(days[0])):
         pass
     stays, apart = 1.0, 0.0
     first_turns = [c for cell, c in one.evidence.now.items() if cells.parts(cell)[1] == 0]
@@ -646,7 +654,7 @@
 
 
 def features(day: list[Turn]) -> Iterator[tuple[int, float, float, float, int]]:
-    """Stage, mean gap, growth and answer in octaves, and class: what a cell is made of."""
+    """Yield the features of a cell: stage, mean gap, growth and response length in octaves, and class."""
     means: dict[int, list[float]] = {}
     for one in day:
         its = means.setdefault(one.session, [-1.0, 0.0, 0.0, 0.0, 0.0])  # gap, growth, answer, context, away
@@ -660,11 +668,11 @@
         yield cells.stage(n), its[0], its[1], its[2], one.cls
 
 
-Fitted = Callable[[list[Any], list[Any]], tuple[list[Any], list[Any]]]
+Clustering = Callable[[list[Any], list[Any]], tuple[list[Any], list[Any]]]
 
 
-def by_sklearn() -> Fitted:
-    """Cluster and stage of each turn by a Gaussian mixture of as many parts as its criterion bears."""
+def by_sklearn() -> Clustering:
+    """Cluster and stage of each turn by a Gaussian mixture with the best information criterion."""
     numpy = importlib.import_module("numpy")
     mixture = importlib.import_module("sklearn.mixture")
 
@@ -679,8 +687,8 @@
     return whose
 
 
-def by_river() -> Fitted:
-    """Cluster and stage of each turn by k-means that learns one turn at a time."""
+def by_river() -> Clustering:
+    """Cluster and stage of each turn by incremental k-means."""
     cluster = importlib.import_module("river.cluster")
 
     def whose(first: list[Any], second: list[Any]) -> tuple[list[Any], list[Any]]:
@@ -696,24 +704,25 @@
     return whose
 
 
-# --- all of it
+# --- everything
 
-RATES = {"even": 3.0, "questions": 7.0, "loops": 2.0, "cases": 4.0}  # new sessions a second, of eight engines
+# New sessions per second, for eight engines.
+RATES = {"even": 3.0, "questions": 7.0, "loops": 2.0, "cases": 4.0}
 FRONTS = ((1, True), (4, True), (4, False))  # routers; whether a session stays with one
 
 
 def main() -> dict[str, Any]:
-    """Everything, as one object."""
+    """Measure everything and return it as one object."""
     arguments = argparse.ArgumentParser(description=(__doc__ or "").splitlines()[0])
     arguments.add_argument("--short", action="store_true", help="ends within 45 s")
-    arguments.add_argument("--memory", action="store_true", help="only fill a table, for the rest of it")
+    arguments.add_argument("--memory", action="store_true", help="only fill a table; used by the full run")
     arguments.add_argument("--libraries", action="store_true", help="only the libraries that are installed")
-    chosen = arguments.parse_args()
-    if chosen.memory:
-        return fill()
-    if chosen.libraries:
-        return libraries()
-    short = chosen.short
+    args = arguments.parse_args()
+    if args.memory:
+        return fill_table()
+    if args.libraries:
+        return compare_libraries()
+    short = args.short
     pairs = [("questions", "docs")] if short else [(mix, site) for mix in MIXES for site in SITES]
     days = [("questions", "docs", FRONTS[0])] if short else [
         (mix, site, front) for mix, site in pairs for front in FRONTS if front == FRONTS[0] or site == "docs"
@@ -722,10 +731,13 @@
     with ProcessPoolExecutor(1 if short else 2, mp_context=get_context("spawn")) as pool:
         all_stated = [pool.submit(calibration, mix, site, short, (1,)) for mix, site in pairs]
         all_days = [
-            [pool.submit(saved, mix, site, 8, front[0], RATES[mix], length, seed, front[1]) for seed in seeds]
+            [
+                pool.submit(compare_reservations, mix, site, 8, front[0], RATES[mix], length, seed, front[1])
+                for seed in seeds
+            ]
             for mix, site, front in days
         ]
-        stated = [one.result() for one in all_stated]
+        calibrations = [one.result() for one in all_stated]
         results = [[one.result() for one in its] for its in all_days]
     played_days = []
     for (mix, site, (routers, sticky)), each in zip(days, results, strict=True):
@@ -736,25 +748,27 @@
             "oracle_of_plain": round(read["oracle"] / max(1, read["plain"]), 3),
             "worth": round(mean(one["reserved"]["worth"] - one["plain"]["worth"] for one in each), 5),
         })  # fmt: skip
-    spent, held = cost(short), memory()
-    # The bounds that are kept by construction; goals that are not reached are told below, and in the docs.
+    costs, held = cost(short), memory()
+    # Bounds that hold by construction; goals that are not reached are reported below and in the docs.
     holds = (
-        all(one["worst_tenth"] <= 1.5 * TENTHS_WITHIN for one in stated)
-        and all(its["worth"] >= -WORTH_WITHIN for its in played_days)
+        all(one["worst_tenth"] <= 1.5 * TENTH_TOLERANCE for one in calibrations)
+        and all(its["worth"] >= -WORTH_TOLERANCE for its in played_days)
         and all(its["anew_of_plain"] <= 1.02 for its in played_days)
-        and held["bytes"] <= MEMORY_MOST
+        and held["bytes"] <= MAX_MEMORY_BYTES
     )
     goals = {
-        "tenths_within_5_points": all(one["worst_tenth"] <= TENTHS_WITHIN for one in stated),
-        "turns_left_a_third_less": all(one["left_error_of_class_mean"] <= 1 - LEFT_LESS for one in stated),
-        "a_quarter_less_read_anew": all(its["anew_of_plain"] <= 1 - ANEW_LESS for its in played_days),
-        "worth_within_half_a_percent": all(its["worth"] >= -WORTH_WITHIN for its in played_days),
-        "a_tenth_of_a_decision": spent["of_a_decision"] <= COST_SHARE,
-        "sessions_within_16_mb": held["bytes"] <= MEMORY_MOST,
+        "tenths_within_5_points": all(one["worst_tenth"] <= TENTH_TOLERANCE for one in calibrations),
+        "turns_left_a_third_less": all(
+            one["left_error_of_class_mean"] <= 1 - MIN_TURNS_GAIN for one in calibrations
+        ),
+        "a_quarter_less_read_anew": all(its["anew_of_plain"] <= 1 - MIN_REREAD_GAIN for its in played_days),
+        "worth_within_half_a_percent": all(its["worth"] >= -WORTH_TOLERANCE for its in played_days),
+        "a_tenth_of_a_decision": costs["of_a_decision"] <= MAX_COST_SHARE,
+        "sessions_within_16_mb": held["bytes"] <= MAX_MEMORY_BYTES,
     }
     return {
-        "name": "sessions", "holds": holds, "goals": goals, "calibration": stated,
-        "reservations": played_days, "cost": spent, "memory": held,
+        "name": "sessions", "holds": holds, "goals": goals, "calibration": calibrations,
+        "reservations": played_days, "cost": costs, "memory": held,
     }  # fmt: skip
 
 
