--- a/benchmarks/pools.py
+++ b/benchmarks/pools.py
@@ -99,10 +99,10 @@
         finally:
             pool.local_ring, pool.local = whole
 
-    def _cheapest(self, request: Request, *told: Any, **named: Any) -> Any:
+    def _cheapest(self, request: Request, *args: Any, **kwargs: Any) -> Any:
         self.pool.asking = self.sides.get(request.id)
         self.pool.fee = (PREFILL_FEE if self.pool.asking else DECODE_FEE) * request.objective_ms
-        return super()._cheapest(request, *told, **named)
+        return super()._cheapest(request, *args, **kwargs)
 
     def _close(self, request: Request) -> None:
         super()._close(request)
@@ -427,10 +427,10 @@
         pools.recorder.record_request(at, 0, 0, prompt, prompt)
         pools.recorder.record_answer(at, 0, 0, min(whole, left), whole <= left, False)
     cell = pools.recorder.stats.cells[0, 0]
-    told = {"prompt": cell.prompts, "answer, a third cut": sketch.kaplan_meier(cell.ended, cell.cut),
+    sketches = {"prompt": cell.prompts, "answer, a third cut": sketch.kaplan_meier(cell.ended, cell.cut),
             "answer, cut ones left out": cell.ended}  # fmt: skip
     found = {}
-    for name, counts in told.items():
+    for name, counts in sketches.items():
         true = sorted(prompts if name == "prompt" else wholes)
         found[name] = max(
             abs(sketch.quantile(counts, q) - true[int(q * len(true))]) / (true[int(q * len(true))] + 1.0)
--- a/benchmarks/sessions.py
+++ b/benchmarks/sessions.py
@@ -233,18 +233,20 @@
             of = alike.setdefault((found.low, found.high, found.return_chance), [0, 0])
             of[0] += 1
             of[1] += returns
-    told = [{"turns": int(n), "stated": round(s / n, 4), "seen": round(k / n, 4)} for n, s, k in tenths if n]
+    tenth_rows = [
+        {"turns": int(n), "stated": round(s / n, 4), "seen": round(k / n, 4)} for n, s, k in tenths if n
+    ]
     sure = []
     for (low, high, chance), (n, back) in alike.items():
         drawn = 1.645 * (chance * (1.0 - chance) / n) ** 0.5  # sampling error of the observed share
         off_by, doubt = abs(back / n - chance), max(high - chance, chance - low)
         if n >= MIN_EQUAL_TURNS:
             sure.append(off_by <= (doubt**2 + drawn**2) ** 0.5)
-    worst = max(abs(t["stated"] - t["seen"]) for t in told if t["turns"] >= MIN_TENTH_TURNS)
+    worst = max(abs(t["stated"] - t["seen"]) for t in tenth_rows if t["turns"] >= MIN_TENTH_TURNS)
     return {
         "mix": mix, "site": site, "turns": len(brier), "clusters": len(names),
         "brier": round(mean(brier), 4), "brier_of_the_mean": round(mean(blank), 4),
-        "tenths": told, "worst_tenth": round(worst, 4),
+        "tenths": tenth_rows, "worst_tenth": round(worst, 4),
         "left_error_of_class_mean": round(mean(off["own"]) / mean(off["class"]), 3),
         "left_squared_error_of_class_mean": round((mean(off["own2"]) / mean(off["class2"])) ** 0.5, 3),
         "left_error_with_the_kind_known": round(mean(off["known"]) / mean(off["class"]), 3),
@@ -285,18 +287,18 @@
     def preferred_replicas(self, request: r.Request, now: float) -> list[r.Replica]:
         """The replica that has the session's prompt, before those preferred by its key."""
         usual = super().preferred_replicas(request, now)
-        told = self.facts.get(request.id)
-        home = self.replicas.get(told.home) if told is not None and told.home else None
+        hint = self.facts.get(request.id)
+        home = self.replicas.get(hint.home) if hint is not None and hint.home else None
         if home is not None and home.serving:
             usual = [home, *(one for one in usual if one is not home)]
         return usual
 
     def predict_prefill(self, request: r.Request, rank: int) -> float:
         """Tokens to prefill: at the preferred replica, those that are not cached there."""
-        told = self.facts.get(request.id)
+        hint = self.facts.get(request.id)
         self.read = super().predict_prefill(request, rank)
-        if told is not None and told.home:
-            self.read = float(request.prompt_tokens - (told.cached_tokens if rank == 0 else 0))
+        if hint is not None and hint.home:
+            self.read = float(request.prompt_tokens - (hint.cached_tokens if rank == 0 else 0))
         return self.read
 
     def predict_wait(self, replica: r.Replica, now: float, with_failures: bool = False) -> float:
@@ -346,8 +348,8 @@
             if isinstance(event, i.RequestArrived):
                 self.asked[event.request] = event
                 part, e = self.part, event
-                told = part.request_arrived(now, e.session, e.cls, e.tenant, e.prompt_tokens, e.shared_tokens)
-                self.facts[event.request] = told
+                hint = part.request_arrived(now, e.session, e.cls, e.tenant, e.prompt_tokens, e.shared_tokens)
+                self.facts[event.request] = hint
             elif isinstance(event, i.AttemptEnded) and event.outcome is i.Outcome.SERVED:
                 one = self.asked.get(event.request)
                 if one is not None:
@@ -457,13 +459,13 @@
         if before:
             back += min(before, one.prompt_tokens)
             anew += max(0, min(before, one.prompt_tokens) - found)
-    told = [one for one in made if isinstance(one, SessionRouter)]
+    session_routers = [one for one in made if isinstance(one, SessionRouter)]
     return {
         "worth": report["worth"], "kept_share": round(kept / max(1, prompts), 4),
         "anew": anew, "anew_share": round(anew / max(1, back), 4),
         "first_p95_ms": round(percentile(first, 95), 1),
         "decision_us": report["run"]["decision_us_a_request"],
-        "reserved": sum(t.part.reservations.reserved_tokens for t in told),
+        "reserved": sum(t.part.reservations.reserved_tokens for t in session_routers),
     }  # fmt: skip
 
 
@@ -681,8 +683,8 @@
         fits = [mixture.GaussianMixture(k, random_state=1).fit(rows) for k in range(1, 9)]
         best = min(fits, key=lambda one: one.bic(rows))
         both = (zip(best.predict(numpy.array(its)[:, 1:]), its, strict=True) for its in (first, second))
-        told = [[(int(k), one[0]) for k, one in pairs] for pairs in both]
-        return told[0], told[1]
+        labels = [[(int(k), one[0]) for k, one in pairs] for pairs in both]
+        return labels[0], labels[1]
 
     return whose
 
