--- a/benchmarks/list_pacing.py
+++ b/benchmarks/list_pacing.py
@@ -31,12 +31,12 @@
             for name, make in STRATEGIES.items():
                 cells = []
                 for rate in RATES_PER_S:
-                    cells.append(cell([simulate(make, routers, rate, known, down, seed) for seed in seeds]))
+                    cells.append(format_cell([simulate(make, routers, rate, known, down, seed) for seed in seeds]))
                 print(f"| {name} | {' | '.join(cells)} |")
 
 
-def cell(plays: list[Result]) -> str:
-    """Calls a router, failed %, longest wait, busiest second, half and all told."""
+def format_cell(plays: list[Result]) -> str:
+    """Format calls per router, failed %, longest wait, busiest second, and when half and all had a list."""
     calls, failed, queue, busiest, half, last = (mean(values) for values in zip(*plays, strict=True))
     return f"{calls:.2f}, {100 * failed:.0f}, {queue:.2f}, {busiest:.0f}, {half:.1f}, {last:.1f}"
 
--- a/tests/test_fleet_terms.py
+++ b/tests/test_fleet_terms.py
@@ -14,12 +14,12 @@
 from msgspec.structs import replace
 
 from spoolbarrow.lab.cold_engine import ColdEngineParameters
-from tests.fleet_runs import COLD_FAULTS, FAULTS, RunSpec, draw_scene, play, report
+from tests.fleet_runs import COLD_FAULTS, FAULTS, RunSpec, draw_run, play, report
 
 
-def check_run(folder: Path, scene: RunSpec, least: int) -> None:
+def check_run(folder: Path, spec: RunSpec, least: int) -> None:
     """Check that a run of at least `least` requests violates no guarantee."""
-    run, record, violations = play(folder, scene)
+    run, record, violations = play(folder, spec)
     assert not violations, report(run, record, violations)
     assert sum(len(one.requests) for one in record.connections) >= least
     assert record.arrivals and not [
@@ -29,11 +29,11 @@
 
 @pytest.mark.parametrize(("routers", "seed", "each"), [(1, 205, 12), (4, 214, 8), (6, 211, 8)])
 def test_random_settings_and_faults_violate_no_guarantee(tmp_path: Path, routers: int, seed: int, each: int) -> None:
-    check_run(tmp_path, draw_scene(seed, routers, 5.0, each, FAULTS), 50)
+    check_run(tmp_path, draw_run(seed, routers, 5.0, each, FAULTS), 50)
 
 
 def test_random_settings_and_faults_violate_no_guarantee_with_two_dozen_processes(tmp_path: Path) -> None:
-    check_run(tmp_path, draw_scene(400, 22, 5.0, 3, COLD_FAULTS), 100)
+    check_run(tmp_path, draw_run(400, 22, 5.0, 3, COLD_FAULTS), 100)
 
 
 def scene_with_two_engines(seed: int, routers: int, attempts: int) -> RunSpec:
@@ -42,10 +42,10 @@
     figures = ColdEngineParameters(
         per_s=20.0, cold_from=0.12, cold_ms=4000.0, overload_factor=2.5, tip_after_ms=1000.0
     )
-    drawn = draw_scene(seed, routers, 4.5, each)
+    base = draw_run(seed, routers, 4.5, each)
     chat = {"Name": "chat", "AimMs": 2000.0, "DeadlineMs": 4000.0, "Effect": "retryable", "Stream": True}
     settings = {
-        **drawn.settings,
+        **base.settings,
         "Classes": [chat],
         "Tenants": [],
         "Zones": ["z0"],
@@ -75,7 +75,7 @@
         "seed": seed,
     }
     return replace(
-        drawn,
+        base,
         zones={"z0": 6},
         routers=["z0"] * routers,
         settings=settings,
