--- a/benchmarks/cold_start.py
+++ b/benchmarks/cold_start.py
@@ -27,15 +27,15 @@
 
 from spoolbarrow.lab import cluster  # noqa: E402
 from spoolbarrow.lab.cluster import Cluster  # noqa: E402
-from spoolbarrow.lab.cold import Figures  # noqa: E402
+from spoolbarrow.lab.cold_engine import ColdEngineParameters  # noqa: E402
+from spoolbarrow.lab.fault_script import SCRIPTS, cluster_options, run_script  # noqa: E402
 from spoolbarrow.lab.process import end_all_at_sigterm  # noqa: E402
-from spoolbarrow.lab.script import SCRIPTS, play, shape  # noqa: E402
 
 RATES, KNOWN = (5.0, 10.0, 20.0), ("none", "old")
 TIMEOUT_S = 3.0
 ROUTERS_PER_ENGINE = 4  # one engine for so many routers
 PAUSE_S = 1.0  # between the requests of a router's client
-SLOW_START_S = int(Figures().cold_ms / 1000)  # duration of slow start
+SLOW_START_S = int(ColdEngineParameters().cold_ms / 1000)  # duration of slow start
 KINDS = ("handshakes", "probes", "work")
 GOALS = {  # upper bounds
     "calls_a_router": 1.1,
@@ -56,12 +56,15 @@
     """Run one start; returns its figures, including those with goals."""
     script, engines = SCRIPTS[name], max(2, routers // ROUTERS_PER_ENGINE)
     with tempfile.TemporaryDirectory() as folder:
-        options = shape(script, engines, rate, routers, known) | {"timeout_s": TIMEOUT_S, "tree": tree}
+        options = cluster_options(script, engines, rate, routers, known) | {
+            "timeout_s": TIMEOUT_S,
+            "tree": tree,
+        }
         cluster_run = Cluster(Path(folder), {"a": engines}, ["a"] * routers, **options)
         try:
             cluster_run.prepare()
             least_s = SLOW_START_S + 1 if script.cold else 0
-            outcome = play(cluster_run, script, pause_s=PAUSE_S, steady_s=steady_s, least_s=least_s)
+            outcome = run_script(cluster_run, script, pause_s=PAUSE_S, steady_s=steady_s, least_s=least_s)
         finally:
             cluster_run.end(kill=True)
     summary = figures(outcome, name, routers, rate)
@@ -130,7 +133,7 @@
     args = arguments.parse_args()
     routers = args.routers or (24 if args.short else 200)
     end_all_at_sigterm()
-    cluster.LIFE_S = 600.0
+    cluster.STANDIN_LIFETIME_S = 600.0
     steady_s = 3 if args.short else 15
     rates, lists = RATES[:1] if args.short else RATES, (args.known,) if args.known else KNOWN
     cases = [("calm", rate, known) for rate in rates for known in lists]
--- a/benchmarks/drain_propagation.py
+++ b/benchmarks/drain_propagation.py
@@ -25,10 +25,10 @@
 
 from spoolbarrow.fleet.pacing import LIST_DEADLINE_MS  # noqa: E402
 from spoolbarrow.lab import cluster  # noqa: E402
-from spoolbarrow.lab.callers import BEGINNINGS, heard  # noqa: E402
 from spoolbarrow.lab.cluster import Cluster, Load  # noqa: E402
+from spoolbarrow.lab.drain_propagation import FAILURE_CASES, measure_drain_delays, undo_drain  # noqa: E402
+from spoolbarrow.lab.list_call_simulation import START_CONDITIONS, simulate_notifications  # noqa: E402
 from spoolbarrow.lab.process import end_all_at_sigterm  # noqa: E402
-from spoolbarrow.lab.told import CASES, play, take_back  # noqa: E402
 
 BOUND_S = LIST_DEADLINE_MS / 1000 + 0.25  # includes a drain's grace
 VIRTUAL_BOUND_S = LIST_DEADLINE_MS / 1000 - 0.5
@@ -62,7 +62,7 @@
         try:
             fleet.start()
             load = Load(fleet, 1, 0.1 if routers < 20 else 0.5)
-            partial_faults = [name for name in CASES if name not in FLEET_WIDE_FAULTS]
+            partial_faults = [name for name in FAILURE_CASES if name not in FLEET_WIDE_FAULTS]
             rounds: list[dict[str, Sequence[int]]] = [{name: range(routers)} for name in FLEET_WIDE_FAULTS]
             if together:
                 rounds.append(
@@ -71,8 +71,8 @@
             else:
                 rounds += [{name: range(routers)} for name in partial_faults]
             for groups in rounds:
-                found |= play(fleet, groups, 0, down_s)
-                take_back(fleet, 0)
+                found |= measure_drain_delays(fleet, groups, 0, down_s)
+                undo_drain(fleet, 0)
             load.stop()
         finally:
             fleet.end(kill=True)
@@ -87,9 +87,9 @@
     least: dict[str, float] = {}
     for rate in CALLS_PER_S:
         row = table[str(rate)] = {}
-        for beginning in BEGINNINGS:
-            plays = [heard(beginning, routers, rate, seed) for seed in range(seeds)]
-            last = max(max(one.told) for one in plays) / 1000
+        for beginning in START_CONDITIONS:
+            plays = [simulate_notifications(beginning, routers, rate, seed) for seed in range(seeds)]
+            last = max(max(one.notified_after_ms) for one in plays) / 1000
             row[beginning] = [round(last, 2), round(sum(one.calls for one in plays) / seeds / routers, 2)]
             if last <= VIRTUAL_BOUND_S:
                 least.setdefault(beginning, rate)
@@ -105,7 +105,7 @@
     arguments.add_argument("--before", type=Path, help="a checkout whose program plays the real routers")
     args = arguments.parse_args()
     short: bool = args.short
-    cluster.LIFE_S = 600.0
+    cluster.STANDIN_LIFETIME_S = 600.0
     fleets = {routers: measure_virtual(routers, 3 if short else 20) for routers in MIN_CALLS_PER_S}
     processes = (
         {12: measure_processes(12, 3.0, True, args.before)}
@@ -119,7 +119,7 @@
     fits = all(
         fleet["fits_from"].get(beginning, 1e9) <= MIN_CALLS_PER_S[routers]
         for routers, fleet in fleets.items()
-        for beginning in BEGINNINGS
+        for beginning in START_CONDITIONS
     )
     return {
         "name": "told",
--- a/benchmarks/failover.py
+++ b/benchmarks/failover.py
@@ -171,7 +171,9 @@
                 if zone == "0" and state is ZoneState.FAILED
             ]
             result["failed_falsely"] = sum(
-                zone != "0" and state is ZoneState.FAILED for node_changes in changes for _, zone, state in node_changes
+                zone != "0" and state is ZoneState.FAILED
+                for node_changes in changes
+                for _, zone, state in node_changes
             )
             result |= {
                 "routers": len(changes),
--- a/benchmarks/fleet_updates.py
+++ b/benchmarks/fleet_updates.py
@@ -115,7 +115,9 @@
             result["memory_more_mb"] = round((memory_kb(fleet.routers) - without) / 1024, 2)
             load = Load(fleet, pause_s=0.02)
             try:
-                result["change_by_period"] = summarize([change_delay(fleet, turn) for turn in range(4 * plays)])
+                result["change_by_period"] = summarize(
+                    [change_delay(fleet, turn) for turn in range(4 * plays)]
+                )
                 result["cut_off_by_ttl"] = summarize([fallback_delay(fleet) for _ in range(plays)])
                 lost = [holder_failover(fleet) for _ in range(plays)]
                 result["holder_lost_by_ttl"] = summarize([delay for delay, _ in lost])
--- a/benchmarks/lab.py
+++ b/benchmarks/lab.py
@@ -56,7 +56,9 @@
     """Simulate one router with the same load per engine at each fleet size."""
     found = {}
     for engines, length, lead in ((10, 60.0, 10.0), (100, 10.0, 5.0), (1000, 2.0, 2.0), (4000, 1.0, 1.0)):
-        scenario = calm_scenario(engines=engines, routers=1, length_s=length if short else 4 * length, lead_s=lead)
+        scenario = calm_scenario(
+            engines=engines, routers=1, length_s=length if short else 4 * length, lead_s=lead
+        )
         seeds = (1, 2, 3) if engines <= 100 or not short else (1,)
         reports = [simulate(scenario, "spoolbarrow", seed) for seed in seeds]
         found[str(engines)] = {
@@ -109,7 +111,9 @@
     """Compare the simulator with sockets in six scenarios."""
     seeds, length, lead, at_once = ((1,), 8.0, 2.0, 6) if short else (tuple(range(1, 7)), 25.0, 5.0, 4)
     with ProcessPoolExecutor(at_once, mp_context=get_context("spawn")) as pool:
-        runs = {name: [pool.submit(compare_run, name, seed, length, lead) for seed in seeds] for name in TROUBLES}
+        runs = {
+            name: [pool.submit(compare_run, name, seed, length, lead) for seed in seeds] for name in TROUBLES
+        }
         found = {name: [run.result() for run in some] for name, some in runs.items()}
     result: dict[str, Any] = {}
     for name, some in found.items():
@@ -173,12 +177,15 @@
             figures["router_kb"] = pool.submit(router_kb, int(size)).result()
     base = by_size["10"]["decision_us"]
     growth = {size: round(by_size[str(size)]["decision_us"] / base, 3) for size in MAX_GROWTH}
-    one, repeat = (simulate(calm_scenario(length_s=10.0, troubles=TROUBLES["hang"]), "spoolbarrow", 7) for _ in range(2))
+    one, repeat = (
+        simulate(calm_scenario(length_s=10.0, troubles=TROUBLES["hang"]), "spoolbarrow", 7) for _ in range(2)
+    )
     repeatable = all(one[key] == repeat[key] for key in one if key != "run")
     queues = {}
     for queue in QUEUES:
         found = compare_with_theory(queue, 20_000 if short else 200_000, seed=7)
-        # Service takes whole steps of 1 ms, and arrivals fall between them. slack = 0.0 ifqueue. servers == 1 else  1.0
+        # Service takes whole steps of 1 ms, and arrivals fall between them.
+        slack = 0.0 if queue.servers == 1 else 1.0
         name = f"{'M/D' if queue.fixed else 'M/M'}/{queue.servers} at {queue.load}"
         queues[name] = {key: round(value, 3) for key, value in found._asdict().items()}
         queues[name]["holds"] = found.holds(slack)
--- a/benchmarks/list_pacing.py
+++ b/benchmarks/list_pacing.py
@@ -1,9 +1,9 @@
-"""Ways for a fleet to call its list service (`spoolbarrow/lab/list_call_simulation.py`), as tables.
+"""Compares ways for a fleet to pace calls to its list service (`spoolbarrow/lab/list_call_simulation.py`), as tables.
 
     python benchmarks/list_pacing.py [--short]
 
-Each cell is the mean of the seeds: calls a router, failed %, the longest wait over the time-out, calls in
-the busiest second, and when half and all had their list, over the least time that the service needs for that.
+Each cell has means over the seeds: calls per router, failed %, the longest wait relative to the timeout,
+calls in the busiest second, and when half and all had their list, over the least time the service needs.
 """
 
 from __future__ import annotations
@@ -31,7 +31,9 @@
             for name, make in STRATEGIES.items():
                 cells = []
                 for rate in RATES_PER_S:
-                    cells.append(format_cell([simulate(make, routers, rate, known, down, seed) for seed in seeds]))
+                    cells.append(
+                        format_cell([simulate(make, routers, rate, known, down, seed) for seed in seeds])
+                    )
                 print(f"| {name} | {' | '.join(cells)} |")
 
 
--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -1,10 +1,10 @@
-"""The store measured: histories under faults, bugs put in on purpose, and what members write in a second.
+"""Measures the store: histories under faults, detection of deliberate bugs, and writes per second.
 
     python benchmarks/store.py [--short]
 
-Histories of three and five members in virtual time (`spoolbarrow/lab/raft_histories.py`), one by seed. A bug that no
-history finds is left to the scripted dialogues of the tests. Then three member processes on loopback, and one
-alone, take changes of 200 bytes from eight writers until so many keys are kept.
+Runs histories of three and five members in virtual time (`spoolbarrow/lab/raft_histories.py`), one per seed. A bug
+that no history finds is left to the scripted dialogues of the tests. Then three member processes on loopback,
+and one alone, take changes of 200 bytes from eight writers until a number of keys is stored.
 """
 
 from __future__ import annotations
@@ -73,7 +73,11 @@
         try:
             leader = ""
             while not leader:
-                leading = [one for one in controls if call_member(one, "GET", "/v1/status")[1].get("role") == "leader"]
+                leading = [
+                    one
+                    for one in controls
+                    if call_member(one, "GET", "/v1/status")[1].get("role") == "leader"
+                ]
                 leader = leading[0] if leading else ""
             times: list[float] = []
             failed: list[int] = []
--- a/spoolbarrow/lab/fault_script.py
+++ b/spoolbarrow/lab/fault_script.py
@@ -162,7 +162,9 @@
     "restart-full": Script(
         "the service is restarted while calls wait", (Step("restart", event="queue"),), "none"
     ),
-    "third-gone": Script("a third of the engines in the known list is gone", (Step("lose-engines", BEFORE, 1 / 3),)),
+    "third-gone": Script(
+        "a third of the engines in the known list is gone", (Step("lose-engines", BEFORE, 1 / 3),)
+    ),
     "all-cold": Script("all routers and engines start at once", (Step("chill", BEFORE),), "none", cold=True),
     "outage": Script(
         "the service is down for 5 s, with all watches open",
@@ -277,7 +279,9 @@
     for n, process in enumerate(made.routers):
         answers = [one for one in list(load.answers) if one.router == n]
         served = [one.ended_at - begun for one in answers if one.status == 200]
-        early = next((at for at, one in enumerate(answers) if one.status), len(answers))  # attempts before the router listened
+        early = next(
+            (at for at, one in enumerate(answers) if one.status), len(answers)
+        )  # attempts before the router listened
         answers, broken = answers[early:], process.events("watch_broken")
         routers[f"r{n}"] = {
             "calls": service["calls"].get(f"r{n}", 0),
@@ -342,7 +346,9 @@
                 "routers": len(counts["by_router"].get(kind, {})),
             }
             if steady_s:
-                steady = sum(amount for second, amount in by_second.items() if ended - steady_s <= int(second) < ended)
+                steady = sum(
+                    amount for second, amount in by_second.items() if ended - steady_s <= int(second) < ended
+                )
                 results[name][kind]["steady"] = steady / steady_s
     return results
 
@@ -387,7 +393,9 @@
     """Run one script; the exit status."""
     names = ", ".join(SCRIPTS)
     description = f"NAME: one of {names}."
-    arguments = argparse.ArgumentParser(prog="python -m spoolbarrow.lab.fault_script", description=description)
+    arguments = argparse.ArgumentParser(
+        prog="python -m spoolbarrow.lab.fault_script", description=description
+    )
     arguments.add_argument("name", choices=SCRIPTS, metavar="NAME")
     arguments.add_argument("--routers", type=int, default=16)
     arguments.add_argument("--engines", type=int, default=0, help="0: one per two routers")
--- a/spoolbarrow/lab/socket_run.py
+++ b/spoolbarrow/lab/socket_run.py
@@ -138,7 +138,9 @@
 
     def wait(self) -> None:
         """Wait until all routers serve; OSError if one does not in time."""
-        with gevent.Timeout(START_TIMEOUT_S, OSError(f"a router did not start; its log is in {self.directory}")):
+        with gevent.Timeout(
+            START_TIMEOUT_S, OSError(f"a router did not start; its log is in {self.directory}")
+        ):
             for n in range(len(self.ports)):
                 while not self.up(n):
                     gevent.sleep(0.05)
@@ -193,7 +195,9 @@
     if not any(one.trouble.name in ROUTER_TROUBLES for one in plans):
         # Requests of a router that dies stay unanswered: an effect of the trouble, not a violation.
         broken["1: no answer by the deadline"] = figures["unanswered"]
-    broken["3: sent to what drains or is gone"] = fleet.late_sends(scenario.limits.drain_grace_ms + TRANSIT_MS)
+    broken["3: sent to what drains or is gone"] = fleet.late_sends(
+        scenario.limits.drain_grace_ms + TRANSIT_MS
+    )
     broken["4: a cold engine fell over"] = sum(one["falls"] for one in engines)
     report |= work_report(scenario, records, work)
     return report | {
--- a/spoolbarrow/lab/wire_engine.py
+++ b/spoolbarrow/lab/wire_engine.py
@@ -112,7 +112,9 @@
         self.resets = self.spoilt = self.trickle = 0.0
         self.draining, self.alive = False, True
         self.held = [-1e18] * routers  # by router: nothing passes before this time
-        self.news: dict[str, Queue[tuple[int, int]]] = {}  # by request: new tokens; cached prompt tokens at the end, else -1
+        self.news: dict[
+            str, Queue[tuple[int, int]]
+        ] = {}  # by request: new tokens; cached prompt tokens at the end, else -1
         self.sent: dict[str, int] = {}
         self.talks: dict[Any, gevent.Greenlet[..., Any]] = {}  # by socket
         self.wake = Event()
@@ -127,7 +129,9 @@
             "put": partial(setattr, self),
         }
         self.count = self.falls = 0
-        self.unwanted: list[tuple[str, int, float]] = []  # requests received while it drained: engine id, router, time
+        self.unwanted: list[
+            tuple[str, int, float]
+        ] = []  # requests received while it drained: engine id, router, time
         self.past_processes: list[Engine] = []  # processes that have ended: their work still counts
         self.tasks = [gevent.spawn(self._drive), *self._accepting()]
 
--- a/tests/test_fleet_terms.py
+++ b/tests/test_fleet_terms.py
@@ -1,9 +1,9 @@
-"""Guarantees to clients and engines, checked on runs of real processes with random settings and faults.
+"""Checks the terms for clients and engines on runs of real processes with random settings and faults.
 
-The seed determines the random choices but not the timing, so a run finds a race by chance, and a seed that
-has found one need not find it again. Times are those of the kernel on the peers' side; a router is allowed
-the time for which it was runnable without a processor (`tests/terms.py`). No test depends on speed beyond the
-guarantees themselves.
+The seed determines what is drawn but not the timing, so a run finds a race by chance, and a seed that found
+one may not find it again. Times are taken by the kernel on the peers' side; a router is allowed the time for
+which it was runnable without a processor (`tests/terms.py`). No test depends on speed beyond the terms
+themselves.
 """
 
 from __future__ import annotations
@@ -17,8 +17,8 @@
 from tests.fleet_runs import COLD_FAULTS, FAULTS, RunSpec, draw_run, play, report
 
 
-def check_run(folder: Path, spec: RunSpec, least: int) -> None:
-    """Check that a run of at least `least` requests violates no guarantee."""
+def assert_terms_hold(folder: Path, spec: RunSpec, least: int) -> None:
+    """Assert that a run with at least `least` requests violates no term."""
     run, record, violations = play(folder, spec)
     assert not violations, report(run, record, violations)
     assert sum(len(one.requests) for one in record.connections) >= least
@@ -28,16 +28,18 @@
 
 
 @pytest.mark.parametrize(("routers", "seed", "each"), [(1, 205, 12), (4, 214, 8), (6, 211, 8)])
-def test_random_settings_and_faults_violate_no_guarantee(tmp_path: Path, routers: int, seed: int, each: int) -> None:
-    check_run(tmp_path, draw_run(seed, routers, 5.0, each, FAULTS), 50)
+def test_random_settings_and_faults_violate_no_term(
+    tmp_path: Path, routers: int, seed: int, each: int
+) -> None:
+    assert_terms_hold(tmp_path, draw_run(seed, routers, 5.0, each, FAULTS), 50)
 
 
-def test_random_settings_and_faults_violate_no_guarantee_with_two_dozen_processes(tmp_path: Path) -> None:
-    check_run(tmp_path, draw_run(400, 22, 5.0, 3, COLD_FAULTS), 100)
+def test_random_settings_and_faults_violate_no_term_with_two_dozen_processes(tmp_path: Path) -> None:
+    assert_terms_hold(tmp_path, draw_run(400, 22, 5.0, 3, COLD_FAULTS), 100)
 
 
-def scene_with_two_engines(seed: int, routers: int, attempts: int) -> RunSpec:
-    """Two of six engines remain, both restart, and receive the load of all six."""
+def two_restarting_engines(seed: int, routers: int, attempts: int) -> RunSpec:
+    """Two of six engines stay in the list, both restart, and they get the load of all six."""
     each = 30
     figures = ColdEngineParameters(
         per_s=20.0, cold_from=0.12, cold_ms=4000.0, overload_factor=2.5, tip_after_ms=1000.0
@@ -89,7 +91,5 @@
 
 
 @pytest.mark.parametrize("attempts", [1, 3])
-def test_the_only_two_engines_in_slow_start_are_not_overloaded(
-    tmp_path: Path, attempts: int
-) -> None:
-    check_run(tmp_path, scene_with_two_engines(1, 4, attempts), 100)
+def test_the_only_two_engines_are_not_overloaded_in_slow_start(tmp_path: Path, attempts: int) -> None:
+    assert_terms_hold(tmp_path, two_restarting_engines(1, 4, attempts), 100)
