--- a/benchmarks/list_pacing.py
+++ b/benchmarks/list_pacing.py
@@ -1,4 +1,4 @@
-"""Compares ways for a fleet to pace calls to its list service (`spoolbarrow/lab/list_call_simulation.py`), as tables.
+"""Compares ways for a fleet to pace calls to its list service (`lab/list_call_simulation.py`), as tables.
 
     python benchmarks/list_pacing.py [--short]
 
--- a/tests/test_who_is_served.py
+++ b/tests/test_who_is_served.py
@@ -1,6 +1,7 @@
 """Tests that no request is refused for its size or session while there is capacity.
 
-They use the Router alone, with a scripted clock; `benchmarks/served_share.py` measures the same over whole days.
+They use the Router alone, with a scripted clock; `benchmarks/served_share.py` measures the same over whole
+days.
 """
 
 from __future__ import annotations
