--- a/spoolbarrow/lab/fault_script.py
+++ b/spoolbarrow/lab/fault_script.py
@@ -279,9 +279,8 @@
     for n, process in enumerate(made.routers):
         answers = [one for one in list(load.answers) if one.router == n]
         served = [one.ended_at - begun for one in answers if one.status == 200]
-        early = next(
-            (at for at, one in enumerate(answers) if one.status), len(answers)
-        )  # attempts before the router listened
+        # attempts before the router listened
+        early = next((at for at, one in enumerate(answers) if one.status), len(answers))
         answers, broken = answers[early:], process.events("watch_broken")
         routers[f"r{n}"] = {
             "calls": service["calls"].get(f"r{n}", 0),
--- a/spoolbarrow/lab/list_call_simulation.py
+++ b/spoolbarrow/lab/list_call_simulation.py
@@ -96,9 +96,8 @@
     return ProgramPacing(settings, rng)
 
 
-Make = Callable[
-    [int, int, float, Random], PacingStrategy
-]  # number of routers, index of this one, true rate, random numbers
+# number of routers, index of this one, true rate, random numbers
+Make = Callable[[int, int, float, Random], PacingStrategy]
 STRATEGIES: dict[str, Make] = {
     "before: 40 ms a router, 3 s at most; backoff 1 to 8 s": lambda n, me, rate, rng: FixedBackoff(
         min(3000.0, 40.0 * n), rng
--- a/spoolbarrow/lab/list_service.py
+++ b/spoolbarrow/lab/list_service.py
@@ -145,9 +145,8 @@
     def __init__(self) -> None:
         self.index = 0
         self.lines: dict[str, Line] = {}
-        self._changes: deque[tuple[int, dict[str, Line]]] = deque(
-            maxlen=MAX_KEPT_CHANGES
-        )  # version, changed lines
+        # version, changed lines
+        self._changes: deque[tuple[int, dict[str, Line]]] = deque(maxlen=MAX_KEPT_CHANGES)
         self._oldest = 0  # oldest version since which all changes are kept
 
     def publish(self, index: int, lines: list[Line]) -> None:
--- a/spoolbarrow/lab/loopback.py
+++ b/spoolbarrow/lab/loopback.py
@@ -17,10 +17,8 @@
 from gevent import socket
 
 BASE_SECOND_BYTE = 200  # second byte of router 0's address
-LOWEST_PORT, DEFAULT_EPHEMERAL_START = (
-    10_240,
-    32_768,
-)  # first of these ports; start of the ephemeral range if the kernel does not report it
+# first of these ports; start of the ephemeral range if the kernel does not report it
+LOWEST_PORT, DEFAULT_EPHEMERAL_START = 10_240, 32_768
 MIN_PORTS = 4096  # minimum number of these ports
 MAX_ATTEMPTS = 200
 BACKLOG = 1024
@@ -45,9 +43,8 @@
     end = (
         int(_EPHEMERAL_RANGE.read_text().split()[0]) if _EPHEMERAL_RANGE.exists() else DEFAULT_EPHEMERAL_START
     )
-    end = (
-        end if end >= LOWEST_PORT + MIN_PORTS else DEFAULT_EPHEMERAL_START
-    )  # the ephemeral range covers nearly all ports
+    # the ephemeral range covers nearly all ports
+    end = end if end >= LOWEST_PORT + MIN_PORTS else DEFAULT_EPHEMERAL_START
     random = SystemRandom()
     for attempt in range(MAX_ATTEMPTS):
         sock = socket.socket()
--- a/spoolbarrow/lab/raft_histories.py
+++ b/spoolbarrow/lab/raft_histories.py
@@ -196,9 +196,8 @@
             return
         others = [one for one in self.members.values() if one is not member]
         quorum = len(self.names) // 2 + 1
-        known = sorted(one.lives.get(name, 0) for one in others)[
-            quorum - 2
-        ]  # to all others but too few for a quorum
+        # to all others but too few for a quorum
+        known = sorted(one.lives.get(name, 0) for one in others)[quorum - 2]
         kept = [saved for saved in member.kept if saved.incarnations.get(name, 0) < known]
         if kept and sum(one.old for one in others) + 1 < quorum:
             self.restored += 1
--- a/spoolbarrow/lab/recorded_clients.py
+++ b/spoolbarrow/lab/recorded_clients.py
@@ -58,7 +58,7 @@
     "bytewise",  # writes single bytes
     "chunked",  # sends a chunked body in two writes
     "large",  # sends a body of LARGE_BODY_BYTES
-    "expects",  # waits for 100 Continue before the body
+    "expects",  # sends `Expect: 100-continue` and the body after a delay
     "stops",  # disconnects in the middle of a request
 )
 # Used only by runs with drains, so that random choices of other runs stay the same.
@@ -89,9 +89,8 @@
     spread: float = 0.0  # of prompt lengths, as sigma of their logarithm
     hot: float = 0.0  # share of requests whose prompts have a common prefix
     sessions: int = 0  # per client; 0: each request has its own
-    gaps_ms: list[
-        float
-    ] = []  # between the events of a response, one drawn per request; empty: the engines' default
+    # between the events of a response, one drawn per request; empty: the engines' default
+    gaps_ms: list[float] = []
     seed: int = 1
 
 
--- a/spoolbarrow/lab/simulated_discovery.py
+++ b/spoolbarrow/lab/simulated_discovery.py
@@ -28,9 +28,8 @@
         self.shape = shape
         self.rng = rng
         self.listed = {entry.replica: entry for entry in entries}  # as the service knows them
-        self.pending_changes: deque[tuple[float, ReplicaEntry]] = (
-            deque()
-        )  # changes that it has not detected yet, in order
+        # changes that it has not detected yet, in order
+        self.pending_changes: deque[tuple[float, ReplicaEntry]] = deque()
         self.watches: set[int] = set()
         self.busy_until = 0.0
         self.down_until = -inf
--- a/spoolbarrow/lab/wire_engine.py
+++ b/spoolbarrow/lab/wire_engine.py
@@ -112,9 +112,8 @@
         self.resets = self.spoilt = self.trickle = 0.0
         self.draining, self.alive = False, True
         self.held = [-1e18] * routers  # by router: nothing passes before this time
-        self.news: dict[
-            str, Queue[tuple[int, int]]
-        ] = {}  # by request: new tokens; cached prompt tokens at the end, else -1
+        # by request: new tokens; cached prompt tokens at the end, else -1
+        self.news: dict[str, Queue[tuple[int, int]]] = {}
         self.sent: dict[str, int] = {}
         self.talks: dict[Any, gevent.Greenlet[..., Any]] = {}  # by socket
         self.wake = Event()
@@ -129,9 +128,8 @@
             "put": partial(setattr, self),
         }
         self.count = self.falls = 0
-        self.unwanted: list[
-            tuple[str, int, float]
-        ] = []  # requests received while it drained: engine id, router, time
+        # requests received while it drained: engine id, router, time
+        self.unwanted: list[tuple[str, int, float]] = []
         self.past_processes: list[Engine] = []  # processes that have ended: their work still counts
         self.tasks = [gevent.spawn(self._drive), *self._accepting()]
 
@@ -312,10 +310,10 @@
 
     def _cut_short(self, sock: Any) -> None:
         gevent.sleep(READ_GRACE_S)  # lets the peer read what was written
-        connection = self.talks.pop(sock, None)
+        greenlet = self.talks.pop(sock, None)
         self._reset(sock)
-        if connection is not None:
-            connection.kill(block=False)
+        if greenlet is not None:
+            greenlet.kill(block=False)
 
     # --- troubles
 
--- a/tests/test_fleet_cold.py
+++ b/tests/test_fleet_cold.py
@@ -22,9 +22,7 @@
 
 ROUTERS, ENGINES = 16, 6
 RATE = 8.0  # calls per second: one call of each router takes 2 s in total
-MAX_REJECTION_MS = (
-    2500  # for a rejection: half of a request's time budget, so that it can't have waited for a list
-)
+MAX_REJECTION_MS = 2500  # half of a request's time budget: a rejection can't have waited for a list
 KNOWN_S = 10.0  # after the fault: the longest pause (2 s), 2 s of calls, and slack
 SERVED_S = 6.0  # from the start to a router's first response, with a known list
 PAUSES_S = (0.5, 1.0)  # minimum pauses between failed calls; the last one repeats
@@ -209,19 +207,19 @@
             assert one["serving"] == 4 and one["first_served_s"] < SERVED_S
         assert set(calls(found)) == {1}
         work = [engine["work"]["sum"] for engine in found["of_engines"].values()]
-        assert (
-            work[:2] == [0.0, 0.0] and min(work[2:]) > 0
-        )  # removed engines got nothing: they refuse connections
+        # removed engines got nothing: they refuse connections
+        assert work[:2] == [0.0, 0.0] and min(work[2:]) > 0
 
     def test_all_routers_are_killed_and_restarted_at_once(self, start: Start) -> None:
         # Bound: KNOWN_S after they are up. Each router made one call: it started with an old list again.
         found = start.play("all-killed", 1.0)
         assert found["known_after_last_step_s"] < KNOWN_S
+        # requests in flight, and those sent while no router listened
         assert answers(found) <= {
             "200",
             "0",
             str(TRUNCATED),
-        }  # requests in flight, and those sent while no router listened
+        }
         assert set(calls(found)) == {1} and found["service"]["failed"] == 0
 
 
--- a/tests/test_fleet_failover.py
+++ b/tests/test_fleet_failover.py
@@ -122,10 +122,11 @@
             times: list[float] = [e["time"] for e in failed if e["state"] == "failed"]
             back: list[float] = [e["time"] for e in failed if e["state"] == "returning"]
             for nth, (out, again) in enumerate(zip(times, back, strict=False)):
+                # a hold time, minus a period and the log's rounding
                 assert again - out >= 0.35, (
                     nth,
                     failed,
-                )  # a hold time, minus a period and the log's rounding
+                )
             assert len(times) <= 3, failed
 
 
@@ -183,9 +184,8 @@
         for n in ALL:
             made.routers[n].wait_for(lambda n=n: answers(n, "fail_fast") >= 5)  # type: ignore[misc]
             refused = [e for e in made.routers[n].events("request") if e["answer"] == "fail_fast"]
-            assert all(
-                len(one["attempts"]) <= 3 for one in refused
-            )  # MaxAttempts: no retry storm on full zones
+            # MaxAttempts: no retry storm on full zones
+            assert all(len(one["attempts"]) <= 3 for one in refused)
         never_failed(made, "b", "c")  # `full` is a valid response
         for engine in made.of_zone["b"] + made.of_zone["c"]:
             made.engines.send_command(f"{engine} well")
--- a/tests/test_fleet_follow.py
+++ b/tests/test_fleet_follow.py
@@ -29,9 +29,7 @@
 NAMES = [f"r{n}" for n in ALL]
 TTL_S, WITHIN_S = 3.0, 1.0
 UPDATE_S = 5.0  # for a change to reach all routers: a period, a call timeout per member, and slack
-TAKEOVER_S = (
-    20.0  # to replace a lost lease holder: TTL_S, three calls to three members, an evidence age, and slack
-)
+TAKEOVER_S = 20.0  # lost lease holder: TTL_S, three calls to three members, an evidence age, and slack
 FALLBACK_S = 15.0  # for a router without updates to use the safer version, or no decision
 OPERATOR = f"""
 [agree]
--- a/tests/test_fleet_harness.py
+++ b/tests/test_fleet_harness.py
@@ -57,9 +57,8 @@
     free = 0.0
     for one in served:
         cost = 1 / rate + line_s * one.call.lines
-        assert one.at == pytest.approx(
-            max(free, one.call.came) + cost
-        )  # never idle with calls waiting, never two at once
+        # never idle with calls waiting, never two at once
+        assert one.at == pytest.approx(max(free, one.call.came) + cost)
         assert max(free, one.call.came) - one.call.came < 1.0 + 1e-9
         free = one.at
     for one in found:
@@ -231,9 +230,8 @@
     spread = ColdEngine(figures, 0.0)
     early = max(0.0, age - 4_000.0)
     assert not any(spread.overloads(early) for _ in range(math.floor(spread.tolerated_work(early))))
-    assert (
-        not spread.overloads(early + 2_000.0) or early + 2_000.0 >= 10_000.0
-    )  # the first ones have left the window
+    # the first ones have left the window
+    assert not spread.overloads(early + 2_000.0) or early + 2_000.0 >= 10_000.0
 
 
 def test_an_engine_processes_in_order_at_its_current_capacity_and_has_a_bounded_queue() -> None:
--- a/tests/test_fleet_pools.py
+++ b/tests/test_fleet_pools.py
@@ -44,19 +44,12 @@
 KIND = "pools"
 TTL_S = 3.0
 SPLIT_S = 40.0  # after a traffic change: 60 requests weighted by age, 12 s to forget, a decision, slack
-TAKEOVER_S = (
-    20.0  # to replace a lost holder: TTL_S, calls to three members, an evidence age, a decision, slack
-)
+TAKEOVER_S = 20.0  # lost lease holder: TTL_S, calls to three members, an evidence age, a decision, slack
 FALLBACK_S = 15.0  # for a router without updates to report no split
 ENGINE_LOSS_S = 15.0  # after an engine has left the list: two decisions, and slack
 TOKENS, READ_US, STEP_MS, SLOW_MS = 2400, 81.0, 31.0, 45.0  # a third of the streams is slow, thus late
-CLIENTS = (
-    "rrrr",
-    "wwwwww",
-    "rrwww",
-    "rrwww",
-    "rrwww",
-)  # per router: r for prefill-heavy clients, w for decode-heavy ones
+# per router: r for prefill-heavy clients, w for decode-heavy ones
+CLIENTS = ("rrrr", "wwwwww", "rrwww", "rrwww", "rrwww")
 REQUEST_INTERVAL_S = {"r": 1.4, "w": 2.8}  # between a client's requests
 OPERATOR = f"""
 [agree]
@@ -226,9 +219,8 @@
     assert set(split["reads_from"]) == {"r"} and split["late_with"] < split["late_without"]
     assert all(fleet.routers[n].events("fleet_split")[-1]["readers"] == len(readers) for n in ALL)
     before = [fleet.requests_sent(n) for n in range(ENGINES)]
-    poll_until(
-        lambda: all(fleet.requests_sent(n) > before[n] for n in range(ENGINES))
-    )  # the split is reported, not applied
+    # the split is reported, not applied
+    poll_until(lambda: all(fleet.requests_sent(n) > before[n] for n in range(ENGINES)))
 
 
 def test_outdated_malformed_and_hostile_summaries_are_ignored(fleet: Fleet) -> None:
@@ -243,9 +235,8 @@
     spans = [{12: (nan, 1.0, 1.0)}, {12: (-5.0, 1.0, 1.0)}, {12: (1e18, 1e18, 1e18)}]
     hostile = [msgspec.msgpack.encode([1, now, now - 60_000.0, [[*cell, span]], {}]) for span in spans]
     right = msgspec.msgpack.encode([1, now, now - 60_000.0, [[*cell, {12: (5.0, 2e4, 8e7)}]], {}])
-    assert decode_summary(right) is not None and not any(
-        map(decode_summary, hostile)
-    )  # rejected for their values, not for their form
+    # rejected for their values, not for their form
+    assert decode_summary(right) is not None and not any(map(decode_summary, hostile))
     bodies = [old.body(now - 86_400_000.0), b"\xff" * 500, *hostile]
     holder = fleet.lease_holder(KIND)
     before, sequence = fleet.decisions(holder), 0
--- a/tests/test_fleet_store.py
+++ b/tests/test_fleet_store.py
@@ -218,9 +218,8 @@
         made.leader([0, 2])
         writer.more(20)
         code, response = request_member(made.controls[1], "PUT", "/v1/store/x", b"x")
-        assert (
-            code == 409 and "full" in response["error"]
-        )  # not unknown: nothing was written, other members may be tried
+        # not unknown: nothing was written, other members may be tried
+        assert code == 409 and "full" in response["error"]
 
 
 def test_all_members_killed_at_once_return_with_every_change(tmp_path: Path) -> None:
