--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -3,8 +3,9 @@
     python benchmarks/store.py [--short]
 
 Runs histories of three and five members in virtual time (`spoolbarrow/lab/raft_histories.py`), one per
-seed. A bug that no history finds is left to the scripted dialogues of the tests. Then three member processes on loopback,
-and one alone, take changes of 200 bytes from eight writers until a number of keys is stored.
+seed. A bug that no history finds is left to the scripted dialogues of the tests. Then three member
+processes on loopback, and one alone, take changes of 200 bytes from eight writers until a number of keys is
+stored.
 """
 
 from __future__ import annotations
