--- a/tests/test_slow_start_load.py
+++ b/tests/test_slow_start_load.py
@@ -17,7 +17,7 @@
 from spoolbarrow.lab.slow_start_load import Burst, Case, play
 
 # Seeds of `random_case` at which engines crashed while the chance to be sent to an engine in slow start was
-# drawn for each client request.
+# computed from the requests that clients asked for, not from those that began.
 CRASH_SEEDS = {
     2033: "24 routers in three zones, half of the engines hung, the others gone",
     2050: "12 routers without probes",
